--- a/ops/tests/calls.rs
+++ b/crates/admin/tests/calls.rs
@@ -1,9 +1,9 @@
 //! Lines in pieces of any size, and what is no call.
 
 use proptest::prelude::*;
+use sorrelhaven_admin::{Asked, ClassFigures, Figures, Incoming, LINE_MOST, PLACES, Unread, gives_way};
 use sorrelhaven_lifecycle::Call;
-use sorrelhaven_ops::{Asked, ClassFigures, Figures, Incoming, LINE_MOST, PLACES, Unread, gives_way};
-use sorrelhaven_standins::check;
+use sorrelhaven_test_support::check;
 use std::time::{Duration, Instant};
 
 /// Feeds a text in pieces of this size; what it came to, and whether that was before its end.
--- a/ops/tests/scrape.rs
+++ b/crates/admin/tests/scrape.rs
@@ -3,12 +3,12 @@
 
 use futures_lite::future::{or, yield_now};
 use proptest::prelude::*;
-use sorrelhaven_bodies::End;
+use sorrelhaven_admin::Desk;
+use sorrelhaven_body_store::End;
 use sorrelhaven_config::Config;
 use sorrelhaven_engine::{Answer, Engine, Job, Parcel};
 use sorrelhaven_lifecycle::Standing;
-use sorrelhaven_ops::Desk;
-use sorrelhaven_standins::{Act, Boxes, boxes_file, check};
+use sorrelhaven_test_support::{Act, Boxes, boxes_file, check};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -148,8 +148,9 @@
         let sound = async_io::block_on(or(watch, async { match engine.tasks.run().await {} }));
         prop_assert!(sound, "the figures did not add up");
         let figures = desk.figures();
-        let of =
-            |count: fn(&sorrelhaven_ops::ClassFigures) -> u64| figures.classes.iter().map(count).sum::<u64>();
+        let of = |count: fn(&sorrelhaven_admin::ClassFigures) -> u64| {
+            figures.classes.iter().map(count).sum::<u64>()
+        };
         let [served, refused, failed, left] = heard.get();
         let counted = [of(|c| c.passed), of(|c| c.dropped), of(|c| c.bad_gateway)];
         // One that leaves in the step in which its answer comes was answered, and has left.
--- a/bodies/src/lib.rs
+++ b/crates/body-store/src/lib.rs
@@ -10,7 +10,7 @@
 //! | `end` | every way in which the coming of a body can end |
 //!
 //! ```
-//! use sorrelhaven_bodies::{Bodies, End};
+//! use sorrelhaven_body_store::{Bodies, End};
 //!
 //! let bodies = Bodies::new(&Default::default(), 1, None, || None);
 //! async_io::block_on(async {
--- a/bodies/tests/directory.rs
+++ b/crates/body-store/tests/directory.rs
@@ -1,7 +1,7 @@
 //! The operators' directory: what makes it unusable, and what is swept from it.
 
-use sorrelhaven_bodies::{Directory, Disk};
-use sorrelhaven_standins::Scratch;
+use sorrelhaven_body_store::{Directory, Disk};
+use sorrelhaven_test_support::Scratch;
 use std::os::unix::fs::{MetadataExt, symlink};
 use std::path::Path;
 
--- a/bodies/tests/plan.rs
+++ b/crates/body-store/tests/plan.rs
@@ -1,8 +1,8 @@
 //! The plan alone: random bodies of several parties, checked against what it promises.
 
 use proptest::prelude::*;
-use sorrelhaven_bodies::{Budget, FileLimits, Limits, Plan, SMALL, Step, Verdict, Why};
-use sorrelhaven_standins::check;
+use sorrelhaven_body_store::{Budget, FileLimits, Limits, Plan, SMALL, Step, Verdict, Why};
+use sorrelhaven_test_support::check;
 use std::time::Duration;
 
 const KIB: u64 = 1024;
--- a/bodies/tests/spool.rs
+++ b/crates/body-store/tests/spool.rs
@@ -3,9 +3,9 @@
 use async_executor::LocalExecutor;
 use futures_lite::future::{block_on, or, poll_once, zip};
 use proptest::prelude::*;
-use sorrelhaven_bodies::{BLOCK, Bodies, End, Reader, Spool, Step, Unreadable, Writer};
+use sorrelhaven_body_store::{BLOCK, Bodies, End, Reader, Spool, Step, Unreadable, Writer};
 use sorrelhaven_config::{Bodies as Settings, BodyFiles, BodyMemory, Unkept};
-use sorrelhaven_standins::{StandInDisk, check, text};
+use sorrelhaven_test_support::{StandInDisk, check, text};
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::sync::Arc;
--- a/config/src/hosts.rs
+++ b/crates/config/src/hosts.rs
@@ -2,8 +2,8 @@
 
 use crate::{Error, read};
 use serde::Deserialize;
+use sorrelhaven_dispatcher::{Entry, Lifecycle, WorkerId};
 use std::net::SocketAddr;
-use stepusher::{Entry, Lifecycle, WorkerId};
 
 /// What discovery says of an executor's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
--- a/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -17,8 +17,8 @@
 
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
+use sorrelhaven_dispatcher::{Effect, Micros, Settings};
 use std::net::SocketAddr;
-use stepusher::{Effect, Micros, Settings};
 
 /// Reads one value; a fault of form names the key below `parent`.
 fn read<'de, T: Deserialize<'de>>(parent: &str, from: impl Deserializer<'de>) -> Result<T, Error> {
--- a/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -3,7 +3,7 @@
 use crate::{Error, read};
 use serde::Deserialize;
 use serde_json::Value;
-use stepusher::{
+use sorrelhaven_dispatcher::{
     Class, Effect, Limits, Micros, Prices as ModulePrices, ReportFields, RuleFigures, Scope, Settings,
 };
 
--- a/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -1,7 +1,7 @@
 //! What a configuration may leave out, what comes first, and what each fault is called.
 
 use sorrelhaven_config::{Config, settings_from};
-use stepusher::{Effect, Scope};
+use sorrelhaven_dispatcher::{Effect, Scope};
 
 const SETTINGS: &str = r#"{"balancers":2,"me":1,"zones":["a","b"],"zone":1,"kinds":["k"],"new":{"x":[1]},
     "ceilings":{"maxAttempts":3,"maxRetryAfter":2000000},"invariants":{},
@@ -34,7 +34,8 @@
 #[test]
 fn births_are_microseconds_of_unix_time() {
     let config = Config::parse(&file(SETTINGS), |_| None).expect("a configuration");
-    let entry = config.known.hosts[0].entry(stepusher::WorkerId(3), &config.names).expect("an entry");
+    let entry =
+        config.known.hosts[0].entry(sorrelhaven_dispatcher::WorkerId(3), &config.names).expect("an entry");
     assert_eq!((entry.born, entry.zone, entry.kind), (7_000, 1, 0));
 }
 
--- a/config/tests/operator.rs
+++ b/crates/config/tests/operator.rs
@@ -23,7 +23,7 @@
 #[test]
 fn the_example_and_the_schema_in_deploy_are_those_of_the_program() {
     let read = |name: &str| {
-        let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy").join(name);
+        let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy").join(name);
         std::fs::read_to_string(path).expect("a file of this repository")
     };
     let example = read("operator.example.json");
--- a/waiting/src/lib.rs
+++ b/crates/deferred-jobs/src/lib.rs
@@ -6,7 +6,7 @@
 //! | `release` | in which order, in which shares and how fast what is due is let go |
 //!
 //! ```
-//! use sorrelhaven_waiting::{Effect, Fate, Graph, Limits, Unknown};
+//! use sorrelhaven_deferred_jobs::{Effect, Fate, Graph, Limits, Unknown};
 //!
 //! let limits = Limits { jobs: 10, conditions: 4, depth: 5, remembered: 10, unknown: Unknown::Refuse };
 //! let mut graph = Graph::new(limits);
--- a/waiting/tests/graph.rs
+++ b/crates/deferred-jobs/tests/graph.rs
@@ -1,8 +1,8 @@
 //! The graph against a naive model, and the chains and fans that the operators care for.
 
 use proptest::prelude::*;
-use sorrelhaven_standins::check;
-use sorrelhaven_waiting::{Effect, Fate, Graph, Limits, Name, Refusal, Unknown};
+use sorrelhaven_deferred_jobs::{Effect, Fate, Graph, Limits, Name, Refusal, Unknown};
+use sorrelhaven_test_support::check;
 use std::collections::{BTreeMap, BTreeSet};
 
 fn limits() -> Limits {
--- a/waiting/tests/release.rs
+++ b/crates/deferred-jobs/tests/release.rs
@@ -1,8 +1,8 @@
 //! Order, shares and pace on a simulated clock.
 
 use proptest::prelude::*;
-use sorrelhaven_standins::check;
-use sorrelhaven_waiting::{Pace, Release, Rules};
+use sorrelhaven_deferred_jobs::{Pace, Release, Rules};
+use sorrelhaven_test_support::check;
 use std::collections::BTreeMap;
 
 const MS: i64 = 1_000;
--- a/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -4,7 +4,7 @@
 //! thread: the host passes the time in and carries the actions out.
 //!
 //! ```
-//! use stepusher::*;
+//! use sorrelhaven_dispatcher::*;
 //!
 //! let settings = Settings {
 //!     me: 0,
--- a/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Small builders that the tests share.
 #![allow(dead_code)]
 
-use stepusher::*;
+use sorrelhaven_dispatcher::*;
 
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
--- a/tests/decisions.rs
+++ b/crates/dispatcher/tests/decisions.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use stepusher::*;
+use sorrelhaven_dispatcher::*;
 
 #[test]
 fn bigger_jobs_go_to_faster_workers() {
--- a/tests/fleet.rs
+++ b/crates/dispatcher/tests/fleet.rs
@@ -2,9 +2,9 @@
 
 mod common;
 use common::*;
+use sorrelhaven_dispatcher::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
-use stepusher::*;
 
 const NODES: usize = 100;
 const WORKERS: u32 = 60;
--- a/tests/limits.rs
+++ b/crates/dispatcher/tests/limits.rs
@@ -6,7 +6,7 @@
 const LINES_MOST: usize = 250;
 const WIDTH_MOST: usize = 110;
 /// Files of the package that decide nothing.
-const BESIDE: [&str; 2] = ["src/interface.rs", "src/lib.rs"];
+const BESIDE: [&str; 2] = ["crates/dispatcher/src/interface.rs", "crates/dispatcher/src/lib.rs"];
 
 /// The source files in a directory and below it.
 fn sources(directory: &Path) -> Vec<PathBuf> {
@@ -16,13 +16,13 @@
 
 #[test]
 fn decision_module_has_small_files_that_the_deploy_file_names() {
-    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").canonicalize().expect("the repository");
     let deploy = std::fs::read_to_string(root.join("deploy/balancer.toml")).expect("the deploy file");
     let policy = deploy.split("policy = [").nth(1).and_then(|rest| rest.split(']').next());
     let mut named: Vec<&str> = policy.expect("the policy files").split('"').skip(1).step_by(2).collect();
-    let mut deciding: Vec<String> = sources(&root.join("src"))
+    let mut deciding: Vec<String> = sources(&root.join("crates/dispatcher/src"))
         .iter()
-        .map(|path| path.strip_prefix(root).expect("below the root").display().to_string())
+        .map(|path| path.strip_prefix(&root).expect("below the root").display().to_string())
         .filter(|name| !BESIDE.contains(&name.as_str()))
         .collect();
     named.sort_unstable();
--- a/tests/mix.rs
+++ b/crates/dispatcher/tests/mix.rs
@@ -3,9 +3,9 @@
 
 mod common;
 use common::*;
+use sorrelhaven_dispatcher::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
-use stepusher::*;
 
 const NODES: usize = 100;
 const WORKERS: u32 = 60;
--- a/tests/properties.rs
+++ b/crates/dispatcher/tests/properties.rs
@@ -4,8 +4,8 @@
 use common::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
+use sorrelhaven_dispatcher::*;
 use std::collections::BTreeMap;
-use stepusher::*;
 
 #[derive(Clone, Debug)]
 enum Step {
--- a/tests/size.rs
+++ b/crates/dispatcher/tests/size.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use common::*;
+use sorrelhaven_dispatcher::*;
 use std::time::Instant;
-use stepusher::*;
 
 const WORKERS: u32 = 1025;
 const KINDS: usize = 1024;
--- a/tests/untold.rs
+++ b/crates/dispatcher/tests/untold.rs
@@ -3,9 +3,9 @@
 
 mod common;
 use common::*;
+use sorrelhaven_dispatcher::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
-use stepusher::*;
 
 const NODES: usize = 3;
 const WORKERS: usize = 12;
--- a/engine/src/births.rs
+++ b/crates/engine/src/births.rs
@@ -10,8 +10,8 @@
 //! is taken for older than it is skips its slow start. The price: the newest executors of the first list are taken to
 //! have just started. A date is read once: what a later list or clock says changes no slow start that is under way.
 
+use sorrelhaven_dispatcher::{Micros, WorkerId};
 use std::collections::HashMap;
-use stepusher::{Micros, WorkerId};
 
 /// A start as it was read.
 struct Start {
--- a/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -3,8 +3,8 @@
 //! The host group dates births in Unix time, so the module must count in it; but a clock that is set while
 //! the node runs must move no deadline.
 
+use sorrelhaven_dispatcher::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use stepusher::Micros;
 
 /// A length of time as the sockets' timers take it; one below 0 is none.
 pub fn length(time: Micros) -> Duration {
--- a/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -3,10 +3,10 @@
 use crate::count::Count;
 use crate::invariants::Invariants;
 use crate::responsiveness::Responsiveness;
+use sorrelhaven_dispatcher::Outcome;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use stepusher::Outcome;
 
 /// A client that has left must not have its request sent on from so long after it left.
 pub const LATE: Duration = Duration::from_millis(100);
--- a/engine/src/desk.rs
+++ b/crates/engine/src/desk.rs
@@ -9,11 +9,11 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future::{or, yield_now};
+use sorrelhaven_dispatcher::{Action, Census, Dispatcher, Event, Micros, RequestId, Settings, WorkerId};
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use stepusher::{Action, Census, Dispatcher, Event, Micros, RequestId, Settings, WorkerId};
 use tracing::{debug, info, warn};
 
 /// When a timer falls due, and its token.
--- a/engine/src/ending.rs
+++ b/crates/engine/src/ending.rs
@@ -1,8 +1,8 @@
 //! Every way in which a server link's exchange can end, and what each means to the module.
 
-use sorrelhaven_bodies::Unreadable;
+use sorrelhaven_body_store::Unreadable;
+use sorrelhaven_dispatcher::Outcome;
 use sorrelhaven_wire::Fault;
-use stepusher::Outcome;
 
 /// How an execution ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -14,13 +14,13 @@
 use crate::ways::Ways;
 use async_channel::Receiver;
 use async_io::Timer;
-use sorrelhaven_bodies::{Bodies, Disk, Permit};
+use sorrelhaven_body_store::{Bodies, Disk, Permit};
 use sorrelhaven_config::{Config, HostList};
+use sorrelhaven_dispatcher::{Effect, Event, Lifecycle, Members, WorkerId};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use stepusher::{Effect, Event, Lifecycle, Members, WorkerId};
 
 /// How often idle server links are looked through.
 const SWEEP: Duration = Duration::from_millis(500);
--- a/engine/src/execution.rs
+++ b/crates/engine/src/execution.rs
@@ -12,12 +12,12 @@
 use futures_lite::future::yield_now;
 use serde::Deserialize;
 use serde_json::Value;
-use sorrelhaven_bodies::BLOCK;
+use sorrelhaven_body_store::BLOCK;
+use sorrelhaven_dispatcher::WorkerId;
 use sorrelhaven_wire::{BODY_MOST, Fault, Head, Lines, Link, Start, by};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use stepusher::WorkerId;
 
 /// The most that a job line may hold: a result is a body, and its text may be escaped.
 const LINE_MOST: usize = 2 * BODY_MOST;
--- a/engine/src/host_group.rs
+++ b/crates/engine/src/host_group.rs
@@ -8,6 +8,7 @@
 use futures_lite::FutureExt;
 use futures_lite::future::{or, poll_fn, yield_now};
 use sorrelhaven_config::{Error, HostList, Names};
+use sorrelhaven_dispatcher::{Entry, Lifecycle, Micros, WorkerId};
 use sorrelhaven_wire::{Came, Fault, Head, Link, Objects, Start, by};
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -15,7 +16,6 @@
 use std::net::SocketAddr;
 use std::task::Poll;
 use std::time::{Duration, Instant};
-use stepusher::{Entry, Lifecycle, Micros, WorkerId};
 use tracing::{debug, info, warn};
 
 /// The most that one list may hold, white space not counted: 1 KiB an entry for 4,096 executors.
--- a/engine/src/invariants.rs
+++ b/crates/engine/src/invariants.rs
@@ -6,9 +6,9 @@
 
 use crate::count::Count;
 use crate::ending::Ending;
+use sorrelhaven_dispatcher::Outcome;
 use std::cell::Cell;
 use std::time::{Duration, Instant};
-use stepusher::Outcome;
 use tracing::error;
 
 /// What a system that runs other work may hold a process up by, between its look at the clock and its write.
--- a/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -3,13 +3,13 @@
 use crate::ending::Ending;
 use crate::invariants::RequestGuard;
 use crate::places::Place;
-use sorrelhaven_bodies::Spool;
+use sorrelhaven_body_store::Spool;
+use sorrelhaven_dispatcher::{Micros, WorkerId};
 use sorrelhaven_wire::EndProbe;
 use std::cell::Cell;
 use std::fmt::Write;
 use std::rc::Rc;
 use std::time::Instant;
-use stepusher::{Micros, WorkerId};
 
 /// A job as a front hands it in.
 pub struct Job {
--- a/engine/src/links.rs
+++ b/crates/engine/src/links.rs
@@ -2,13 +2,13 @@
 
 use crate::counters::Counters;
 use crate::ending::Ending;
+use sorrelhaven_dispatcher::WorkerId;
 use sorrelhaven_wire::{Call, Failure, Link, classify};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use stepusher::WorkerId;
 
 /// Descriptors kept for what is not a link: standard streams, the poller, signals, the listener and where it was handed
 /// over, the watch with the asks beside it, and the operators' address with its callers.
--- a/engine/src/probe.rs
+++ b/crates/engine/src/probe.rs
@@ -3,10 +3,10 @@
 use crate::desk::Desk;
 use crate::ending::Ending;
 use crate::ways::Ways;
+use sorrelhaven_dispatcher::{Event, WorkerId};
 use sorrelhaven_wire::{Head, Start, by};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use stepusher::{Event, WorkerId};
 
 /// A probe that has not answered by then tells as much as one that fails.
 const WAIT: Duration = Duration::from_millis(500);
--- a/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -15,11 +15,11 @@
 use async_executor::Task;
 use async_io::Timer;
 use futures_lite::future::or;
+use sorrelhaven_dispatcher::{Arrival, Event, Micros, RequestId, WorkerId};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use stepusher::{Arrival, Event, Micros, RequestId, WorkerId};
 use tracing::{debug, warn};
 
 /// A request that nothing has answered so long after its deadline is answered by that alone. Attempts end at the deadline
--- a/engine/src/tests/births.rs
+++ b/crates/engine/src/tests/births.rs
@@ -1,7 +1,7 @@
 //! Starts of executors, read with wall clocks that are wrong.
 
 use crate::births::Births;
-use stepusher::{Micros, WorkerId};
+use sorrelhaven_dispatcher::{Micros, WorkerId};
 
 const S: Micros = 1_000_000;
 /// The node's clock as it starts, right or wrong.
--- a/engine/src/tests/endings.rs
+++ b/crates/engine/src/tests/endings.rs
@@ -4,8 +4,8 @@
 use super::shared;
 use crate::ending::Ending;
 use crate::job::Mail;
-use sorrelhaven_bodies::{End, Unreadable};
-use stepusher::{Arrival, Event, WorkerId};
+use sorrelhaven_body_store::{End, Unreadable};
+use sorrelhaven_dispatcher::{Arrival, Event, WorkerId};
 
 /// The ending listed after this one; a new one must find its place here.
 fn next(ending: &Ending) -> Option<Ending> {
--- a/engine/src/tests/request.rs
+++ b/crates/engine/src/tests/request.rs
@@ -6,7 +6,7 @@
 use crate::ending::Ending;
 use crate::job::Answer;
 use proptest::prelude::*;
-use sorrelhaven_standins::check;
+use sorrelhaven_test_support::check;
 use std::net::TcpListener;
 use std::sync::mpsc;
 
--- a/engine/src/tests/server_link.rs
+++ b/crates/engine/src/tests/server_link.rs
@@ -7,12 +7,12 @@
 use crate::job::{Mail, Parcel};
 use proptest::prelude::*;
 use sorrelhaven_config::Bodies;
-use sorrelhaven_standins::check;
+use sorrelhaven_dispatcher::{Outcome, WorkerId};
+use sorrelhaven_test_support::check;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use stepusher::{Outcome, WorkerId};
 
 /// One thing that an executor writes, or does.
 #[derive(Clone, Debug)]
--- a/engine/src/tests/shared.rs
+++ b/crates/engine/src/tests/shared.rs
@@ -4,17 +4,17 @@
 use crate::job::Job;
 use crate::{Engine, Parcel};
 use futures_lite::future::or;
-use sorrelhaven_bodies::End;
+use sorrelhaven_body_store::End;
 use sorrelhaven_config::Config;
+use sorrelhaven_dispatcher::{Micros, WorkerId};
 use sorrelhaven_wire::EndProbe;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use stepusher::{Micros, WorkerId};
 
 /// An engine that knows one executor, `s-1` at `dial`.
 pub fn engine(dial: SocketAddr) -> Rc<Engine> {
-    configured(&sorrelhaven_standins::one_box(dial, "at_most_once"))
+    configured(&sorrelhaven_test_support::one_box(dial, "at_most_once"))
 }
 
 /// An engine with this configuration.
--- a/engine/src/tests/watch.rs
+++ b/crates/engine/src/tests/watch.rs
@@ -3,12 +3,12 @@
 use super::shared;
 use crate::Engine;
 use crate::host_group::Backoff;
-use sorrelhaven_standins::{OPEN, say, target};
+use sorrelhaven_dispatcher::WorkerId;
+use sorrelhaven_test_support::{OPEN, say, target};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use stepusher::WorkerId;
 
 fn list(seq: u64, whole: bool, hosts: &str) -> String {
     format!("{{\"seq\":{seq},\"whole\":{whole},\"hosts\":[{hosts}]}}\n")
@@ -185,7 +185,7 @@
         let mut backoff = Backoff::new(seed, 1_000_000, 10_000_000);
         backoff.pause(true) < SECOND / 4 && backoff.pause(false) > 6 * SECOND
     });
-    let text = sorrelhaven_standins::one_box("127.0.0.1:1".parse().expect("an address"), "at_most_once");
+    let text = sorrelhaven_test_support::one_box("127.0.0.1:1".parse().expect("an address"), "at_most_once");
     let text = text.replace(r#""seed":"1f""#, &format!(r#""seed":"{:x}""#, seed.expect("there is one")));
     let text = text.replace(r#""balancers":1"#, r#""balancers":1,"discovery":"subscribe""#);
     let engine = watched_by(shared::configured(&text), |agent| {
--- a/engine/src/tests/written.rs
+++ b/crates/engine/src/tests/written.rs
@@ -4,7 +4,7 @@
 use crate::ending::Ending;
 use crate::execution;
 use crate::job::Mail;
-use sorrelhaven_bodies::BLOCK;
+use sorrelhaven_body_store::BLOCK;
 use std::io::Read;
 use std::net::TcpListener;
 use std::time::Duration;
--- a/engine/src/ways.rs
+++ b/crates/engine/src/ways.rs
@@ -6,10 +6,10 @@
 use crate::links::{Links, ServerLink};
 use crate::load::Fields;
 use crate::tasks::Tasks;
+use sorrelhaven_dispatcher::WorkerId;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use stepusher::WorkerId;
 
 /// What executions and probes reach executors with.
 pub struct Ways {
--- a/front/http1/src/intake.rs
+++ b/crates/frontend-http1/src/intake.rs
@@ -3,7 +3,7 @@
 use crate::front::Front;
 use crate::response::Response;
 use futures_lite::future::or;
-use sorrelhaven_bodies::{BLOCK, End, Step, Writer};
+use sorrelhaven_body_store::{BLOCK, End, Step, Writer};
 use sorrelhaven_wire::{Body, Fault, Link, by};
 use std::time::{Duration, Instant};
 
--- a/front/http1/src/lib.rs
+++ b/crates/frontend-http1/src/lib.rs
@@ -6,7 +6,7 @@
 //! ```no_run
 //! use sorrelhaven_config::Config;
 //! use sorrelhaven_engine::Engine;
-//! use sorrelhaven_front_http1::{Front, Queue, accept, listen};
+//! use sorrelhaven_frontend_http1::{Front, Queue, accept, listen};
 //! use sorrelhaven_lifecycle::Standing;
 //! use std::rc::Rc;
 //!
--- a/front/http1/src/link.rs
+++ b/crates/frontend-http1/src/link.rs
@@ -5,7 +5,7 @@
 use crate::read::{Draft, Read, read};
 use crate::response::Response;
 use futures_lite::future::{or, yield_now};
-use sorrelhaven_bodies::{BLOCK, End, Spool};
+use sorrelhaven_body_store::{BLOCK, End, Spool};
 use sorrelhaven_wire::{BODY_MOST, Body, EndProbe, Fault, Link, by};
 use std::time::{Duration, Instant};
 use tracing::debug;
--- a/front/http1/src/read.rs
+++ b/crates/frontend-http1/src/read.rs
@@ -2,12 +2,12 @@
 
 use crate::front::Front;
 use crate::response::Response;
-use sorrelhaven_bodies::Spool;
+use sorrelhaven_body_store::Spool;
+use sorrelhaven_dispatcher::Micros;
 use sorrelhaven_engine::{Job, Parcel, Place};
 use sorrelhaven_lifecycle::Lifecycle;
 use sorrelhaven_wire::{Body, EndProbe, Fault, Head, Link, Start};
 use std::rc::Rc;
-use stepusher::Micros;
 
 /// The answer must reach the client before it gives up: the way there and back comes off its time.
 const CROSSING: Micros = 3_000;
--- a/front/http1/src/response.rs
+++ b/crates/frontend-http1/src/response.rs
@@ -1,7 +1,7 @@
 //! Answers as HTTP/1.1 writes them.
 
+use sorrelhaven_dispatcher::Micros;
 use sorrelhaven_engine::Answer;
-use stepusher::Micros;
 
 /// An answer on the wire.
 pub struct Response {
--- a/lifecycle/tests/table.rs
+++ b/crates/lifecycle/tests/table.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use sorrelhaven_lifecycle::{Call, Lifecycle, Phase, Reply};
-use sorrelhaven_standins::check;
+use sorrelhaven_test_support::check;
 use std::time::{Duration, Instant};
 
 const LONGEST: Duration = Duration::from_secs(6);
--- a/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -117,7 +117,7 @@
 mod tests {
     use super::*;
     use proptest::prelude::*;
-    use sorrelhaven_standins::check;
+    use sorrelhaven_test_support::check;
     use std::collections::BTreeSet;
 
     const KEY: &[u8] = b"a key of the tests alone";
--- a/node/benches/bodies.rs
+++ b/crates/node/benches/bodies.rs
@@ -6,9 +6,9 @@
 //! - peak resident memory with 64 clients that send 8 MB at once;
 //! - small jobs' 99th percentile beside such a surge and without.
 
-use sorrelhaven_bodies::{Bodies, Directory};
+use sorrelhaven_body_store::{Bodies, Directory};
 use sorrelhaven_config::{Bodies as Settings, BodyFiles, BodyMemory};
-use sorrelhaven_standins::{Act, Ask, Boxes, Program, Scratch, boxes_file};
+use sorrelhaven_test_support::{Act, Ask, Boxes, Program, Scratch, boxes_file};
 use std::fs::File;
 use std::io::Write;
 use std::process::Command;
@@ -137,7 +137,7 @@
                         }
                         let spool = writer.spool();
                         writer.finish().await;
-                        assert_eq!(spool.end(), Some(sorrelhaven_bodies::End::InFile));
+                        assert_eq!(spool.end(), Some(sorrelhaven_body_store::End::InFile));
                     }
                 })
             })
--- a/node/benches/scrape.rs
+++ b/crates/node/benches/scrape.rs
@@ -3,7 +3,7 @@
 //!
 //!     cargo bench -p sorrelhaven --bench scrape
 
-use sorrelhaven_standins::{Act, Ask, Boxes, Program, Scratch, boxes_file};
+use sorrelhaven_test_support::{Act, Ask, Boxes, Program, Scratch, boxes_file};
 use std::net::TcpStream;
 use std::process::Command;
 use std::sync::Mutex;
--- a/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -12,13 +12,13 @@
 use futures_lite::future::or;
 use membership::Others;
 use signals::{Signal, Signals};
-use sorrelhaven_bodies::{Directory, Disk};
+use sorrelhaven_admin as ops;
+use sorrelhaven_body_store::{Directory, Disk};
 use sorrelhaven_config::{Config, Operator};
 use sorrelhaven_engine::Engine;
-use sorrelhaven_front_http1::{self as front, Front, Queue};
-use sorrelhaven_inherit::Seats;
+use sorrelhaven_frontend_http1::{self as front, Front, Queue};
+use sorrelhaven_handover::Seats;
 use sorrelhaven_lifecycle::{Lifecycle, Phase, Standing};
-use sorrelhaven_ops as ops;
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpListener};
 use std::process::ExitCode;
@@ -99,7 +99,7 @@
 /// The clients' listening socket where the platform holds it.
 fn inherited(env: &impl Fn(&str) -> Option<String>) -> Result<Option<TcpListener>, String> {
     let number = sorrelhaven_config::listen_fd(env).map_err(|fault| fault.to_string())?;
-    let listener = number.map(sorrelhaven_inherit::listener).transpose();
+    let listener = number.map(sorrelhaven_handover::listener).transpose();
     listener.map_err(|fault| format!("RELAY_FD: {fault}"))
 }
 
--- a/node/tests/bodies.rs
+++ b/crates/node/tests/bodies.rs
@@ -1,6 +1,6 @@
 //! Bodies through the program: what each step means, byte for byte, and what a disk, a client or a signal may do.
 
-use sorrelhaven_standins::{Act, Ask, Boxes, Program, Reply, Scratch, boxes_file, sum, text};
+use sorrelhaven_test_support::{Act, Ask, Boxes, Program, Reply, Scratch, boxes_file, sum, text};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::process::Command;
@@ -81,7 +81,7 @@
 
 /// The page's table: the names on top, and each row's name with its cells.
 fn table() -> (Vec<String>, Vec<(String, Vec<String>)>) {
-    let page = include_str!("../../docs/bodies.md");
+    let page = include_str!("../../../docs/bodies.md");
     let cells = |line: &str| -> Vec<String> {
         line.trim_matches('|').split('|').map(|c| c.trim().to_string()).collect()
     };
--- a/node/tests/command.rs
+++ b/crates/node/tests/command.rs
@@ -13,7 +13,7 @@
 }
 
 fn deploy(name: &str) -> String {
-    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../deploy").join(name).display().to_string()
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../deploy").join(name).display().to_string()
 }
 
 fn text(bytes: &[u8]) -> String {
--- a/node/tests/crash.rs
+++ b/crates/node/tests/crash.rs
@@ -3,7 +3,7 @@
 //!
 //! `SORRELHAVEN_KILLS` sets how often it is killed (12 where it is not set); the points come from a fixed seed.
 
-use sorrelhaven_standins::{Ask, Boxes, Checker, ONCE, Program, Scratch, boxes_file};
+use sorrelhaven_test_support::{Ask, Boxes, Checker, ONCE, Program, Scratch, boxes_file};
 use std::process::Command;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/node/tests/crossings.rs
+++ b/crates/node/tests/crossings.rs
@@ -1,7 +1,7 @@
 //! Moments at which two things cross, each forced: one side is held until the other was seen to have acted. The rows of
-//! `docs/endings.md` name these tests.
+//! `docs/attempt-ends.md` name these tests.
 
-use sorrelhaven_standins::{Ask, Held, OPEN, Program, Reply, Scratch, piece, reset, say, target};
+use sorrelhaven_test_support::{Ask, Held, OPEN, Program, Reply, Scratch, piece, reset, say, target};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::Command;
--- a/node/tests/faults.rs
+++ b/crates/node/tests/faults.rs
@@ -1,6 +1,6 @@
 //! System calls that fail as Linux documents, and wall clocks that are wrong: no request is lost for either.
 
-use sorrelhaven_standins::{
+use sorrelhaven_test_support::{
     Act, Ask, Boxes, Checker, FaultPlan, ONCE, Program, Scratch, boxes_file, injected,
 };
 use std::net::TcpStream;
--- a/node/tests/large_fleet.rs
+++ b/crates/node/tests/large_fleet.rs
@@ -1,7 +1,7 @@
 //! A node with thousands of executors on a small share of a core: each request has its answer in time, whatever the list
 //! and the executors do.
 
-use sorrelhaven_standins::{
+use sorrelhaven_test_support::{
     Act, Ask, Boxes, CpuShare, OPEN, Program, Scratch, piece, processor_time, target,
 };
 use std::io::Write;
--- a/node/tests/many.rs
+++ b/crates/node/tests/many.rs
@@ -1,6 +1,6 @@
 //! A node among a thousand, with a thousand executors in its list, within the least memory and descriptors.
 
-use sorrelhaven_standins::{Ask, Boxes, OPEN, Program, Refusing, Scratch, say, target};
+use sorrelhaven_test_support::{Ask, Boxes, OPEN, Program, Refusing, Scratch, say, target};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::Command;
--- a/node/tests/members.rs
+++ b/crates/node/tests/members.rs
@@ -1,6 +1,6 @@
 //! Five processes of the program that know each other, and what lies between them.
 
-use sorrelhaven_standins::{Between, Faults, Program, Scratch};
+use sorrelhaven_test_support::{Between, Faults, Program, Scratch};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
--- a/node/tests/operations.rs
+++ b/crates/node/tests/operations.rs
@@ -1,6 +1,6 @@
 //! What the staff do with a node that runs: call, look, drain it and take clients again.
 
-use sorrelhaven_standins::{Act, Ask, Boxes, Program, Scratch, boxes_file};
+use sorrelhaven_test_support::{Act, Ask, Boxes, Program, Scratch, boxes_file};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::process::Command;
--- a/node/tests/program.rs
+++ b/crates/node/tests/program.rs
@@ -1,6 +1,6 @@
 //! The program as it is started: its configuration, its answers, its signals and its exit.
 
-use sorrelhaven_standins::{Program, Scratch};
+use sorrelhaven_test_support::{Program, Scratch};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::ops::{Deref, DerefMut};
--- a/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -1,4 +1,4 @@
-//! Real processes under faults that overlap; `lab/soak` says what is drawn and how it is judged.
+//! Real processes under faults that overlap; `crates/soak` says what is drawn and how it is judged.
 //!
 //! `SORRELHAVEN_SOAK=from..to` plays these seeds at the large size; without it two fixed seeds run at the small one.
 
--- a/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -1,6 +1,6 @@
 //! Two processes of the program on one listening socket that neither of them owns.
 
-use sorrelhaven_standins::{Act, Ask, Boxes, Checker, ONCE, Program, Scratch, boxes_file};
+use sorrelhaven_test_support::{Act, Ask, Boxes, Checker, ONCE, Program, Scratch, boxes_file};
 use std::net::{TcpListener, TcpStream};
 use std::os::fd::OwnedFd;
 use std::path::PathBuf;
--- a/adapter/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts stepusher dispatchers on the bench's wire: one batch of events a line in, one reply a line out.
+//! Hosts sorrelhaven_dispatcher dispatchers on the bench's wire: one batch of events a line in, one reply a line out.
 //!
 //! It translates and decides nothing. Ids are interned per instance, so what an instance does cannot
 //! depend on which others share its process.
@@ -6,13 +6,13 @@
 mod wire;
 
 use sorrelhaven_config as config;
-use std::collections::HashMap;
-use std::io::{BufRead, Write};
-use std::process::ExitCode;
-use stepusher::{
+use sorrelhaven_dispatcher::{
     Action, Arrival, Dispatcher, Entry, Event, Lifecycle, Members, Micros, Outcome, RequestId, Settings,
     WorkerId,
 };
+use std::collections::HashMap;
+use std::io::{BufRead, Write};
+use std::process::ExitCode;
 use wire::{Batch, Message, Order, Outbox, Reply, Row};
 
 /// A list line with the worker still by its word: lists belong to the process, numbers to an instance.
@@ -315,7 +315,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("stepusher-adapter: {message}");
+            eprintln!("sorrelhaven_dispatcher-adapter: {message}");
             ExitCode::FAILURE
         }
     }
--- a/adapter/tests/binary.rs
+++ b/crates/simulator/tests/binary.rs
@@ -16,7 +16,7 @@
 );
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_stepusher-adapter"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_sorrelhaven-simulator"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/lab/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::Place;
 use fastrand::Rng;
-use sorrelhaven_standins::{Ask, Checker};
+use sorrelhaven_test_support::{Ask, Checker};
 use std::io::{ErrorKind, Write};
 use std::net::TcpStream;
 use std::sync::{Arc, Mutex, PoisonError};
--- a/lab/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,6 +1,6 @@
 //! A fake discovery: watches on one list of any length, which may fall silent or be closed.
 
-use sorrelhaven_standins::{OPEN, piece};
+use sorrelhaven_test_support::{OPEN, piece};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/lab/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -5,7 +5,7 @@
 use crate::plan::{Plan, Trouble};
 use crate::proxy::Proxy;
 use fastrand::Rng;
-use sorrelhaven_standins::{Act, Boxes, Checker, FaultPlan, Program, Scratch, boxes_file};
+use sorrelhaven_test_support::{Act, Boxes, Checker, FaultPlan, Program, Scratch, boxes_file};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::Command;
--- a/lab/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,7 +1,7 @@
 //! What happens in one soak, drawn from a seed.
 
 use fastrand::Rng;
-use sorrelhaven_standins::Act;
+use sorrelhaven_test_support::Act;
 use std::fmt;
 use std::time::Duration;
 
--- a/lab/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,7 +1,7 @@
 //! A TCP proxy in front of one executor, whose connections can be delayed, stalled, cut one way or reset.
 
 use crate::plan::Link;
-use sorrelhaven_standins::reset;
+use sorrelhaven_test_support::reset;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, PoisonError};
--- a/standins/src/disk.rs
+++ b/crates/test-support/src/disk.rs
@@ -1,6 +1,6 @@
 //! A disk that fills up, fails, hangs or forgets what was written.
 
-use sorrelhaven_bodies::{Disk, DiskFile};
+use sorrelhaven_body_store::{Disk, DiskFile};
 use std::io;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 
--- a/standins/src/preload.rs
+++ b/crates/test-support/src/preload.rs
@@ -1,4 +1,4 @@
-//! The fault shim (`lab/shim`) as tests preload it into the program.
+//! The fault shim (`crates/fault-shim`) as tests preload it into the program.
 
 use crate::program::Scratch;
 use std::collections::BTreeMap;
--- a/standins/tests/between.rs
+++ b/crates/test-support/tests/between.rs
@@ -1,6 +1,6 @@
 //! The stand-in between processes does to datagrams what it was told, and the same with the same seed.
 
-use sorrelhaven_standins::{Between, Faults};
+use sorrelhaven_test_support::{Between, Faults};
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
 
--- a/wire/src/objects.rs
+++ b/crates/wire/src/objects.rs
@@ -155,7 +155,7 @@
 mod tests {
     use super::*;
     use proptest::prelude::*;
-    use sorrelhaven_standins::check;
+    use sorrelhaven_test_support::check;
 
     /// The objects in a text, or the fault that ends them.
     fn cut(text: &str, most: usize) -> Result<Vec<String>, Fault> {
--- a/wire/tests/framing.rs
+++ b/crates/wire/tests/framing.rs
@@ -1,7 +1,7 @@
 //! Heads and bodies: cut anywhere, malformed, or plain nonsense.
 
 use proptest::prelude::*;
-use sorrelhaven_standins::check;
+use sorrelhaven_test_support::check;
 use sorrelhaven_wire::{Body, Fault, Head};
 
 /// A body reads the same however the network cuts it, and ends exactly where it ends.
