--- a/crates/admin/src/desk.rs
+++ b/crates/admin/src/desk.rs
@@ -67,7 +67,7 @@
     /// The figures now.
     pub fn figures(&self) -> Figures {
         let counters = &self.engine.counters;
-        let census = self.engine.desk.census();
+        let worker_counts = self.engine.desk.worker_counts();
         let classes = counters.classes().map(|(name, class)| ClassFigures {
             class: name.to_string(),
             passed: class.served.get(),
@@ -78,8 +78,8 @@
             classes: classes.collect(),
             upstream_tries: counters.written.get(),
             in_progress: counters.in_progress(),
-            known_executors: census.known,
-            skipped_executors: census.skipped(),
+            known_executors: worker_counts.known,
+            skipped_executors: worker_counts.unavailable(),
             invariant_violations: counters.invariants.counts().collect(),
             longest_step_us: counters.responsiveness.longest_step.micros(),
             longest_timer_lag_us: counters.responsiveness.longest_timer_lag.micros(),
--- a/crates/config/src/hosts.rs
+++ b/crates/config/src/hosts.rs
@@ -2,7 +2,7 @@
 
 use crate::{Error, read};
 use serde::Deserialize;
-use sorrelhaven_dispatcher::{Entry, Lifecycle, WorkerId};
+use sorrelhaven_dispatcher::{Lifecycle, WorkerEntry, WorkerId};
 use std::net::SocketAddr;
 
 /// What discovery says of an executor's process.
@@ -91,7 +91,7 @@
 
 impl Host {
     /// The entry as the decision module takes it.
-    pub fn entry(&self, worker: WorkerId, names: &Names) -> Result<Entry, Error> {
+    pub fn entry(&self, worker: WorkerId, names: &Names) -> Result<WorkerEntry, Error> {
         let gone = self.health == Health::Terminated;
         let place = |key: &str, words: &[String], word: &str| match words.iter().position(|w| w == word) {
             Some(place) => Ok(place),
@@ -101,19 +101,19 @@
         if self.dial.is_none() && !gone {
             return Err(Error::new("dial", "missing"));
         }
-        Ok(Entry {
+        Ok(WorkerEntry {
             worker,
-            key: key(&self.host),
+            name_hash: key(&self.host),
             lifecycle: match self.health {
                 Health::InService => Lifecycle::Ready,
                 Health::Terminating => Lifecycle::Draining,
                 Health::Terminated => Lifecycle::Gone,
             },
-            born: self.born_ms.saturating_mul(1_000),
+            started_at: self.born_ms.saturating_mul(1_000),
             kind: place("class", &names.kinds, &self.class)?,
             zone: place("site", &names.zones, &self.site)?,
             cell: self.block,
-            rating: self.share,
+            weight: self.share,
         })
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -17,7 +17,7 @@
 
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
-use sorrelhaven_dispatcher::{Effect, Micros, Settings};
+use sorrelhaven_dispatcher::{Idempotency, Micros, Settings};
 use std::net::SocketAddr;
 
 /// Reads one value; a fault of form names the key below `parent`.
@@ -272,7 +272,7 @@
         let load_fields = conf.report_fields();
         let (drain_grace, ask_within) = (conf.invariants.drain_grace, conf.invariants.ask_within);
         let settings = settings(conf).map_err(|e| e.within("settings"))?;
-        let keyed = |i: usize| matches!(settings.classes[i].effect, Effect::Keyed { .. });
+        let keyed = |i: usize| matches!(settings.classes[i].idempotency, Idempotency::Keyed { .. });
         let classes = grades.into_iter().enumerate().map(|(i, name)| ClassName { name, keyed: keyed(i) });
         let classes: Vec<ClassName> = classes.collect();
         if let Some(i) = classes.iter().position(|c| c.name.is_empty()) {
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use sorrelhaven_dispatcher::{
-    Class, Effect, Limits, Micros, Prices as ModulePrices, ReportFields, RuleFigures, Scope, Settings,
+    Class, Idempotency, Limits, Micros, Penalties, ReportFields, Scope, Settings, SlowStartRules,
 };
 
 fn one() -> f64 {
@@ -182,9 +182,9 @@
 
 fn class(grade: Grade, stretch: Option<f64>, kind: Option<i64>) -> Result<Class, Error> {
     let effect = match grade.effect.as_str() {
-        "idempotent" => Effect::Safe,
-        "at_most_once" => Effect::Unsafe,
-        "deduplicated" => Effect::Keyed {
+        "idempotent" => Idempotency::Idempotent,
+        "at_most_once" => Idempotency::NotIdempotent,
+        "deduplicated" => Idempotency::Keyed {
             scope: match grade.dedup_scope.as_str() {
                 "all" => Scope::All,
                 "zone" => Scope::Zone,
@@ -202,13 +202,13 @@
         return Err(Error::new("deadline", format!("{} is not a time to wait", grade.deadline)));
     }
     Ok(Class {
-        effect,
-        aim: grade.aim,
-        stretch: stretch.or(grade.aim_stretch).unwrap_or(0.0),
+        idempotency: effect,
+        latency_objective: grade.aim,
+        objective_stretch: stretch.or(grade.aim_stretch).unwrap_or(0.0),
         deadline: grade.deadline,
-        worth: grade.value,
-        late_worth: grade.late_value,
-        kind: kind.and_then(|k| usize::try_from(k).ok()),
+        priority_weight: grade.value,
+        late_fraction: grade.late_value,
+        worker_kind: kind.and_then(|k| usize::try_from(k).ok()),
     })
 }
 
@@ -255,34 +255,34 @@
     }
     let field = |name: &str| conf.report.fields.iter().position(|f| f == name);
     Ok(Settings {
-        me: conf.me,
-        balancers: conf.balancers,
+        instance: conf.me,
+        instances: conf.balancers,
         zone: conf.zone,
-        kinds: conf.kinds.len(),
+        worker_kinds: conf.kinds.len(),
         classes,
         limits: Limits {
             max_attempts: c.max_attempts,
-            second_copies: c.second_copies,
+            hedging: c.second_copies,
             cancel: c.cancel,
             probes: c.may_probe,
             max_retry_after: if c.retry_after { c.max_retry_after } else { 0 },
             connect_timeout: c.dial_timeout,
+            rejection_may_have_run: rules.busy_is_no_proof,
         },
-        rules: RuleFigures {
-            cold_from: rules.start_capacity,
-            cold: rules.cold,
-            fall_multiple: rules.overload_factor,
-            fall: rules.fall,
-            full_may_have_run: rules.busy_is_no_proof,
+        slow_start: SlowStartRules {
+            initial_capacity: rules.start_capacity,
+            duration: rules.cold,
+            overload_factor: rules.overload_factor,
+            overload_window: rules.fall,
         },
-        prices: ModulePrices { waste: conf.prices.waste, crossing: conf.prices.cross_zone },
+        penalties: Penalties { wasted_work: conf.prices.waste, cross_zone: conf.prices.cross_zone },
         marks_retry: conf.callers.marks_retry,
-        subscribe: conf.discovery == "subscribe",
-        tells_start: info.tells_start,
-        progress: info.progress,
+        polls_discovery: conf.discovery == "subscribe",
+        reports_start: info.tells_start,
+        progress_interval: info.progress,
         tick: conf.round,
-        live_weights: conf.weights == "live",
-        report: ReportFields {
+        weights_include_load: conf.weights == "live",
+        report_fields: ReportFields {
             util: field("cpu_share"),
             free_slots: field("x0").filter(|_| info.report_x0.contains("free slots")),
         },
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -1,7 +1,7 @@
 //! What a configuration may leave out, what comes first, and what each fault is called.
 
 use sorrelhaven_config::{Config, settings_from};
-use sorrelhaven_dispatcher::{Effect, Scope};
+use sorrelhaven_dispatcher::{Idempotency, Scope};
 
 const SETTINGS: &str = r#"{"balancers":2,"me":1,"zones":["a","b"],"zone":1,"kinds":["k"],"new":{"x":[1]},
     "ceilings":{"maxAttempts":3,"maxRetryAfter":2000000},"invariants":{},
@@ -27,7 +27,7 @@
     assert_eq!((config.seed, config.sockets, config.keepalive), (0x1f, 1024, 15_000_000));
     assert_eq!((config.drain_grace, config.ask_within), (1_000_000, 10_000_000));
     assert_eq!(config.settings.limits.max_retry_after, 0, "clients are told only where the site says so");
-    assert_eq!(config.settings.classes[1].effect, Effect::Keyed { scope: Scope::Cell, window: 9 });
+    assert_eq!(config.settings.classes[1].idempotency, Idempotency::Keyed { scope: Scope::Cell, window: 9 });
     assert_eq!(config.classes.iter().map(|c| c.keyed).collect::<Vec<_>>(), [false, true]);
 }
 
@@ -36,7 +36,7 @@
     let config = Config::parse(&file(SETTINGS), |_| None).expect("a configuration");
     let entry =
         config.known.hosts[0].entry(sorrelhaven_dispatcher::WorkerId(3), &config.names).expect("an entry");
-    assert_eq!((entry.born, entry.zone, entry.kind), (7_000, 1, 0));
+    assert_eq!((entry.started_at, entry.zone, entry.kind), (7_000, 1, 0));
 }
 
 #[test]
--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -87,17 +87,17 @@
     /// A dispatcher that knows its settings and nothing else; equal seeds and events give equal actions.
     pub fn new(mut settings: Settings, seed: u64) -> Self {
         // A class out of range is the host's slip: the strictest stand-in keeps the rules for it.
-        settings.classes.push(Class { late_worth: 1.0, ..Class::default() });
+        settings.classes.push(Class { late_fraction: 1.0, ..Class::default() });
         let classes = settings.classes.len();
         Dispatcher {
             rng: fastrand::Rng::with_seed(seed),
-            kinds: vec![Kind::default(); settings.kinds.max(1)],
+            kinds: vec![Kind::default(); settings.worker_kinds.max(1)],
             n: 2 * N_LEAST as usize,
             order: vec![Vec::new(); classes],
             stale: vec![true; classes],
             armed: Micros::MAX,
             try_length: vec![0; classes],
-            repeats: 10.0 * (REPEATS - settings.prices.waste).max(0.0),
+            repeats: 10.0 * (REPEATS - settings.penalties.wasted_work).max(0.0),
             settings,
             ..Dispatcher::default()
         }
@@ -105,26 +105,39 @@
 
     /// Takes one event and appends what is to be done about it, in order.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        let freed = !matches!(event, Event::Arrival(_) | Event::Progress { .. } | Event::Lapsed(_));
+        let freed = !matches!(
+            event,
+            Event::Arrival(_) | Event::AttemptProgress { .. } | Event::ClientDisconnected(_)
+        );
         match event {
-            Event::Members(members) => self.on_members(members, actions),
+            Event::WorkerList(members) => self.on_members(members, actions),
             Event::Arrival(arrival) => self.on_arrival(now, arrival, actions),
-            Event::Started { request, attempt, worker } => self.on_started(now, (request, attempt, worker)),
-            Event::Progress { .. } | Event::Probed { .. } => {}
-            Event::Streaming { request, attempt, worker } => {
+            Event::AttemptStarted { request, attempt, worker } => {
+                self.on_started(now, (request, attempt, worker))
+            }
+            Event::AttemptProgress { .. } | Event::ProbeEnded { .. } => {}
+            Event::ResponseStreaming { request, attempt, worker } => {
                 self.on_started(now, (request, attempt, worker));
                 self.requests.get_mut(&request).into_iter().for_each(|r| r.streaming = true);
             }
-            Event::Outcome { request, attempt, worker, outcome, took, closed, report } => {
+            Event::AttemptEnded {
+                request,
+                attempt,
+                worker,
+                outcome,
+                elapsed: took,
+                request_concluded: closed,
+                load_report: report,
+            } => {
                 self.on_report(worker, &report);
                 self.on_outcome(now, (request, attempt, worker), (outcome, took, closed), actions);
             }
-            Event::Written { request: r, attempt: n, worker: w } => {
+            Event::RequestSent { request: r, attempt: n, worker: w } => {
                 self.attempt((r, n, w)).into_iter().for_each(|a| a.sent = now)
             }
-            Event::PassedOn(id) => self.requests.get_mut(&id).into_iter().for_each(|r| r.spent = true),
-            Event::Lapsed(request) => self.forget(request, actions),
-            Event::Timer(WATCH) => actions.push(Action::Watch),
+            Event::BodyConsumed(id) => self.requests.get_mut(&id).into_iter().for_each(|r| r.spent = true),
+            Event::ClientDisconnected(request) => self.forget(request, actions),
+            Event::Timer(WATCH) => actions.push(Action::WatchWorkerList),
             // A timer that was overtaken by an earlier one has nothing left to do, and must not set another.
             Event::Timer(_) if now < self.armed => return,
             Event::Timer(_) => {
@@ -142,18 +155,22 @@
     }
 
     /// How this dispatcher regards the workers in the list at this moment.
-    pub fn census(&self, now: Micros) -> Census {
+    pub fn worker_counts(&self, now: Micros) -> WorkerCounts {
         let listed = |&id: &WorkerId| self.worker(id).entry.lifecycle != Lifecycle::Gone;
-        (0..self.workers.len() as u32).map(WorkerId).filter(listed).map(|id| self.regard(id, now)).collect()
+        (0..self.workers.len() as u32)
+            .map(WorkerId)
+            .filter(listed)
+            .map(|id| self.worker_status(id, now))
+            .collect()
     }
 
-    fn regard(&self, id: WorkerId, now: Micros) -> Regard {
+    fn worker_status(&self, id: WorkerId, now: Micros) -> WorkerStatus {
         let mut classes = 0..self.settings.classes.len() - 1;
         match self.worker(id) {
-            w if !w.ready() => Regard::Draining,
-            w if !self.sound(id) || now < w.trial_at => Regard::Failed,
-            _ if classes.all(|class| !self.takes(id, class, now)) => Regard::Full,
-            _ => Regard::Used,
+            w if !w.ready() => WorkerStatus::Draining,
+            w if !self.sound(id) || now < w.trial_at => WorkerStatus::Ejected,
+            _ if classes.all(|class| !self.takes(id, class, now)) => WorkerStatus::Saturated,
+            _ => WorkerStatus::Available,
         }
     }
 }
--- a/crates/dispatcher/src/dispatcher/capacity.rs
+++ b/crates/dispatcher/src/dispatcher/capacity.rs
@@ -48,12 +48,13 @@
 
     /// The share of its capacity that a starting worker has at least.
     pub(super) fn warmth(&self, w: &Worker, now: Micros) -> f64 {
-        let rules = &self.settings.rules;
-        let age = now - w.entry.born;
-        if w.entry.born <= 0 || age >= rules.cold {
+        let rules = &self.settings.slow_start;
+        let age = now - w.entry.started_at;
+        if w.entry.started_at <= 0 || age >= rules.duration {
             return 1.0;
         }
-        (rules.cold_from + (1.0 - rules.cold_from) * age.max(0) as f64 / rules.cold as f64).clamp(0.01, 1.0)
+        (rules.initial_capacity + (1.0 - rules.initial_capacity) * age.max(0) as f64 / rules.duration as f64)
+            .clamp(0.01, 1.0)
     }
 
     /// Time-outs beyond those that the middle of the fleet has: a trouble that all share is no one's fault.
@@ -98,9 +99,9 @@
 
     /// Takes a late report in: how many slots there are, and the share others leave, fair where none is free.
     pub(super) fn on_report(&mut self, id: WorkerId, report: &[f64]) {
-        let free = self.settings.report.free_slots.and_then(|i| report.get(i));
+        let free = self.settings.report_fields.free_slots.and_then(|i| report.get(i));
         let Some(free) = free.filter(|f| (0.0..=1024.0).contains(*f)) else { return };
-        let fair = 1.0 / f64::from(self.settings.balancers.max(1));
+        let fair = 1.0 / f64::from(self.settings.instances.max(1));
         let w = self.worker_mut(id);
         let (kind, out) = (w.entry.kind, w.out());
         let kind = &mut self.kinds[kind];
--- a/crates/dispatcher/src/dispatcher/fleet.rs
+++ b/crates/dispatcher/src/dispatcher/fleet.rs
@@ -12,24 +12,24 @@
 const KINDS_MOST: usize = 1023;
 
 impl Dispatcher {
-    pub(super) fn on_members(&mut self, members: Members, actions: &mut Vec<Action>) {
+    pub(super) fn on_members(&mut self, members: WorkerListUpdate, actions: &mut Vec<Action>) {
         let (entries, full, cached) = match members {
-            Members::Failed => {
+            WorkerListUpdate::Failed => {
                 let pause = WATCH_PAUSE << self.watch_failures.min(4);
                 let jitter = self.rng.i64(0..pause / 2 + 1);
                 self.watch_failures += 1;
-                return actions.push(Action::Timer { delay: pause + jitter, token: WATCH });
+                return actions.push(Action::SetTimer { delay: pause + jitter, token: WATCH });
             }
-            Members::Delta(entries) => (entries, false, false),
-            Members::Full(entries) => (entries, true, false),
-            Members::Cached(entries) => (entries, true, true),
+            WorkerListUpdate::Delta(entries) => (entries, false, false),
+            WorkerListUpdate::Full(entries) => (entries, true, false),
+            WorkerListUpdate::Cached(entries) => (entries, true, true),
         };
         if full {
             self.workers.iter_mut().for_each(|w| w.entry.lifecycle = Lifecycle::Gone);
         }
         entries.into_iter().for_each(|entry| self.on_entry(entry));
-        if cached && self.settings.subscribe {
-            actions.push(Action::Watch);
+        if cached && self.settings.polls_discovery {
+            actions.push(Action::WatchWorkerList);
         } else {
             self.watch_failures = 0;
         }
@@ -42,26 +42,26 @@
         self.near_stale = true;
     }
 
-    pub(super) fn on_entry(&mut self, entry: Entry) {
+    pub(super) fn on_entry(&mut self, entry: WorkerEntry) {
         let classes = self.settings.classes.len();
         let draw = self.rng.f64() * self.mean_size;
         let w = self.worker_mut(entry.worker);
         w.epc.resize(classes, Epc::default());
         w.full.resize(classes, (0, 0));
         w.wait.resize(classes, (0.0, 0));
-        if entry.born > w.entry.born {
+        if entry.started_at > w.entry.started_at {
             // A fresh process: what the old one did or failed to do says nothing of it.
             w.timeouts = 0;
             w.full.fill((0, 0));
-            w.cold = (draw, entry.born);
+            w.cold = (draw, entry.started_at);
             w.keys = Keys::default();
         }
         w.entry = entry;
-        w.entry.rating = if w.entry.rating.is_finite() { w.entry.rating.max(0.0) } else { 1.0 };
+        w.entry.weight = if w.entry.weight.is_finite() { w.entry.weight.max(0.0) } else { 1.0 };
         w.entry.kind = w.entry.kind.min(KINDS_MOST);
-        let (kind, rating) = (w.entry.kind, w.entry.rating);
+        let (kind, rating) = (w.entry.kind, w.entry.weight);
         self.kinds.resize((kind + 1).max(self.kinds.len()), Kind::default());
-        let size = if self.settings.live_weights { rating } else { 0.0 };
+        let size = if self.settings.weights_include_load { rating } else { 0.0 };
         self.kinds[kind].size = self.kinds[kind].size.max(size);
     }
 
@@ -69,14 +69,17 @@
     /// Costs more the longer the list is, so it is done only when the list or N has changed, and once in
     /// [`SET_KEPT`].
     pub(super) fn look_over_list(&mut self, now: Micros) {
-        let candidate =
-            |&id: &WorkerId| Candidate { id, key: self.worker(id).entry.key, weight: self.weight(id, now) };
+        let candidate = |&id: &WorkerId| Candidate {
+            id,
+            key: self.worker(id).entry.name_hash,
+            weight: self.weight(id, now),
+        };
         let candidates: Vec<Candidate> = self.ready.iter().map(candidate).collect();
         let total: f64 = candidates.iter().map(|candidate| candidate.weight).sum();
         let n = self.n.min(candidates.len());
         self.per_weight = n as f64 / total.max(1e-9);
         self.snapshot = Snapshot::new(candidates);
-        self.near = self.snapshot.nearest(u64::from(self.settings.me) + 1, 3 * n);
+        self.near = self.snapshot.nearest(u64::from(self.settings.instance) + 1, 3 * n);
         let runners = looked_at(self.ready.len(), self.ready.len()).max(3 * n);
         self.of_kind = (0..self.settings.classes.len()).map(|class| self.runners(class, runners)).collect();
         let known: Vec<WorkerId> = self.near.iter().chain(self.of_kind.iter().flatten()).copied().collect();
@@ -87,10 +90,10 @@
     /// Where to go with a class that only one kind of worker runs, if the set has none of those: the nearest
     /// of that kind.
     fn runners(&self, class: usize, most: usize) -> Vec<WorkerId> {
-        if self.settings.classes[class].kind.is_none() {
+        if self.settings.classes[class].worker_kind.is_none() {
             return Vec::new();
         }
-        self.snapshot.nearest_of(u64::from(self.settings.me) + 1, most, |&id| self.runs(id, class))
+        self.snapshot.nearest_of(u64::from(self.settings.instance) + 1, most, |&id| self.runs(id, class))
     }
 
     /// Chooses the workers that this dispatcher works with: the paper's top N, made narrow. Each one has
@@ -122,7 +125,7 @@
 
     /// A worker's size. All would move in step with a late rating: its kind's largest stands for it.
     pub(super) fn size(&self, w: &Worker) -> f64 {
-        w.entry.rating.max(self.kinds[w.entry.kind].size)
+        w.entry.weight.max(self.kinds[w.entry.kind].size)
     }
 
     pub(super) fn kind(&self, w: &Worker) -> Kind {
--- a/crates/dispatcher/src/dispatcher/health.rs
+++ b/crates/dispatcher/src/dispatcher/health.rs
@@ -35,7 +35,7 @@
                 self.estimate(id);
                 self.stale.fill(true);
             }
-            Outcome::Moot | Outcome::Unusable => {}
+            Outcome::NotSent | Outcome::InvalidRequest => {}
             // A connection has broken, not a worker that lives: of one that has died the next connect tells.
             Outcome::Reset if self.worker(id).alive > now - LIFE => {}
             // The answer was lost, not the job: the worker has shown life after it should have ended.
@@ -48,9 +48,10 @@
                 let w = self.worker_mut(id);
                 w.wait[a.class] = (w.wait_now(a.class, now, 0.0).max((now - a.sent) as f64), now);
             }
-            Outcome::Full => {
-                let effect = self.settings.classes[a.class].effect;
-                let lossy = self.settings.rules.full_may_have_run && effect == Effect::Unsafe;
+            Outcome::Rejected => {
+                let effect = self.settings.classes[a.class].idempotency;
+                let lossy =
+                    self.settings.limits.rejection_may_have_run && effect == Idempotency::NotIdempotent;
                 // A full queue is taken to be longer than this job could have waited, fast as the answer was.
                 let w = self.worker_mut(id);
                 let longest = a.wanted.saturating_sub(now) as f64;
@@ -82,7 +83,7 @@
 
     /// Whether a worker is of the kind that runs this class.
     pub(super) fn runs(&self, id: WorkerId, class: usize) -> bool {
-        self.settings.classes[class].kind.is_none_or(|k| k == self.worker(id).entry.kind)
+        self.settings.classes[class].worker_kind.is_none_or(|k| k == self.worker(id).entry.kind)
     }
 
     /// Whether a worker runs this class and has not turned it away of late.
--- a/crates/dispatcher/src/dispatcher/permission.rs
+++ b/crates/dispatcher/src/dispatcher/permission.rs
@@ -10,9 +10,9 @@
 
     /// Until when the request may be sent; a link that comes up later must not carry it.
     pub(super) fn repeat_until(&self, r: &Request) -> Micros {
-        match (self.settings.classes[r.class].effect, r.ran) {
-            (Effect::Unsafe, Some(_)) => Micros::MIN,
-            (Effect::Keyed { window, .. }, Some((_, at))) => at.saturating_add(window),
+        match (self.settings.classes[r.class].idempotency, r.ran) {
+            (Idempotency::NotIdempotent, Some(_)) => Micros::MIN,
+            (Idempotency::Keyed { window, .. }, Some((_, at))) => at.saturating_add(window),
             _ => Micros::MAX,
         }
     }
@@ -23,7 +23,7 @@
         if !w.ready() || !self.may_try_again(r, now) {
             return false;
         }
-        if let Effect::Keyed { scope, .. } = self.settings.classes[r.class].effect
+        if let Idempotency::Keyed { scope, .. } = self.settings.classes[r.class].idempotency
             && let Some(first) = r.ran.map(|ran| ran.0).or(r.out.map(|out| out.0))
         {
             let (f, w) = (&self.worker(first).entry, &w.entry);
--- a/crates/dispatcher/src/dispatcher/prediction.rs
+++ b/crates/dispatcher/src/dispatcher/prediction.rs
@@ -48,11 +48,12 @@
     /// Whether a job sent now would likely start at once. One not yet started tells of a queue or a hang.
     pub(super) fn room(&self, id: WorkerId, now: Micros) -> bool {
         let w = self.worker(id);
-        if !self.settings.tells_start {
+        if !self.settings.reports_start {
             // Where reports tell of free slots no queue is begun: this one keeps to what others leave.
-            let share = self.kind(w).share.mean(1.0 / f64::from(self.settings.balancers.max(1)), PRIOR);
+            let share = self.kind(w).share.mean(1.0 / f64::from(self.settings.instances.max(1)), PRIOR);
             let most = (self.kind(w).slots.max(self.size(w)) * share).max(1.0);
-            return now >= w.trial_at && (self.settings.report.free_slots.is_none() || w.out() + 1.0 <= most);
+            return now >= w.trial_at
+                && (self.settings.report_fields.free_slots.is_none() || w.out() + 1.0 <= most);
         }
         let running: f64 = w.in_flight.iter().filter(|a| a.started.is_some()).map(|a| a.width).sum();
         now >= w.trial_at
@@ -64,15 +65,16 @@
     /// always go is beyond this one's part of the slots. It is late and the same to all: for two drawn alone.
     pub(super) fn others(&self, r: &Request, id: WorkerId, now: Micros) -> f64 {
         let w = self.worker(id);
-        let beyond = 1.0 - self.kind(w).slots / f64::from(self.settings.balancers.max(1));
-        let per_core = (self.size(w) / w.entry.rating.max(1e-6) - 1.0).max(0.0);
+        let beyond = 1.0 - self.kind(w).slots / f64::from(self.settings.instances.max(1));
+        let per_core = (self.size(w) / w.entry.weight.max(1e-6) - 1.0).max(0.0);
         per_core * beyond.max(0.0) * self.mean_size / self.penalised(w, r.class, now)
     }
 
     /// When a job sent now would end, where a crossing that has a price counts as so much time.
     pub(super) fn ends(&self, r: &Request, id: WorkerId, now: Micros) -> f64 {
         let crosses = self.worker(id).entry.zone != self.settings.zone;
-        let price = if crosses { self.settings.prices.crossing * CROSSING * self.mean_size } else { 0.0 };
+        let price =
+            if crosses { self.settings.penalties.cross_zone * CROSSING * self.mean_size } else { 0.0 };
         self.predicted(r, id, now).0 + price
     }
 
--- a/crates/dispatcher/src/dispatcher/requests.rs
+++ b/crates/dispatcher/src/dispatcher/requests.rs
@@ -13,31 +13,35 @@
     pub(super) fn on_arrival(&mut self, now: Micros, a: Arrival, actions: &mut Vec<Action>) {
         let class = a.class.min(self.settings.classes.len() - 1);
         let spec = &self.settings.classes[class];
-        let hint = a.hint.filter(|&h| h > 0).map(|h| h as f64);
+        let hint = a.work_hint.filter(|&h| h > 0).map(|h| h as f64);
         let size = hint.unwrap_or(self.s_max.max(1.0)).min(1e12);
         // A client's further tries count from its first, by `due`; one that marks none may be in a hurry.
-        self.try_length[class] = self.try_length[class].max(a.due.saturating_sub(now));
-        let first = self.settings.marks_retry && !a.resent;
-        let origin = if first { now } else { now.min(a.due.saturating_sub(self.try_length[class])) };
-        let aim = origin.saturating_add(spec.aim).saturating_add((spec.stretch * size) as Micros).min(a.due);
-        let wanted = if spec.late_worth > 0.0 { a.due } else { aim };
+        self.try_length[class] = self.try_length[class].max(a.deadline.saturating_sub(now));
+        let first = self.settings.marks_retry && !a.is_retry;
+        let origin = if first { now } else { now.min(a.deadline.saturating_sub(self.try_length[class])) };
+        let aim = origin
+            .saturating_add(spec.latency_objective)
+            .saturating_add((spec.objective_stretch * size) as Micros)
+            .min(a.deadline);
+        let wanted = if spec.late_fraction > 0.0 { a.deadline } else { aim };
         let request = Request {
             class,
             size,
-            key: a.key,
+            key: a.affinity_key,
             hinted: hint.is_some(),
-            width: if a.width.is_finite() { a.width.clamp(0.0, 1024.0) } else { 1.0 },
-            due: a.due,
+            width: if a.slots.is_finite() { a.slots.clamp(0.0, 1024.0) } else { 1.0 },
+            due: a.deadline,
             aim,
             wanted,
-            spent: !a.sendable,
+            spent: !a.body_sendable,
             ..Request::default()
         };
         self.requests.insert(a.request, request);
-        self.recent.push_back(a.key);
+        self.recent.push_back(a.affinity_key);
         self.recent.drain(..self.recent.len().saturating_sub(SHARE_HISTORY));
         self.note_arrival(now, size);
-        self.repeats = (self.repeats + (REPEATS - self.settings.prices.waste).max(0.0)).min(REPEATS_MOST);
+        self.repeats =
+            (self.repeats + (REPEATS - self.settings.penalties.wasted_work).max(0.0)).min(REPEATS_MOST);
         self.place(now, a.request, actions);
     }
 
@@ -75,7 +79,7 @@
         w.keys.sent(key, kept);
         w.in_flight.push(Attempt { request, number, class, size, width, sent: now, wanted, started });
         w.cold = (debt, now);
-        actions.push(Action::Send { request, worker, timeout: 0, before });
+        actions.push(Action::Send { request, worker, timeout: 0, send_by: before });
         self.check_at(id, check);
     }
 
@@ -117,10 +121,11 @@
             return self.forget(id, to);
         }
         let Some(r) = self.requests.get_mut(&id).filter(|_| last) else { return };
-        let unseen = matches!(outcome, Outcome::ConnectFailed | Outcome::Moot);
-        let never_ran = unseen || outcome == Outcome::Full && !self.settings.rules.full_may_have_run;
+        let unseen = matches!(outcome, Outcome::ConnectFailed | Outcome::NotSent);
+        let never_ran =
+            unseen || outcome == Outcome::Rejected && !self.settings.limits.rejection_may_have_run;
         r.ran = r.ran.or((!never_ran).then_some((worker, now - took)));
-        if matches!(outcome, Outcome::Moot | Outcome::Unusable) || now >= r.due {
+        if matches!(outcome, Outcome::NotSent | Outcome::InvalidRequest) || now >= r.due {
             self.give_up(id, to);
         } else {
             self.place(now, id, to);
@@ -130,12 +135,13 @@
     /// Ends a request without an answer from a worker: a refusal where that is harmless, else a failure.
     pub(super) fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&id) else { return };
-        let effect = self.settings.classes[r.class].effect;
+        let effect = self.settings.classes[r.class].idempotency;
         // What can't be sent again is refused only where it never ran, so that a failure is told as one.
-        let again = matches!(effect, Effect::Safe | Effect::Keyed { scope: Scope::All, .. }) && !r.spent;
+        let again = matches!(effect, Idempotency::Idempotent | Idempotency::Keyed { scope: Scope::All, .. })
+            && !r.spent;
         let refuse = again || r.out.is_none() && r.ran.is_none();
         let (request, retry_after) = (id, self.settings.limits.max_retry_after);
-        actions.push(if refuse { Action::Refuse { request, retry_after } } else { Action::Fail { request } });
+        actions.push(if refuse { Action::Reject { request, retry_after } } else { Action::Fail { request } });
         self.forget(id, actions);
     }
 
--- a/crates/dispatcher/src/dispatcher/selection.rs
+++ b/crates/dispatcher/src/dispatcher/selection.rs
@@ -25,7 +25,7 @@
         let others = self.recent.iter().filter(|&&k| k == key).count().saturating_sub(1);
         let share = others as f64 / self.recent.len().max(SHARE_HISTORY / 5) as f64;
         let n = (HOMES * share * self.beyond * ZONE).ceil().max(1.0) as usize;
-        let (order, is_new) = self.snapshot.homes(key, n, u64::from(self.settings.me) + 1);
+        let (order, is_new) = self.snapshot.homes(key, n, u64::from(self.settings.instance) + 1);
         let order = order.to_vec();
         if is_new {
             order.iter().for_each(|&worker| self.estimate(worker));
@@ -47,7 +47,8 @@
         let legal: Vec<WorkerId> = order.filter(|&w| self.may_send(r, w, now)).collect();
         let untried: Vec<WorkerId> = legal.iter().copied().filter(|w| !r.tried.contains(w)).collect();
         let fresh = if untried.is_empty() { legal } else { untried };
-        let first = self.settings.classes[r.class].effect != Effect::Unsafe && r.attempts == 0;
+        let first =
+            self.settings.classes[r.class].idempotency != Idempotency::NotIdempotent && r.attempts == 0;
         if first && let Some(&w) = fresh.iter().find(|&&w| self.trial_due(r, w, now)) {
             return Some(w);
         }
--- a/crates/dispatcher/src/dispatcher/slow_start.rs
+++ b/crates/dispatcher/src/dispatcher/slow_start.rs
@@ -22,7 +22,7 @@
             return true;
         }
         let (capacity, rate) = self.cold_rate(id, now);
-        let fall = self.settings.rules.fall as f64;
+        let fall = self.settings.slow_start.overload_window as f64;
         let debt = self.cold_debt(id, now);
         // What it has not got through yet says that it can do less than that.
         let behind =
@@ -45,13 +45,13 @@
     /// send, by how many have it among their N. What its size carries shows in this one's own work.
     pub(super) fn cold_rate(&self, id: WorkerId, now: Micros) -> (f64, f64) {
         let w = self.worker(id);
-        let rules = &self.settings.rules;
-        let all = f64::from(self.settings.balancers);
+        let rules = &self.settings.slow_start;
+        let all = f64::from(self.settings.instances);
         let carried = all * self.mean_size / self.gap.max(1.0) * self.size(w) / self.ratings.max(1e-9);
         let capacity = carried * self.warmth(w, now);
         let chance = if self.set.contains(&id) { self.per_weight * self.weight(id, now) } else { 1.0 };
         let holders = (all * chance.min(1.0)).max(1.0);
         let share = COLD_SHARE - COLD_FEW / (holders + 2.0);
-        (capacity, capacity * rules.fall_multiple * share / holders)
+        (capacity, capacity * rules.overload_factor * share / holders)
     }
 }
--- a/crates/dispatcher/src/dispatcher/state.rs
+++ b/crates/dispatcher/src/dispatcher/state.rs
@@ -23,7 +23,7 @@
 /// What this dispatcher knows of a worker.
 #[derive(Default)]
 pub(super) struct Worker {
-    pub(super) entry: Entry,
+    pub(super) entry: WorkerEntry,
     pub(super) epc: Vec<Epc>,
     pub(super) c: Vec<f64>,
     pub(super) timeouts: u32,
--- a/crates/dispatcher/src/dispatcher/timeouts.rs
+++ b/crates/dispatcher/src/dispatcher/timeouts.rs
@@ -20,8 +20,8 @@
             let at = self.latest_start(id);
             return if now >= at { self.give_up(id, actions) } else { self.check_at(id, at) };
         };
-        let safe = self.settings.classes[r.class].effect != Effect::Unsafe;
-        let may = self.settings.limits.cancel && self.settings.tells_start && !r.cancelled;
+        let safe = self.settings.classes[r.class].idempotency != Idempotency::NotIdempotent;
+        let may = self.settings.limits.cancel && self.settings.reports_start && !r.cancelled;
         let (again, w) = (may && safe && self.may_try_again(r, now), self.worker(worker));
         let out = w.unstarted().find(|a| a.request == id && a.number == number);
         let Some(a) = out.filter(|_| again) else { return };
@@ -54,7 +54,7 @@
         if let Some(&(at, _)) = self.checks.first().filter(|c| c.0 < self.armed) {
             self.armed = at;
             let delay = (at - now).clamp(self.settings.tick.max(1), 3_600_000_000);
-            actions.push(Action::Timer { delay, token: CHECK });
+            actions.push(Action::SetTimer { delay, token: CHECK });
         }
     }
 }
--- a/crates/dispatcher/src/interface.rs
+++ b/crates/dispatcher/src/interface.rs
@@ -26,9 +26,9 @@
 
 /// What a repeat of a request would do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// A repeat is harmless.
-    Safe,
+    Idempotent,
     /// Repeats are dropped by the workers in `scope` for `window` after the first send.
     Keyed {
         /// The workers that drop a repeat.
@@ -38,26 +38,26 @@
     },
     /// A repeat takes effect again.
     #[default]
-    Unsafe,
+    NotIdempotent,
 }
 
 /// A request class.
 #[derive(Clone, Debug, Default)]
 pub struct Class {
     /// What a repeat would do.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// An answer is wanted within this time...
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// ...plus this multiple of the job's own running time.
-    pub stretch: f64,
+    pub objective_stretch: f64,
     /// How long the client waits over all of its tries.
     pub deadline: Micros,
     /// The worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The share of the worth that a late answer keeps.
-    pub late_worth: f64,
+    pub late_fraction: f64,
     /// The one kind of worker that runs it, if not all do.
-    pub kind: Option<usize>,
+    pub worker_kind: Option<usize>,
 }
 
 /// What the site permits.
@@ -66,7 +66,7 @@
     /// Attempts a request may have.
     pub max_attempts: u32,
     /// A request may have two attempts outstanding.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Attempts may be cancelled.
     pub cancel: bool,
     /// Workers may be probed.
@@ -75,30 +75,30 @@
     pub max_retry_after: Micros,
     /// A connection not made within this time has failed.
     pub connect_timeout: Micros,
+    /// A worker's rejection does not prove that the attempt never ran.
+    pub rejection_may_have_run: bool,
 }
 
 /// The figures of the rules.
 #[derive(Clone, Debug, Default)]
-pub struct RuleFigures {
+pub struct SlowStartRules {
     /// A starting worker has at least this share of its capacity...
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// ...and is warm after this at most.
-    pub cold: Micros,
+    pub duration: Micros,
     /// Sent more than this multiple of its present capacity...
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// ...over this window, a cold worker falls over.
-    pub fall: Micros,
-    /// A "full" answer does not prove that the attempt never ran.
-    pub full_may_have_run: bool,
+    pub overload_window: Micros,
 }
 
 /// What the operators take off the worth served, as shares of it.
 #[derive(Clone, Debug, Default)]
-pub struct Prices {
+pub struct Penalties {
     /// For work that served no answer, as much as was asked for.
-    pub waste: f64,
+    pub wasted_work: f64,
     /// For attempts that cross zones, as a share of the requests.
-    pub crossing: f64,
+    pub cross_zone: f64,
 }
 
 /// Where a report value stands in a load report.
@@ -114,35 +114,35 @@
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// The number of this dispatcher among those that share the workers, from 0.
-    pub me: u32,
+    pub instance: u32,
     /// Dispatchers that share the workers.
-    pub balancers: u32,
+    pub instances: u32,
     /// The zone this dispatcher is in.
     pub zone: usize,
     /// How many kinds of machine there are.
-    pub kinds: usize,
+    pub worker_kinds: usize,
     /// The request classes.
     pub classes: Vec<Class>,
     /// What the site permits.
     pub limits: Limits,
     /// The figures of the rules.
-    pub rules: RuleFigures,
+    pub slow_start: SlowStartRules,
     /// What is taken off the worth served.
-    pub prices: Prices,
+    pub penalties: Penalties,
     /// Clients mark their repeats.
     pub marks_retry: bool,
     /// The worker list must be asked for.
-    pub subscribe: bool,
+    pub polls_discovery: bool,
     /// Workers tell when a job starts.
-    pub tells_start: bool,
+    pub reports_start: bool,
     /// Workers tell a job's progress at this interval; 0 when they don't.
-    pub progress: Micros,
+    pub progress_interval: Micros,
     /// Events come no more often than this.
     pub tick: Micros,
     /// The ratings in the list are sizes lowered by what the workers held, at some earlier time.
-    pub live_weights: bool,
+    pub weights_include_load: bool,
     /// What a load report holds.
-    pub report: ReportFields,
+    pub report_fields: ReportFields,
 }
 
 /// What the worker list says of a worker's process.
@@ -159,15 +159,15 @@
 
 /// A line of the worker list.
 #[derive(Clone, Debug, Default)]
-pub struct Entry {
+pub struct WorkerEntry {
     /// The worker.
     pub worker: WorkerId,
     /// A number drawn from its name, the same at every dispatcher; it only spreads, and means nothing.
-    pub key: u64,
+    pub name_hash: u64,
     /// The state of its process.
     pub lifecycle: Lifecycle,
     /// When it last started; 0 when that is long ago.
-    pub born: Micros,
+    pub started_at: Micros,
     /// Its kind of machine.
     pub kind: usize,
     /// Its zone.
@@ -175,18 +175,18 @@
     /// Its cell.
     pub cell: u64,
     /// Its size beside that of others.
-    pub rating: f64,
+    pub weight: f64,
 }
 
 /// How a piece of the worker list reads.
 #[derive(Clone, Debug)]
-pub enum Members {
+pub enum WorkerListUpdate {
     /// Changed lines only.
-    Delta(Vec<Entry>),
+    Delta(Vec<WorkerEntry>),
     /// The complete list; a worker not in it is gone.
-    Full(Vec<Entry>),
+    Full(Vec<WorkerEntry>),
     /// The complete list as held at the start, perhaps out of date.
-    Cached(Vec<Entry>),
+    Cached(Vec<WorkerEntry>),
     /// A call for the list failed, or the watch on it broke.
     Failed,
 }
@@ -199,7 +199,7 @@
     /// The worker answered with an error; it may have run.
     Error,
     /// Rejected unseen.
-    Full,
+    Rejected,
     /// No answer in time; it may have run.
     Timeout,
     /// No connection; never ran.
@@ -209,9 +209,9 @@
     /// Withdrawn; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
     /// The job itself can't be used: that says nothing of the worker, and no other would take it.
-    Unusable,
+    InvalidRequest,
 }
 
 /// A request as it arrives.
@@ -222,28 +222,28 @@
     /// Its class; one out of range is treated as unsafe.
     pub class: usize,
     /// When the client gives this try up.
-    pub due: Micros,
+    pub deadline: Micros,
     /// Its expected running time on a standard core, if known.
-    pub hint: Option<Micros>,
+    pub work_hint: Option<Micros>,
     /// The slots it takes.
-    pub width: f64,
+    pub slots: f64,
     /// The client marks it as a repeat.
-    pub resent: bool,
+    pub is_retry: bool,
     /// A number drawn from what it is about, the same at every dispatcher; 0 where that is not told.
-    pub key: u64,
+    pub affinity_key: u64,
     /// Its body can be sent: false where it could not be kept and such are refused.
-    pub sendable: bool,
+    pub body_sendable: bool,
 }
 
 /// What happens to a dispatcher.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// News of the worker list.
-    Members(Members),
+    WorkerList(WorkerListUpdate),
     /// A request has arrived.
     Arrival(Arrival),
     /// A job has started.
-    Started {
+    AttemptStarted {
         /// The request.
         request: RequestId,
         /// The attempt.
@@ -252,7 +252,7 @@
         worker: WorkerId,
     },
     /// A running job tells how far it is.
-    Progress {
+    AttemptProgress {
         /// The request.
         request: RequestId,
         /// The attempt.
@@ -263,7 +263,7 @@
         share: f64,
     },
     /// An attempt ended.
-    Outcome {
+    AttemptEnded {
         /// The request.
         request: RequestId,
         /// The attempt.
@@ -273,14 +273,14 @@
         /// How it ended.
         outcome: Outcome,
         /// The time since it was sent.
-        took: Micros,
+        elapsed: Micros,
         /// The request has its final answer.
-        closed: bool,
+        request_concluded: bool,
         /// The worker's load report; empty when none came.
-        report: Vec<f64>,
+        load_report: Vec<f64>,
     },
     /// The answer of a streamed class has begun: neither time-out nor deadline runs any longer.
-    Streaming {
+    ResponseStreaming {
         /// The request.
         request: RequestId,
         /// The attempt.
@@ -290,7 +290,7 @@
     },
     /// The last byte of an attempt with a long body was written: until now the worker waited for the job, not the
     /// job for the worker.
-    Written {
+    RequestSent {
         /// The request.
         request: RequestId,
         /// The attempt.
@@ -299,17 +299,17 @@
         worker: WorkerId,
     },
     /// A part of its body that is not kept was passed on to a worker: no further attempt is possible.
-    PassedOn(RequestId),
+    BodyConsumed(RequestId),
     /// The client has left; nothing more is owed.
-    Lapsed(RequestId),
+    ClientDisconnected(RequestId),
     /// A probe ended.
-    Probed {
+    ProbeEnded {
         /// The worker.
         worker: WorkerId,
         /// How it ended.
         outcome: Outcome,
         /// The worker's load report; empty when none came.
-        report: Vec<f64>,
+        load_report: Vec<f64>,
     },
     /// A timer that the dispatcher set has fallen due.
     Timer(u64),
@@ -327,7 +327,7 @@
         /// The time-out of this attempt; 0: until the client gives up.
         timeout: Micros,
         /// From this moment on it must not be sent any more: what drops a repeat forgets the request then.
-        before: Micros,
+        send_by: Micros,
     },
     /// Stop waiting for an attempt.
     Cancel {
@@ -337,7 +337,7 @@
         attempt: u32,
     },
     /// Final answer: not done, and trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// How long the client ought to stay away; 0: no advice.
@@ -354,63 +354,63 @@
         worker: WorkerId,
     },
     /// Ask for a [`Event::Timer`].
-    Timer {
+    SetTimer {
         /// The time from now.
         delay: Micros,
         /// Comes back with the event.
         token: u64,
     },
     /// Ask for the list's changes from now on.
-    Watch,
+    WatchWorkerList,
     /// Leave a line for the operators.
     Log(String),
 }
 
 /// How a dispatcher regards a worker in its list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Regard {
+pub enum WorkerStatus {
     /// Work goes to it.
-    Used,
+    Available,
     /// The list says that it takes nothing new.
     Draining,
     /// It has failed of late, and gets no more than a trial.
-    Failed,
+    Ejected,
     /// It has turned away each class that it runs.
-    Full,
+    Saturated,
 }
 
 /// How a dispatcher regards the workers in its list, counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Census {
+pub struct WorkerCounts {
     /// All in the list.
     pub known: u64,
     /// Those that the list says take nothing new.
     pub draining: u64,
     /// Those that have failed of late.
-    pub failed: u64,
+    pub ejected: u64,
     /// Those that have turned away each class that they run.
-    pub full: u64,
+    pub saturated: u64,
 }
 
-impl Census {
+impl WorkerCounts {
     /// Those that are avoided.
-    pub fn skipped(&self) -> u64 {
-        self.draining + self.failed + self.full
+    pub fn unavailable(&self) -> u64 {
+        self.draining + self.ejected + self.saturated
     }
 }
 
-impl FromIterator<Regard> for Census {
-    fn from_iter<I: IntoIterator<Item = Regard>>(regards: I) -> Census {
-        let mut census = Census::default();
-        for regard in regards {
-            census.known += 1;
-            match regard {
-                Regard::Used => {}
-                Regard::Draining => census.draining += 1,
-                Regard::Failed => census.failed += 1,
-                Regard::Full => census.full += 1,
+impl FromIterator<WorkerStatus> for WorkerCounts {
+    fn from_iter<I: IntoIterator<Item = WorkerStatus>>(regards: I) -> WorkerCounts {
+        let mut worker_counts = WorkerCounts::default();
+        for worker_status in regards {
+            worker_counts.known += 1;
+            match worker_status {
+                WorkerStatus::Available => {}
+                WorkerStatus::Draining => worker_counts.draining += 1,
+                WorkerStatus::Ejected => worker_counts.ejected += 1,
+                WorkerStatus::Saturated => worker_counts.saturated += 1,
             }
         }
-        census
+        worker_counts
     }
 }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -7,66 +7,66 @@
 //! use sorrelhaven_dispatcher::*;
 //!
 //! let settings = Settings {
-//!     me: 0,
-//!     balancers: 1,
+//!     instance: 0,
+//!     instances: 1,
 //!     zone: 0,
-//!     kinds: 1,
+//!     worker_kinds: 1,
 //!     classes: vec![Class {
-//!         effect: Effect::Safe,
-//!         aim: 100_000,
-//!         stretch: 2.0,
+//!         idempotency: Idempotency::Idempotent,
+//!         latency_objective: 100_000,
+//!         objective_stretch: 2.0,
 //!         deadline: 5_000_000,
-//!         worth: 1.0,
-//!         late_worth: 0.0,
-//!         kind: None,
+//!         priority_weight: 1.0,
+//!         late_fraction: 0.0,
+//!         worker_kind: None,
 //!     }],
 //!     limits: Limits {
 //!         max_attempts: 3,
-//!         second_copies: false,
+//!         hedging: false,
 //!         cancel: true,
 //!         probes: false,
 //!         max_retry_after: 1_000_000,
 //!         connect_timeout: 250_000,
+//!         rejection_may_have_run: false,
 //!     },
-//!     rules: RuleFigures {
-//!         cold_from: 0.2,
-//!         cold: 10_000_000,
-//!         fall_multiple: 3.0,
-//!         fall: 2_000_000,
-//!         full_may_have_run: false,
+//!     slow_start: SlowStartRules {
+//!         initial_capacity: 0.2,
+//!         duration: 10_000_000,
+//!         overload_factor: 3.0,
+//!         overload_window: 2_000_000,
 //!     },
-//!     prices: Prices::default(),
+//!     penalties: Penalties::default(),
 //!     marks_retry: false,
-//!     subscribe: false,
-//!     tells_start: true,
-//!     progress: 0,
+//!     polls_discovery: false,
+//!     reports_start: true,
+//!     progress_interval: 0,
 //!     tick: 1_000,
-//!     live_weights: false,
-//!     report: ReportFields::default(),
+//!     weights_include_load: false,
+//!     report_fields: ReportFields::default(),
 //! };
 //! let mut dispatcher = Dispatcher::new(settings, 7);
 //! let mut actions = Vec::new();
 //! let worker = WorkerId(0);
-//! let entry = Entry {
+//! let entry = WorkerEntry {
 //!     worker,
-//!     key: 99,
+//!     name_hash: 99,
 //!     lifecycle: Lifecycle::Ready,
-//!     born: 0,
+//!     started_at: 0,
 //!     kind: 0,
 //!     zone: 0,
 //!     cell: 0,
-//!     rating: 1.0,
+//!     weight: 1.0,
 //! };
-//! dispatcher.handle(0, Event::Members(Members::Full(vec![entry])), &mut actions);
+//! dispatcher.handle(0, Event::WorkerList(WorkerListUpdate::Full(vec![entry])), &mut actions);
 //! let arrival = Arrival {
 //!     request: RequestId(1),
 //!     class: 0,
-//!     due: 5_001_000,
-//!     hint: Some(40_000),
-//!     width: 1.0,
-//!     resent: false,
-//!     key: 0,
-//!     sendable: true,
+//!     deadline: 5_001_000,
+//!     work_hint: Some(40_000),
+//!     slots: 1.0,
+//!     is_retry: false,
+//!     affinity_key: 0,
+//!     body_sendable: true,
 //! };
 //! dispatcher.handle(1_000, Event::Arrival(arrival), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { worker: WorkerId(0), .. })));
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -6,67 +6,90 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 
-pub fn class(effect: Effect) -> Class {
-    Class { effect, aim: 200 * MS, stretch: 2.5, deadline: 5 * S, worth: 1.0, late_worth: 0.0, kind: None }
+pub fn class(effect: Idempotency) -> Class {
+    Class {
+        idempotency: effect,
+        latency_objective: 200 * MS,
+        objective_stretch: 2.5,
+        deadline: 5 * S,
+        priority_weight: 1.0,
+        late_fraction: 0.0,
+        worker_kind: None,
+    }
 }
 
-pub fn keyed(scope: Scope) -> Effect {
-    Effect::Keyed { scope, window: 3 * S }
+pub fn keyed(scope: Scope) -> Idempotency {
+    Idempotency::Keyed { scope, window: 3 * S }
 }
 
 /// Class 0 is safe, 1 unsafe, 2 keyed within a zone, 3 keyed everywhere, 4 keyed within a cell.
 pub fn settings() -> Settings {
     Settings {
-        me: 0,
-        balancers: 2,
+        instance: 0,
+        instances: 2,
         zone: 0,
-        kinds: 2,
-        classes: [Effect::Safe, Effect::Unsafe, keyed(Scope::Zone), keyed(Scope::All), keyed(Scope::Cell)]
-            .map(class)
-            .to_vec(),
+        worker_kinds: 2,
+        classes: [
+            Idempotency::Idempotent,
+            Idempotency::NotIdempotent,
+            keyed(Scope::Zone),
+            keyed(Scope::All),
+            keyed(Scope::Cell),
+        ]
+        .map(class)
+        .to_vec(),
         limits: Limits {
             max_attempts: 3,
-            second_copies: false,
+            hedging: false,
             cancel: true,
             probes: false,
             max_retry_after: 2 * S,
             connect_timeout: 250 * MS,
+            rejection_may_have_run: false,
         },
-        rules: RuleFigures {
-            cold_from: 0.2,
-            cold: 10 * S,
-            fall_multiple: 3.0,
-            fall: 2 * S,
-            full_may_have_run: false,
+        slow_start: SlowStartRules {
+            initial_capacity: 0.2,
+            duration: 10 * S,
+            overload_factor: 3.0,
+            overload_window: 2 * S,
         },
-        prices: Prices::default(),
+        penalties: Penalties::default(),
         marks_retry: true,
-        subscribe: false,
-        tells_start: true,
-        progress: 0,
+        polls_discovery: false,
+        reports_start: true,
+        progress_interval: 0,
         tick: MS,
-        live_weights: false,
-        report: ReportFields::default(),
+        weights_include_load: false,
+        report_fields: ReportFields::default(),
     }
 }
 
-pub fn entry(n: u32) -> Entry {
-    Entry {
+pub fn entry(n: u32) -> WorkerEntry {
+    WorkerEntry {
         worker: WorkerId(n),
-        key: u64::from(n) * 7919 % 101,
+        name_hash: u64::from(n) * 7919 % 101,
         lifecycle: Lifecycle::Ready,
-        born: 0,
+        started_at: 0,
         kind: 0,
         zone: (n % 2) as usize,
         cell: u64::from(n % 3),
-        rating: 1.0,
+        weight: 1.0,
     }
 }
 
 /// A first try without a key, whose body can be sent again.
 pub fn arrival(request: RequestId, class: usize, due: Micros, hint: Micros) -> Arrival {
     let (hint, width) = (Some(hint), 1.0);
-    Arrival { request, class, due, hint, width, resent: false, key: 0, sendable: true }
+    Arrival {
+        request,
+        class,
+        deadline: due,
+        work_hint: hint,
+        slots: width,
+        is_retry: false,
+        affinity_key: 0,
+        body_sendable: true,
+    }
 }
 
 /// A dispatcher with its host's side of the story.
@@ -78,7 +101,7 @@
 impl Desk {
     pub fn new(settings: Settings, workers: u32) -> Self {
         let mut desk = Desk { dispatcher: Dispatcher::new(settings, 7), next: 0 };
-        desk.tell(0, Event::Members(Members::Full((0..workers).map(entry).collect())));
+        desk.tell(0, Event::WorkerList(WorkerListUpdate::Full((0..workers).map(entry).collect())));
         desk
     }
 
@@ -108,19 +131,38 @@
     ) -> Vec<Action> {
         let (worker, attempt) = sent;
         let (closed, report) = (outcome == Outcome::Ok, Vec::new());
-        self.tell(now, Event::Outcome { request, attempt, worker, outcome, took: 10 * MS, closed, report })
+        self.tell(
+            now,
+            Event::AttemptEnded {
+                request,
+                attempt,
+                worker,
+                outcome,
+                elapsed: 10 * MS,
+                request_concluded: closed,
+                load_report: report,
+            },
+        )
     }
 
     /// Sends a job and has it served at `speed`; gives the worker that had it.
     pub fn serve(&mut self, now: Micros, hint: Micros, speed: impl Fn(WorkerId) -> f64) -> Option<WorkerId> {
         let (request, actions) = self.arrive(now, 0, hint);
         let worker = sends(&actions).first().map(|s| s.1)?;
-        self.tell(now + MS, Event::Started { request, attempt: 0, worker });
+        self.tell(now + MS, Event::AttemptStarted { request, attempt: 0, worker });
         let took = (hint as f64 / speed(worker)) as Micros;
         let (outcome, report) = (Outcome::Ok, Vec::new());
         self.tell(
             now + took,
-            Event::Outcome { request, attempt: 0, worker, outcome, took, closed: true, report },
+            Event::AttemptEnded {
+                request,
+                attempt: 0,
+                worker,
+                outcome,
+                elapsed: took,
+                request_concluded: true,
+                load_report: report,
+            },
         );
         Some(worker)
     }
--- a/crates/dispatcher/tests/decisions.rs
+++ b/crates/dispatcher/tests/decisions.rs
@@ -38,7 +38,7 @@
     let mut desk = Desk::new(settings(), 3);
     let (request, actions) = desk.arrive(S, 1, 50 * MS);
     let worker = sends(&actions)[0].1;
-    let again = sends(&desk.end(S + 10 * MS, request, (worker, 0), Outcome::Full));
+    let again = sends(&desk.end(S + 10 * MS, request, (worker, 0), Outcome::Rejected));
     assert_eq!(again.len(), 1);
     assert_ne!(again[0].1, worker);
 }
@@ -52,7 +52,7 @@
         let (request, actions) = desk.arrive(i * S, 1, 50 * MS);
         let sent = sends(&actions);
         assert_eq!(sent.len(), 1, "the worker is as good as before");
-        let actions = desk.end(i * S + MS, request, (sent[0].1, 0), Outcome::Unusable);
+        let actions = desk.end(i * S + MS, request, (sent[0].1, 0), Outcome::InvalidRequest);
         assert_eq!(actions, [Action::Fail { request }]);
     }
 }
@@ -62,7 +62,16 @@
     let request = RequestId(desk.next);
     desk.next += 1;
     let (due, hint) = (now + 5 * S, Some(100 * MS));
-    let arrival = Arrival { request, class: 0, due, hint, width: 1.0, resent: false, key, sendable: true };
+    let arrival = Arrival {
+        request,
+        class: 0,
+        deadline: due,
+        work_hint: hint,
+        slots: 1.0,
+        is_retry: false,
+        affinity_key: key,
+        body_sendable: true,
+    };
     sends(&desk.tell(now, Event::Arrival(arrival))).first().map(|s| s.1)
 }
 
@@ -72,7 +81,7 @@
 fn a_key_has_one_home_at_all_dispatchers() {
     let home = |key: u64, seed: u64| {
         let mut desk = Desk { dispatcher: Dispatcher::new(settings(), seed), next: 0 };
-        desk.tell(0, Event::Members(Members::Full((0..12).map(entry).collect())));
+        desk.tell(0, Event::WorkerList(WorkerListUpdate::Full((0..12).map(entry).collect())));
         keyed_arrival(&mut desk, S, key).expect("an idle fleet")
     };
     let homes: Vec<WorkerId> = (1..60).map(|key| home(key, 1)).collect();
@@ -87,10 +96,10 @@
 fn a_home_is_of_the_kind_that_runs_the_class() {
     for key in 1..40 {
         let mut settings = settings();
-        settings.classes[0].kind = Some(1);
+        settings.classes[0].worker_kind = Some(1);
         let mut desk = Desk { dispatcher: Dispatcher::new(settings, 1), next: 0 };
-        let of = |n: u32| Entry { kind: n as usize % 2, ..entry(n) };
-        desk.tell(0, Event::Members(Members::Full((0..12).map(of).collect())));
+        let of = |n: u32| WorkerEntry { kind: n as usize % 2, ..entry(n) };
+        desk.tell(0, Event::WorkerList(WorkerListUpdate::Full((0..12).map(of).collect())));
         let worker = keyed_arrival(&mut desk, S, key).expect("an idle fleet");
         assert_eq!(worker.0 % 2, 1, "key {key} went to {worker:?}");
     }
@@ -111,7 +120,7 @@
         }
     }
     now += 30 * MS;
-    desk.tell(now, Event::Started { request: RequestId(desk.next - 1), attempt: 0, worker: other });
+    desk.tell(now, Event::AttemptStarted { request: RequestId(desk.next - 1), attempt: 0, worker: other });
     assert_eq!(keyed_arrival(&mut desk, now, 7), None, "it is held, though the other has begun its job");
     let actions = desk.end(now + 50 * MS, RequestId(0), (home, 0), Outcome::Ok);
     assert_eq!(sends(&actions), [(RequestId(desk.next - 1), home)]);
@@ -140,11 +149,11 @@
 #[test]
 fn full_that_may_have_run_is_no_proof() {
     let mut settings = settings();
-    settings.rules.full_may_have_run = true;
+    settings.limits.rejection_may_have_run = true;
     let mut desk = Desk::new(settings, 3);
     let (request, actions) = desk.arrive(S, 1, 50 * MS);
     let worker = sends(&actions)[0].1;
-    let actions = desk.end(S + 10 * MS, request, (worker, 0), Outcome::Full);
+    let actions = desk.end(S + 10 * MS, request, (worker, 0), Outcome::Rejected);
     assert!(actions.contains(&Action::Fail { request }));
 }
 
@@ -162,8 +171,8 @@
 #[test]
 fn a_draining_worker_gets_nothing_new() {
     let mut desk = Desk::new(settings(), 2);
-    let draining = Entry { lifecycle: Lifecycle::Draining, ..entry(0) };
-    desk.tell(S, Event::Members(Members::Delta(vec![draining])));
+    let draining = WorkerEntry { lifecycle: Lifecycle::Draining, ..entry(0) };
+    desk.tell(S, Event::WorkerList(WorkerListUpdate::Delta(vec![draining])));
     for i in 0..50 {
         let worker = desk.serve(2 * S + i * S, 50 * MS, |_| 1.0);
         assert_eq!(worker, Some(WorkerId(1)));
@@ -173,15 +182,15 @@
 #[test]
 fn a_cold_worker_is_held_to_its_budget() {
     let mut desk = Desk::new(settings(), 1);
-    let cold = Entry { born: 10 * S, ..entry(0) };
-    desk.tell(10 * S, Event::Members(Members::Delta(vec![cold])));
+    let cold = WorkerEntry { started_at: 10 * S, ..entry(0) };
+    desk.tell(10 * S, Event::WorkerList(WorkerListUpdate::Delta(vec![cold])));
     let mut cost = 0;
     for i in 0..100 {
         let now = 10 * S + i * 10 * MS;
         let (request, actions) = desk.arrive(now, 0, 40 * MS);
         if let Some(&(_, worker)) = sends(&actions).iter().find(|s| s.0 == request) {
             cost += 40 * MS;
-            desk.tell(now + MS, Event::Started { request, attempt: 0, worker });
+            desk.tell(now + MS, Event::AttemptStarted { request, attempt: 0, worker });
         }
     }
     // One core of speed 1 at a fifth: three times that over two seconds, of which this dispatcher has half.
@@ -192,10 +201,10 @@
 fn with_no_worker_a_request_is_refused_before_its_aim() {
     let mut desk = Desk::new(settings(), 0);
     let (request, actions) = desk.arrive(S, 1, 100 * MS);
-    let Some(&Action::Timer { delay, token }) = actions.first() else { panic!("no timer: {actions:?}") };
+    let Some(&Action::SetTimer { delay, token }) = actions.first() else { panic!("no timer: {actions:?}") };
     assert!(delay <= 450 * MS);
     let actions = desk.tell(S + delay, Event::Timer(token));
-    assert!(actions.iter().any(|a| matches!(a, Action::Refuse { request: r, .. } if *r == request)));
+    assert!(actions.iter().any(|a| matches!(a, Action::Reject { request: r, .. } if *r == request)));
 }
 
 /// Incident ica2d10: jobs were sent again and again into full queues.
@@ -204,7 +213,7 @@
     let mut desk = Desk::new(settings(), 1);
     let (request, actions) = desk.arrive(S, 0, 50 * MS);
     assert_eq!(sends(&actions).len(), 1);
-    let again = sends(&desk.end(S + 10 * MS, request, (WorkerId(0), 0), Outcome::Full));
+    let again = sends(&desk.end(S + 10 * MS, request, (WorkerId(0), 0), Outcome::Rejected));
     assert!(again.is_empty());
     assert!(sends(&desk.arrive(S + 20 * MS, 0, 50 * MS).1).is_empty());
     assert_eq!(sends(&desk.arrive(S + 2 * S, 0, 50 * MS).1).len(), 1, "and is tried again later");
@@ -215,7 +224,7 @@
 fn a_trial_fits_the_queue_that_a_full_answer_tells_of() {
     let mut desk = Desk::new(settings(), 1);
     let (request, _) = desk.arrive(S, 0, 100 * MS);
-    desk.end(S + 10 * MS, request, (WorkerId(0), 0), Outcome::Full);
+    desk.end(S + 10 * MS, request, (WorkerId(0), 0), Outcome::Rejected);
     let tight = desk.arrive(S + 600 * MS, 0, 10 * MS);
     assert!(sends(&tight.1).is_empty(), "too little time for the queue");
     let patient = desk.arrive(S + 610 * MS, 0, 400 * MS);
@@ -240,7 +249,7 @@
             actions.extend(desk.arrive(now, 1, (600 - tick % 500) * MS).1);
         }
         for action in actions {
-            if let Action::Timer { delay, token } = action {
+            if let Action::SetTimer { delay, token } = action {
                 count += 1;
                 timers.push((now + delay, token));
             }
@@ -256,7 +265,7 @@
     let (request, actions) = desk.arrive(S, 0, 200 * MS);
     let worker = sends(&actions)[0].1;
     let mut timer = actions.iter().find_map(|a| match a {
-        Action::Timer { delay, token } => Some((S + delay, *token)),
+        Action::SetTimer { delay, token } => Some((S + delay, *token)),
         _ => None,
     });
     while let Some((now, token)) = timer.take() {
@@ -269,7 +278,7 @@
             return;
         }
         timer = actions.iter().find_map(|a| match a {
-            Action::Timer { delay, token } => Some((now + delay, *token)),
+            Action::SetTimer { delay, token } => Some((now + delay, *token)),
             _ => None,
         });
     }
@@ -279,16 +288,19 @@
 #[test]
 fn a_broken_watch_is_renewed_with_backoff() {
     let mut settings = settings();
-    settings.subscribe = true;
+    settings.polls_discovery = true;
     let mut desk = Desk::new(settings, 0);
-    assert!(desk.tell(0, Event::Members(Members::Cached(vec![entry(0)]))).contains(&Action::Watch));
+    assert!(
+        desk.tell(0, Event::WorkerList(WorkerListUpdate::Cached(vec![entry(0)])))
+            .contains(&Action::WatchWorkerList)
+    );
     let mut last = 0;
     for _ in 0..4 {
-        let actions = desk.tell(S, Event::Members(Members::Failed));
-        let Some(&Action::Timer { delay, token }) = actions.first() else { panic!("no timer") };
+        let actions = desk.tell(S, Event::WorkerList(WorkerListUpdate::Failed));
+        let Some(&Action::SetTimer { delay, token }) = actions.first() else { panic!("no timer") };
         assert!(delay > last);
         last = delay;
-        assert!(desk.tell(S + delay, Event::Timer(token)).contains(&Action::Watch));
+        assert!(desk.tell(S + delay, Event::Timer(token)).contains(&Action::WatchWorkerList));
     }
 }
 
@@ -299,7 +311,7 @@
     for me in 0..100 {
         let mut mine = std::collections::BTreeSet::new();
         let zone = me as usize % 2;
-        let mut desk = Desk::new(Settings { me, zone, balancers: 100, ..settings() }, 200);
+        let mut desk = Desk::new(Settings { instance: me, zone, instances: 100, ..settings() }, 200);
         for i in 0..60 {
             mine.extend(desk.serve(S + i * S, 50 * MS + i * MS, |_| 1.0));
         }
@@ -331,14 +343,14 @@
     let hurried = Arrival {
         request,
         class: 0,
-        due,
-        hint: Some(100 * MS),
-        width: 1.0,
-        resent: false,
-        key: 0,
-        sendable: true,
+        deadline: due,
+        work_hint: Some(100 * MS),
+        slots: 1.0,
+        is_retry: false,
+        affinity_key: 0,
+        body_sendable: true,
     };
-    let repeat = Arrival { request: RequestId(91), resent: true, ..hurried.clone() };
+    let repeat = Arrival { request: RequestId(91), is_retry: true, ..hurried.clone() };
     assert_eq!(sends(&desk.tell(3 * S, Event::Arrival(hurried))).len(), 1);
     assert!(sends(&desk.tell(3 * S, Event::Arrival(repeat))).is_empty(), "its wanted time is long past");
 }
@@ -351,14 +363,17 @@
         desk.serve(S + i * S, 400 * MS, |_| 1.0);
     }
     let born = 70 * S;
-    desk.tell(born, Event::Members(Members::Delta(vec![Entry { born, ..entry(0) }])));
+    desk.tell(
+        born,
+        Event::WorkerList(WorkerListUpdate::Delta(vec![WorkerEntry { started_at: born, ..entry(0) }])),
+    );
     let mut sent = 0;
     for i in 0..100 {
         let now = born + i * 10 * MS;
         let (request, actions) = desk.arrive(now, 0, 5 * MS);
         if let Some(&(_, worker)) = sends(&actions).iter().find(|s| s.0 == request) {
             sent += 1;
-            desk.tell(now + MS, Event::Started { request, attempt: 0, worker });
+            desk.tell(now + MS, Event::AttemptStarted { request, attempt: 0, worker });
         }
     }
     assert!((1..=4).contains(&sent), "{sent} jobs");
@@ -369,10 +384,10 @@
 #[test]
 fn a_full_answer_keeps_its_class_away_and_no_other() {
     let mut settings = settings();
-    settings.rules.full_may_have_run = true;
+    settings.limits.rejection_may_have_run = true;
     let mut desk = Desk::new(settings, 1);
     let (request, _) = desk.arrive(S, 1, 100 * MS);
-    let answer = desk.end(S + 10 * MS, request, (WorkerId(0), 0), Outcome::Full);
+    let answer = desk.end(S + 10 * MS, request, (WorkerId(0), 0), Outcome::Rejected);
     assert!(answer.contains(&Action::Fail { request }));
     let other = desk.arrive(2 * S, 0, 400 * MS);
     assert_eq!(sends(&other.1), vec![(other.0, WorkerId(0))], "another class is served");
@@ -384,14 +399,14 @@
 #[test]
 fn a_keyed_request_that_full_may_have_run_stays_in_its_zone_and_is_not_refused() {
     let mut settings = settings();
-    settings.rules.full_may_have_run = true;
+    settings.limits.rejection_may_have_run = true;
     let mut desk = Desk::new(settings, 4);
     let (request, actions) = desk.arrive(S, 2, 50 * MS);
     let first = sends(&actions)[0].1;
-    let again = sends(&desk.end(S + 5 * MS, request, (first, 0), Outcome::Full));
+    let again = sends(&desk.end(S + 5 * MS, request, (first, 0), Outcome::Rejected));
     assert_eq!(again[0].1.0 % 2, first.0 % 2);
-    let actions = desk.end(S + 10 * MS, request, (again[0].1, 1), Outcome::Full);
-    assert!(!actions.iter().any(|a| matches!(a, Action::Refuse { .. })), "{actions:?}");
+    let actions = desk.end(S + 10 * MS, request, (again[0].1, 1), Outcome::Rejected);
+    assert!(!actions.iter().any(|a| matches!(a, Action::Reject { .. })), "{actions:?}");
 }
 
 /// Lost answers on the later deployments: the job ran, the worker served others since, and its time-out closed it.
@@ -400,7 +415,7 @@
     let closed_by = |life: bool| {
         let mut desk = Desk::new(settings(), 1);
         let (request, _) = desk.arrive(S, 0, 50 * MS);
-        desk.tell(S + MS, Event::Started { request, attempt: 0, worker: WorkerId(0) });
+        desk.tell(S + MS, Event::AttemptStarted { request, attempt: 0, worker: WorkerId(0) });
         if life {
             assert!(desk.serve(3 * S, 50 * MS, |_| 1.0).is_some(), "another job is served meanwhile");
         }
@@ -418,7 +433,7 @@
 fn a_held_job_that_is_late_lets_those_in_time_go_first() {
     for freed in [900 * MS, 320 * MS] {
         let mut settings = settings();
-        settings.classes[0].late_worth = 0.5;
+        settings.classes[0].late_fraction = 0.5;
         let mut desk = Desk::new(settings, 1);
         let (busy, actions) = desk.arrive(0, 0, 100 * MS);
         let worker = sends(&actions).first().expect("it is sent").1;
@@ -427,7 +442,15 @@
         let (young, actions) = desk.arrive(freed - 10 * MS, 0, 100 * MS);
         assert!(sends(&actions).is_empty(), "held, too");
         let (took, outcome, report) = (100 * MS, Outcome::Ok, Vec::new());
-        let end = Event::Outcome { request: busy, attempt: 0, worker, outcome, took, closed: true, report };
+        let end = Event::AttemptEnded {
+            request: busy,
+            attempt: 0,
+            worker,
+            outcome,
+            elapsed: took,
+            request_concluded: true,
+            load_report: report,
+        };
         let actions = desk.tell(freed, end);
         assert_eq!(sends(&actions).first().map(|s| s.0), Some(young), "not {old:?} at {freed}");
     }
@@ -440,8 +463,8 @@
     for class in 0..5 {
         for (outcome, never_ran) in [
             (Outcome::ConnectFailed, true),
-            (Outcome::Full, true),
-            (Outcome::Moot, true),
+            (Outcome::Rejected, true),
+            (Outcome::NotSent, true),
             (Outcome::Error, false),
             (Outcome::Reset, false),
             (Outcome::Timeout, false),
@@ -450,10 +473,10 @@
             let mut desk = Desk::new(settings(), 3);
             let (request, actions) = desk.arrive(S, class, 50 * MS);
             let worker = sends(&actions)[0].1;
-            assert_eq!(sends(&desk.tell(S + MS, Event::PassedOn(request))), []);
+            assert_eq!(sends(&desk.tell(S + MS, Event::BodyConsumed(request))), []);
             let actions = desk.end(S + 2 * MS, request, (worker, 0), outcome);
             let answer = match never_ran {
-                true => Action::Refuse { request, retry_after: 2 * S },
+                true => Action::Reject { request, retry_after: 2 * S },
                 false => Action::Fail { request },
             };
             assert_eq!(actions, [answer], "class {class}, {outcome:?}");
@@ -468,10 +491,18 @@
     for class in 0..5 {
         let request = RequestId(900 + class as u64);
         let (due, hint) = (6 * S, Some(50 * MS));
-        let arrival =
-            Arrival { request, class, due, hint, width: 1.0, resent: false, key: 0, sendable: false };
+        let arrival = Arrival {
+            request,
+            class,
+            deadline: due,
+            work_hint: hint,
+            slots: 1.0,
+            is_retry: false,
+            affinity_key: 0,
+            body_sendable: false,
+        };
         let actions = desk.tell(S, Event::Arrival(arrival));
-        assert_eq!(actions, [Action::Refuse { request, retry_after: 2 * S }], "class {class}");
+        assert_eq!(actions, [Action::Reject { request, retry_after: 2 * S }], "class {class}");
     }
 }
 
@@ -483,18 +514,35 @@
         let now = i * S;
         let (request, actions) = desk.arrive(now, 0, 50 * MS);
         let worker = sends(&actions)[0].1;
-        desk.tell(now + 600 * MS, Event::Written { request, attempt: 0, worker });
-        desk.tell(now + 601 * MS, Event::Started { request, attempt: 0, worker });
+        desk.tell(now + 600 * MS, Event::RequestSent { request, attempt: 0, worker });
+        desk.tell(now + 601 * MS, Event::AttemptStarted { request, attempt: 0, worker });
         let (outcome, report, took) = (Outcome::Ok, Vec::new(), 50 * MS);
         let closed = true;
-        let ended = Event::Outcome { request, attempt: 0, worker, outcome, took, closed, report };
+        let ended = Event::AttemptEnded {
+            request,
+            attempt: 0,
+            worker,
+            outcome,
+            elapsed: took,
+            request_concluded: closed,
+            load_report: report,
+        };
         desk.tell(now + 651 * MS, ended);
     }
     // A small job that has 500 ms is sent at once: had the waits been learned, none could be in time.
     let request = RequestId(9_000);
     let (now, hint) = (61 * S, Some(50 * MS));
     let due = now + 500 * MS;
-    let arrival = Arrival { request, class: 0, due, hint, width: 1.0, resent: false, key: 0, sendable: true };
+    let arrival = Arrival {
+        request,
+        class: 0,
+        deadline: due,
+        work_hint: hint,
+        slots: 1.0,
+        is_retry: false,
+        affinity_key: 0,
+        body_sendable: true,
+    };
     assert_eq!(sends(&desk.tell(now, Event::Arrival(arrival))).len(), 1);
 }
 
@@ -512,9 +560,9 @@
     // The faster worker lets a job of class 1 wait for a second, then starts jobs of class 0 at once.
     let (request, actions) = desk.arrive(now, 1, 50 * MS);
     assert_eq!(sends(&actions)[0].1, WorkerId(0));
-    desk.tell(now + S, Event::Started { request, attempt: 0, worker: WorkerId(0) });
+    desk.tell(now + S, Event::AttemptStarted { request, attempt: 0, worker: WorkerId(0) });
     now += S + 50 * MS;
-    desk.end(now, request, (WorkerId(0), 0), Outcome::Unusable);
+    desk.end(now, request, (WorkerId(0), 0), Outcome::InvalidRequest);
     for _ in 0..8 {
         assert_eq!(desk.serve(now, 50 * MS, speed), Some(WorkerId(0)), "class 0 does not wait there");
         now += 100 * MS;
@@ -528,33 +576,36 @@
 #[test]
 fn the_census_says_which_workers_are_avoided_and_why() {
     let mut desk = Desk::new(settings(), 6);
-    let census = |desk: &Desk, now| desk.dispatcher.census(now);
-    assert_eq!(census(&desk, 0), Census { known: 6, ..Census::default() });
-    let terminating = Entry { lifecycle: Lifecycle::Draining, ..entry(0) };
-    let gone = Entry { lifecycle: Lifecycle::Gone, ..entry(1) };
-    desk.tell(S, Event::Members(Members::Delta(vec![terminating, gone])));
-    assert_eq!(census(&desk, S), Census { known: 5, draining: 1, ..Census::default() });
+    let worker_counts = |desk: &Desk, now| desk.dispatcher.worker_counts(now);
+    assert_eq!(worker_counts(&desk, 0), WorkerCounts { known: 6, ..WorkerCounts::default() });
+    let terminating = WorkerEntry { lifecycle: Lifecycle::Draining, ..entry(0) };
+    let gone = WorkerEntry { lifecycle: Lifecycle::Gone, ..entry(1) };
+    desk.tell(S, Event::WorkerList(WorkerListUpdate::Delta(vec![terminating, gone])));
+    assert_eq!(worker_counts(&desk, S), WorkerCounts { known: 5, draining: 1, ..WorkerCounts::default() });
     // One that does not come up is avoided until a trial shows that it is back.
     let (request, actions) = desk.arrive(S, 1, 40 * MS);
     let (_, worker) = sends(&actions)[0];
     desk.end(S + MS, request, (worker, 0), Outcome::ConnectFailed);
-    let now = census(&desk, S + MS);
-    assert_eq!((now.known, now.failed, now.skipped()), (5, 1, 2));
+    let now = worker_counts(&desk, S + MS);
+    assert_eq!((now.known, now.ejected, now.unavailable()), (5, 1, 2));
     for n in 0..40 {
         let (_, actions) = desk.arrive(S + 2 * MS + n, 1, 40 * MS);
         assert!(sends(&actions).iter().all(|s| s.1 != worker && s.1 != WorkerId(0)), "avoided");
     }
     // A fresh process in its place is none that has failed.
-    let fresh = Entry { born: 2 * S, ..entry(worker.0) };
-    desk.tell(2 * S, Event::Members(Members::Delta(vec![fresh])));
-    assert_eq!(census(&desk, 2 * S), Census { known: 5, draining: 1, ..Census::default() });
+    let fresh = WorkerEntry { started_at: 2 * S, ..entry(worker.0) };
+    desk.tell(2 * S, Event::WorkerList(WorkerListUpdate::Delta(vec![fresh])));
+    assert_eq!(
+        worker_counts(&desk, 2 * S),
+        WorkerCounts { known: 5, draining: 1, ..WorkerCounts::default() }
+    );
     // A full answer for one class leaves the others; for all of them it is a worker to stay away from.
     let mut desk = Desk::new(settings(), 1);
     for class in 0..5 {
-        assert_eq!(census(&desk, S).skipped(), 0, "class {class}");
+        assert_eq!(worker_counts(&desk, S).unavailable(), 0, "class {class}");
         let (request, _) = desk.arrive(S, class, 40 * MS);
-        desk.end(S, request, (WorkerId(0), 0), Outcome::Full);
+        desk.end(S, request, (WorkerId(0), 0), Outcome::Rejected);
     }
-    assert_eq!(census(&desk, S), Census { known: 1, full: 1, ..Census::default() });
-    assert_eq!(census(&desk, 60 * S).skipped(), 0, "for a while");
+    assert_eq!(worker_counts(&desk, S), WorkerCounts { known: 1, saturated: 1, ..WorkerCounts::default() });
+    assert_eq!(worker_counts(&desk, 60 * S).unavailable(), 0, "for a while");
 }
--- a/crates/dispatcher/tests/fleet.rs
+++ b/crates/dispatcher/tests/fleet.rs
@@ -33,9 +33,19 @@
 impl Fleet {
     fn new() -> Fleet {
         let nodes = (0..NODES).map(|me| {
-            let rules = RuleFigures { cold_from: 0.12, cold: 24 * S, fall: S, ..settings().rules };
-            let settings =
-                Settings { me: me as u32, balancers: NODES as u32, zone: me % 3, rules, ..settings() };
+            let rules = SlowStartRules {
+                initial_capacity: 0.12,
+                duration: 24 * S,
+                overload_window: S,
+                ..settings().slow_start
+            };
+            let settings = Settings {
+                instance: me as u32,
+                instances: NODES as u32,
+                zone: me % 3,
+                slow_start: rules,
+                ..settings()
+            };
             Desk { dispatcher: Dispatcher::new(settings, 1000 + me as u64), next: 0 }
         });
         let mut fleet = Fleet {
@@ -46,18 +56,18 @@
             free: vec![[0; CORES as usize]; WORKERS as usize],
             sent: Vec::new(),
         };
-        let list: Vec<Entry> = (0..WORKERS).map(|n| fleet.entry(n)).collect();
+        let list: Vec<WorkerEntry> = (0..WORKERS).map(|n| fleet.entry(n)).collect();
         for node in 0..NODES {
-            fleet.tell(0, node, Event::Members(Members::Full(list.clone())));
+            fleet.tell(0, node, Event::WorkerList(WorkerListUpdate::Full(list.clone())));
             let first = fleet.rng.i64(0..200 * MS);
             fleet.due.push(Reverse((first, node, Due::Arrival)));
         }
         fleet
     }
 
-    fn entry(&self, n: u32) -> Entry {
+    fn entry(&self, n: u32) -> WorkerEntry {
         let born = self.born.get(&n).copied().unwrap_or(0);
-        Entry { born, rating: CORES, zone: (n % 3) as usize, ..entry(n) }
+        WorkerEntry { started_at: born, weight: CORES, zone: (n % 3) as usize, ..entry(n) }
     }
 
     /// A worker starts again, and all are told within 0.1 s.
@@ -65,7 +75,7 @@
         self.born.insert(n, now);
         self.free[n as usize].fill(now);
         for node in 0..NODES {
-            self.tell(now, node, Event::Members(Members::Delta(vec![self.entry(n)])));
+            self.tell(now, node, Event::WorkerList(WorkerListUpdate::Delta(vec![self.entry(n)])));
         }
     }
 
@@ -88,7 +98,7 @@
                     self.due.push(Reverse((start, node, Due::Started(request, 0, worker))));
                     self.due.push(Reverse((end, node, Due::Done(request, 0, worker, end - now))));
                 }
-                Action::Timer { delay, token } => {
+                Action::SetTimer { delay, token } => {
                     self.due.push(Reverse((now + delay, node, Due::Timer(token))))
                 }
                 _ => {}
@@ -115,21 +125,37 @@
                     self.nodes[node].next += 1;
                     let hint = Some((self.size(node, request) * 1e6) as Micros);
                     let (class, width, resent, key, sendable) = (1, 1.0, false, 0, true);
-                    let arrival =
-                        Arrival { request, class, due: now + 5 * S, hint, width, resent, key, sendable };
+                    let arrival = Arrival {
+                        request,
+                        class,
+                        deadline: now + 5 * S,
+                        work_hint: hint,
+                        slots: width,
+                        is_retry: resent,
+                        affinity_key: key,
+                        body_sendable: sendable,
+                    };
                     self.tell(now, node, Event::Arrival(arrival));
                     let gap = self.rng.i64(MS..500 * MS);
                     self.due.push(Reverse((now + gap, node, Due::Arrival)));
                 }
                 Due::Started(request, attempt, worker) => {
-                    self.tell(now, node, Event::Started { request, attempt, worker })
+                    self.tell(now, node, Event::AttemptStarted { request, attempt, worker })
                 }
                 Due::Done(request, attempt, worker, took) => {
                     let (outcome, closed, report) = (Outcome::Ok, true, Vec::new());
                     self.tell(
                         now,
                         node,
-                        Event::Outcome { request, attempt, worker, outcome, took, closed, report },
+                        Event::AttemptEnded {
+                            request,
+                            attempt,
+                            worker,
+                            outcome,
+                            elapsed: took,
+                            request_concluded: closed,
+                            load_report: report,
+                        },
                     )
                 }
                 Due::Timer(token) => self.tell(now, node, Event::Timer(token)),
@@ -185,23 +211,39 @@
     let (mut crossed, mut all) = (0, 0);
     for me in 0..NODES {
         let zone = me % 3;
-        let settings = Settings { me: me as u32, balancers: NODES as u32, zone, ..settings() };
+        let settings = Settings { instance: me as u32, instances: NODES as u32, zone, ..settings() };
         let mut desk = Desk { dispatcher: Dispatcher::new(settings, me as u64), next: 0 };
-        let of = |n: u32| Entry { zone: (n % 3) as usize, key: u64::from(n) * 7919, ..entry(n) };
-        desk.tell(0, Event::Members(Members::Full((0..WORKERS).map(of).collect())));
+        let of = |n: u32| WorkerEntry { zone: (n % 3) as usize, name_hash: u64::from(n) * 7919, ..entry(n) };
+        desk.tell(0, Event::WorkerList(WorkerListUpdate::Full((0..WORKERS).map(of).collect())));
         for key in 1..40 {
             let (request, now) = (RequestId(key), key as Micros * S);
             let (due, hint) = (now + 5 * S, Some(300 * MS));
-            let arrival =
-                Arrival { request, class: 1, due, hint, width: 1.0, resent: false, key, sendable: true };
+            let arrival = Arrival {
+                request,
+                class: 1,
+                deadline: due,
+                work_hint: hint,
+                slots: 1.0,
+                is_retry: false,
+                affinity_key: key,
+                body_sendable: true,
+            };
             let sent = sends(&desk.tell(now, Event::Arrival(arrival)));
             let worker = sent[0].1;
             *places.entry((zone, key)).or_default().entry(worker.0).or_default() += 1;
             crossed += usize::from(worker.0 as usize % 3 != zone);
             all += 1;
             let (attempt, outcome, took, report) = (0, Outcome::Ok, 200 * MS, Vec::new());
-            desk.tell(now + MS, Event::Started { request, attempt, worker });
-            let done = Event::Outcome { request, attempt, worker, outcome, took, closed: true, report };
+            desk.tell(now + MS, Event::AttemptStarted { request, attempt, worker });
+            let done = Event::AttemptEnded {
+                request,
+                attempt,
+                worker,
+                outcome,
+                elapsed: took,
+                request_concluded: true,
+                load_report: report,
+            };
             desk.tell(now + took, done);
         }
     }
@@ -216,28 +258,37 @@
 #[test]
 fn two_modules_of_one_node_keep_a_cold_worker_within_its_room() {
     const COLD: Micros = 10 * S;
-    let rules =
-        RuleFigures { cold_from: 0.2, cold: COLD, fall_multiple: 3.0, fall: 2 * S, ..settings().rules };
+    let rules = SlowStartRules {
+        initial_capacity: 0.2,
+        duration: COLD,
+        overload_factor: 3.0,
+        overload_window: 2 * S,
+        ..settings().slow_start
+    };
     let node = |seed| {
-        let settings = Settings { balancers: 1, rules: rules.clone(), ..settings() };
+        let settings = Settings { instances: 1, slow_start: rules.clone(), ..settings() };
         Desk { dispatcher: Dispatcher::new(settings, seed), next: seed << 32 }
     };
     let mut nodes = [node(1), node(2)];
-    let list = |born| -> Vec<Entry> {
-        (0..4).map(|n| Entry { born: if n == 0 { born } else { 0 }, rating: 4.0, ..entry(n) }).collect()
+    let list = |born| -> Vec<WorkerEntry> {
+        (0..4)
+            .map(|n| WorkerEntry { started_at: if n == 0 { born } else { 0 }, weight: 4.0, ..entry(n) })
+            .collect()
     };
     // Each worker does four jobs at once; jobs come so that warm ones are nine tenths busy.
     let (size, gap) = (200 * MS, 200 * MS / 14);
     let (mut rng, mut sent, mut due) = (fastrand::Rng::with_seed(5), Vec::new(), BTreeMap::new());
     let mut free = [[0; 4]; 4];
     let warmth = |now: Micros| (0.2 + 0.8 * (now - 5 * S) as f64 / COLD as f64).clamp(0.2, 1.0);
-    nodes.iter_mut().for_each(|n| _ = n.tell(0, Event::Members(Members::Full(list(0)))));
+    nodes.iter_mut().for_each(|n| _ = n.tell(0, Event::WorkerList(WorkerListUpdate::Full(list(0)))));
     let mut number = 0_u64;
     for step in 0..(15 * S / gap) {
         let now = step * gap;
         if now >= 5 * S && now - gap < 5 * S {
             free[0].fill(now);
-            nodes.iter_mut().for_each(|n| _ = n.tell(now, Event::Members(Members::Delta(list(5 * S)))));
+            nodes
+                .iter_mut()
+                .for_each(|n| _ = n.tell(now, Event::WorkerList(WorkerListUpdate::Delta(list(5 * S)))));
         }
         let mut actions: Vec<(usize, Micros, Vec<Action>)> = Vec::new();
         let later = due.split_off(&(now + 1, 0));
@@ -263,12 +314,23 @@
                         let end = start + (size as f64 / speed) as Micros;
                         free[w][slot] = end;
                         let (attempt, outcome) = (0, Outcome::Ok);
-                        due.insert((start, number), (which, Event::Started { request, attempt, worker }));
+                        due.insert(
+                            (start, number),
+                            (which, Event::AttemptStarted { request, attempt, worker }),
+                        );
                         let (took, closed, report) = (end - at, true, Vec::new());
-                        let done = Event::Outcome { request, attempt, worker, outcome, took, closed, report };
+                        let done = Event::AttemptEnded {
+                            request,
+                            attempt,
+                            worker,
+                            outcome,
+                            elapsed: took,
+                            request_concluded: closed,
+                            load_report: report,
+                        };
                         due.insert((end, number), (which, done));
                     }
-                    Action::Timer { delay, token } => {
+                    Action::SetTimer { delay, token } => {
                         due.insert((at + delay, number), (which, Event::Timer(token)));
                     }
                     _ => {}
--- a/crates/dispatcher/tests/mix.rs
+++ b/crates/dispatcher/tests/mix.rs
@@ -66,8 +66,8 @@
     worth: BTreeMap<(usize, Micros), (f64, f64)>,
 }
 
-fn of(n: u32) -> Entry {
-    Entry { zone: 0, key: u64::from(n + 1).wrapping_mul(0x9e37_79b9), rating: 4.0, ..entry(n) }
+fn of(n: u32) -> WorkerEntry {
+    WorkerEntry { zone: 0, name_hash: u64::from(n + 1).wrapping_mul(0x9e37_79b9), weight: 4.0, ..entry(n) }
 }
 
 /// The share of its pace that a worker has which started then.
@@ -79,18 +79,28 @@
 /// What the nodes are told of the classes, and what the worth is counted by.
 fn classes() -> Vec<Class> {
     let mut classes = settings().classes;
-    classes[CHARGE] = Class { aim: 300 * MS, stretch: 2.0, late_worth: 0.5, ..class(Effect::Unsafe) };
-    classes[HEAVY] = Class { aim: 500 * MS, late_worth: 0.2, ..class(keyed(Scope::Cell)) };
+    classes[CHARGE] = Class {
+        latency_objective: 300 * MS,
+        objective_stretch: 2.0,
+        late_fraction: 0.5,
+        ..class(Idempotency::NotIdempotent)
+    };
+    classes[HEAVY] = Class { latency_objective: 500 * MS, late_fraction: 0.2, ..class(keyed(Scope::Cell)) };
     classes
 }
 
 fn node(me: usize, life: u32) -> Desk {
     let limits = Limits { cancel: false, ..settings().limits };
-    let rules = RuleFigures { cold_from: 0.2, cold: 24 * S, fall: S, ..settings().rules };
+    let rules = SlowStartRules {
+        initial_capacity: 0.2,
+        duration: 24 * S,
+        overload_window: S,
+        ..settings().slow_start
+    };
     let settings = Settings {
-        rules,
-        me: me as u32,
-        balancers: NODES as u32,
+        slow_start: rules,
+        instance: me as u32,
+        instances: NODES as u32,
         zone: 0,
         classes: classes(),
         limits,
@@ -98,7 +108,7 @@
     };
     let seed = 100 * u64::from(life) + me as u64;
     let mut desk = Desk { dispatcher: Dispatcher::new(settings, seed), next: 0 };
-    desk.tell(0, Event::Members(Members::Full((0..WORKERS).map(of).collect())));
+    desk.tell(0, Event::WorkerList(WorkerListUpdate::Full((0..WORKERS).map(of).collect())));
     desk
 }
 
@@ -138,7 +148,7 @@
                     self.at(job.born + LIMIT, Due::Late(worker.0, job));
                     self.start(now, worker.0);
                 }
-                Action::Timer { delay, token } => self.at(now + delay, Due::Timer(node, life, token)),
+                Action::SetTimer { delay, token } => self.at(now + delay, Due::Timer(node, life, token)),
                 _ => {}
             }
         }
@@ -165,7 +175,7 @@
             self.at(now + fetch + run, Due::Done(n, job, sent));
             if self.nodes[job.node].1 == job.life {
                 let (request, attempt, worker) = (job.request, 0, WorkerId(n));
-                self.tell(now, job.node, Event::Started { request, attempt, worker });
+                self.tell(now, job.node, Event::AttemptStarted { request, attempt, worker });
             }
         }
     }
@@ -183,7 +193,7 @@
         self.open.insert((node, request), job);
         self.worth.entry((class, now / S)).or_default().0 += size as f64;
         let key = key.wrapping_mul(0x2545_f491_4f6c_dd1d);
-        let arrival = Arrival { key, ..arrival(request, class, now + LIMIT, size) };
+        let arrival = Arrival { affinity_key: key, ..arrival(request, class, now + LIMIT, size) };
         self.tell(now, node, Event::Arrival(arrival));
     }
 
@@ -219,13 +229,25 @@
         }
         if outcome == Outcome::Ok {
             let spec = &classes()[job.class];
-            let aim = spec.aim + (spec.stretch * job.size as f64) as Micros;
-            let part = if now - job.born <= aim { 1.0 } else { spec.late_worth };
+            let aim = spec.latency_objective + (spec.objective_stretch * job.size as f64) as Micros;
+            let part = if now - job.born <= aim { 1.0 } else { spec.late_fraction };
             self.worth.entry((job.class, job.born / S)).or_default().1 += part * job.size as f64;
         }
         let (request, attempt, worker, report) = (job.request, 0, WorkerId(n), Vec::new());
         let closed = outcome == Outcome::Ok;
-        self.tell(now, job.node, Event::Outcome { request, attempt, worker, outcome, took, closed, report });
+        self.tell(
+            now,
+            job.node,
+            Event::AttemptEnded {
+                request,
+                attempt,
+                worker,
+                outcome,
+                elapsed: took,
+                request_concluded: closed,
+                load_report: report,
+            },
+        );
     }
 
     /// The first `count` nodes are killed; their clients go to the others.
@@ -249,10 +271,10 @@
     fn replace(&mut self, now: Micros, old: u32) {
         let new = self.workers.len() as u32;
         self.workers.push(Worker { born: now, ..Worker::default() });
-        let left = Entry { lifecycle: Lifecycle::Draining, ..of(old) };
+        let left = WorkerEntry { lifecycle: Lifecycle::Draining, ..of(old) };
         for node in 0..NODES {
-            let list = vec![left.clone(), Entry { born: now, ..of(new) }];
-            self.tell(now, node, Event::Members(Members::Delta(list)));
+            let list = vec![left.clone(), WorkerEntry { started_at: now, ..of(new) }];
+            self.tell(now, node, Event::WorkerList(WorkerListUpdate::Delta(list)));
         }
     }
 
@@ -324,8 +346,8 @@
         world.workers[at] = Worker { born: 14 * S, ..Worker::default() };
         world.due.retain(|due| !matches!(&due.0.2, Due::Done(of, ..) if *of == n));
         for node in 0..NODES {
-            let list = vec![Entry { born: 14 * S, ..of(n) }];
-            world.tell(14 * S, node, Event::Members(Members::Delta(list)));
+            let list = vec![WorkerEntry { started_at: 14 * S, ..of(n) }];
+            world.tell(14 * S, node, Event::WorkerList(WorkerListUpdate::Delta(list)));
         }
     }
     world.run(18 * S);
--- a/crates/dispatcher/tests/properties.rs
+++ b/crates/dispatcher/tests/properties.rs
@@ -22,11 +22,11 @@
     let outcome = prop::sample::select(vec![
         Outcome::Ok,
         Outcome::Error,
-        Outcome::Full,
+        Outcome::Rejected,
         Outcome::Timeout,
         Outcome::ConnectFailed,
         Outcome::Reset,
-        Outcome::Moot,
+        Outcome::NotSent,
     ]);
     let lifecycle = prop::sample::select(vec![Lifecycle::Ready, Lifecycle::Draining, Lifecycle::Gone]);
     prop_oneof![
@@ -99,7 +99,7 @@
                 self.out.push(Out { request, attempt: r.attempts, worker, sent: now, cancelled: false });
                 r.attempts += 1;
             }
-            Action::Refuse { request, .. } => {
+            Action::Reject { request, .. } => {
                 let running = self.out.iter().any(|o| o.request == request);
                 let r = self.seen.get_mut(&request).expect("a known request");
                 assert!(!r.ended, "two answers");
@@ -116,12 +116,12 @@
                     o.cancelled |= o.request == request && o.attempt == attempt;
                 }
             }
-            Action::Timer { delay, token } => {
+            Action::SetTimer { delay, token } => {
                 assert!(delay > 0);
                 self.timers.push((now + delay, token));
             }
             Action::Probe { .. } => panic!("probes are not permitted here"),
-            Action::Watch | Action::Log(_) => {}
+            Action::WatchWorkerList | Action::Log(_) => {}
         }
     }
 
@@ -129,8 +129,8 @@
         let o = self.out.swap_remove(i);
         let r = self.seen.get_mut(&o.request).expect("a known request");
         let proof = match outcome {
-            Outcome::Full => self.full_proves,
-            Outcome::ConnectFailed | Outcome::Moot => true,
+            Outcome::Rejected => self.full_proves,
+            Outcome::ConnectFailed | Outcome::NotSent => true,
             _ => false,
         };
         if !proof && r.ran.is_none() {
@@ -138,14 +138,14 @@
         }
         r.ended |= outcome == Outcome::Ok;
         let closed = r.ended;
-        self.tell(Event::Outcome {
+        self.tell(Event::AttemptEnded {
             request: o.request,
             attempt: o.attempt,
             worker: o.worker,
             outcome,
-            took: self.now - o.sent,
-            closed,
-            report: Vec::new(),
+            elapsed: self.now - o.sent,
+            request_concluded: closed,
+            load_report: Vec::new(),
         });
     }
 
@@ -184,36 +184,36 @@
                 self.tell(Event::Arrival(Arrival {
                     request,
                     class,
-                    due,
-                    hint,
-                    width: 1.0,
-                    resent: false,
-                    key: 0,
-                    sendable: true,
+                    deadline: due,
+                    work_hint: hint,
+                    slots: 1.0,
+                    is_retry: false,
+                    affinity_key: 0,
+                    body_sendable: true,
                 }));
             }
             Step::End { pick, outcome } if !self.out.is_empty() => self.end(pick % self.out.len(), outcome),
             Step::Start { pick } if !self.out.is_empty() => {
                 let o = &self.out[pick % self.out.len()];
                 let (request, attempt, worker) = (o.request, o.attempt, o.worker);
-                self.tell(Event::Started { request, attempt, worker });
+                self.tell(Event::AttemptStarted { request, attempt, worker });
             }
             Step::Lapse { pick } if !self.seen.is_empty() => {
                 let id = RequestId((pick % self.seen.len()) as u64);
                 self.seen.get_mut(&id).expect("a known request").ended = true;
-                self.tell(Event::Lapsed(id));
+                self.tell(Event::ClientDisconnected(id));
             }
             Step::List { worker, lifecycle, cold } => {
                 self.ready[worker as usize] = lifecycle == Lifecycle::Ready;
                 let born = if cold { self.now } else { 0 };
-                let entry = Entry { lifecycle, born, ..entry(worker) };
-                self.tell(Event::Members(Members::Delta(vec![entry])));
+                let entry = WorkerEntry { lifecycle, started_at: born, ..entry(worker) };
+                self.tell(Event::WorkerList(WorkerListUpdate::Delta(vec![entry])));
             }
             Step::Stray { n } => {
                 self.tell(Event::Timer(n % 4));
-                self.tell(Event::Lapsed(RequestId(u64::MAX - n % 9)));
+                self.tell(Event::ClientDisconnected(RequestId(u64::MAX - n % 9)));
                 let worker = WorkerId((n % 6) as u32);
-                self.tell(Event::Started { request: RequestId(u64::MAX), attempt: 0, worker });
+                self.tell(Event::AttemptStarted { request: RequestId(u64::MAX), attempt: 0, worker });
             }
             Step::Pass { time } => self.pass(time),
             _ => {}
@@ -230,7 +230,7 @@
     runner
         .run(&steps, |(steps, full_proves)| {
             let mut settings = settings();
-            settings.rules.full_may_have_run = !full_proves;
+            settings.limits.rejection_may_have_run = !full_proves;
             let desk = Desk::new(settings, 6);
             let (seen, out, timers) = (BTreeMap::new(), Vec::new(), Vec::new());
             let mut world = World { desk, now: S, seen, out, timers, ready: [true; 6], full_proves };
--- a/crates/dispatcher/tests/untold.rs
+++ b/crates/dispatcher/tests/untold.rs
@@ -86,31 +86,36 @@
     fn new(load: f64, seed: u64) -> World {
         let mean: f64 = KINDS.iter().map(|k| k.0 * k.4).sum();
         let class = |k: &(f64, Micros, f64, Micros, f64), effect| Class {
-            effect,
-            aim: k.1,
-            stretch: k.2,
+            idempotency: effect,
+            latency_objective: k.1,
+            objective_stretch: k.2,
             deadline: k.3,
-            worth: 1.0,
-            late_worth: 0.3,
-            kind: None,
+            priority_weight: 1.0,
+            late_fraction: 0.3,
+            worker_kind: None,
         };
         let classes = vec![
-            class(&KINDS[0], Effect::Safe),
-            class(&KINDS[1], Effect::Safe),
-            class(&KINDS[ONCE], Effect::Unsafe),
+            class(&KINDS[0], Idempotency::Idempotent),
+            class(&KINDS[1], Idempotency::Idempotent),
+            class(&KINDS[ONCE], Idempotency::NotIdempotent),
         ];
         let node = |me: usize| {
-            let rules = RuleFigures { cold_from: 0.15, cold: COLD, fall: S, ..settings().rules };
+            let rules = SlowStartRules {
+                initial_capacity: 0.15,
+                duration: COLD,
+                overload_window: S,
+                ..settings().slow_start
+            };
             let settings = Settings {
-                me: me as u32,
-                balancers: NODES as u32,
+                instance: me as u32,
+                instances: NODES as u32,
                 classes: classes.clone(),
-                rules,
-                tells_start: false,
+                slow_start: rules,
+                reports_start: false,
                 marks_retry: false,
-                live_weights: true,
+                weights_include_load: true,
                 limits: Limits { cancel: false, ..settings().limits },
-                report: ReportFields { util: Some(1), free_slots: Some(0) },
+                report_fields: ReportFields { util: Some(1), free_slots: Some(0) },
                 ..settings()
             };
             Desk { dispatcher: Dispatcher::new(settings, seed + me as u64), next: 0 }
@@ -130,19 +135,19 @@
         };
         for node in 0..NODES {
             let list = (0..WORKERS).map(|n| world.entry(0, n)).collect();
-            world.tell(0, node, Event::Members(Members::Cached(list)));
+            world.tell(0, node, Event::WorkerList(WorkerListUpdate::Cached(list)));
         }
         world.at(0, Due::Arrival);
         world.at(0, Due::Renew);
         world
     }
 
-    fn entry(&self, now: Micros, n: usize) -> Entry {
+    fn entry(&self, now: Micros, n: usize) -> WorkerEntry {
         let w = &self.boxes[n];
         let held = w.held.iter().rev().find(|h| now - h.0 >= LATE).map_or(0, |h| h.1);
         let rating = SLOTS as f64 / (1.0 + held as f64 / SLOTS as f64);
         let lifecycle = if w.dead { Lifecycle::Gone } else { Lifecycle::Ready };
-        Entry { lifecycle, born: w.born, rating, kind: n % 2, cell: 0, ..entry(n as u32) }
+        WorkerEntry { lifecycle, started_at: w.born, weight: rating, kind: n % 2, cell: 0, ..entry(n as u32) }
     }
 
     fn at(&mut self, when: Micros, due: Due) {
@@ -154,8 +159,8 @@
         for action in self.nodes[node].tell(now, event) {
             match action {
                 Action::Send { request, worker, .. } => self.sent(now, node, request, worker.0 as usize),
-                Action::Timer { delay, token } => self.at(now + delay, Due::Timer(node, token)),
-                Action::Refuse { request, .. } | Action::Fail { request } => {
+                Action::SetTimer { delay, token } => self.at(now + delay, Due::Timer(node, token)),
+                Action::Reject { request, .. } | Action::Fail { request } => {
                     let job = self.jobs.get_mut(&(node, request)).expect("a request");
                     assert!(!job.over, "answered twice");
                     job.over = true;
@@ -223,7 +228,19 @@
         };
         let report = if free == 0.0 || outcome == Outcome::Ok { report } else { Vec::new() };
         let (closed, worker) = (job.over, WorkerId(n as u32));
-        self.tell(now, node, Event::Outcome { request, attempt, worker, outcome, took, closed, report });
+        self.tell(
+            now,
+            node,
+            Event::AttemptEnded {
+                request,
+                attempt,
+                worker,
+                outcome,
+                elapsed: took,
+                request_concluded: closed,
+                load_report: report,
+            },
+        );
     }
 
     fn arrive(&mut self, now: Micros) {
@@ -268,7 +285,7 @@
                         let attempt = job.sent.len() as u32 - 1;
                         self.end(now, n, (node, request, attempt), Outcome::Timeout);
                     }
-                    self.tell(now, node, Event::Lapsed(request));
+                    self.tell(now, node, Event::ClientDisconnected(request));
                     let job = self.jobs.get_mut(&(node, request)).expect("a request");
                     assert!(job.over || job.sent.is_empty() || job.ran > 0, "no answer in time");
                     job.over = true;
@@ -291,7 +308,7 @@
         }
         for node in 0..NODES {
             let list = (0..WORKERS).map(|n| self.entry(now, n)).collect();
-            self.tell(now, node, Event::Members(Members::Delta(list)));
+            self.tell(now, node, Event::WorkerList(WorkerListUpdate::Delta(list)));
         }
     }
 
@@ -401,19 +418,24 @@
 #[test]
 fn ratings_that_fall_with_the_load_do_not_make_an_idle_cold_worker_large() {
     let sent_to_cold = |loaded: f64| {
-        let rules = RuleFigures { cold_from: 0.15, cold: COLD, fall: S, ..settings().rules };
-        let settings = Settings { live_weights: true, rules, ..settings() };
+        let rules = SlowStartRules {
+            initial_capacity: 0.15,
+            duration: COLD,
+            overload_window: S,
+            ..settings().slow_start
+        };
+        let settings = Settings { weights_include_load: true, slow_start: rules, ..settings() };
         let mut desk = Desk { dispatcher: Dispatcher::new(settings, 3), next: 0 };
-        let of = |n: u32, rating: f64| Entry { rating, ..entry(n) };
-        desk.tell(0, Event::Members(Members::Full((0..6).map(|n| of(n, 3.0)).collect())));
+        let of = |n: u32, rating: f64| WorkerEntry { weight: rating, ..entry(n) };
+        desk.tell(0, Event::WorkerList(WorkerListUpdate::Full((0..6).map(|n| of(n, 3.0)).collect())));
         let mut now = S;
         for _ in 0..40 {
             desk.serve(now, 200 * MS, |_| 1.0);
             now += 300 * MS;
         }
-        let mut list: Vec<Entry> = (1..6).map(|n| of(n, 3.0 / loaded)).collect();
-        list.push(Entry { born: now, ..of(0, 3.0) });
-        desk.tell(now, Event::Members(Members::Delta(list)));
+        let mut list: Vec<WorkerEntry> = (1..6).map(|n| of(n, 3.0 / loaded)).collect();
+        list.push(WorkerEntry { started_at: now, ..of(0, 3.0) });
+        desk.tell(now, Event::WorkerList(WorkerListUpdate::Delta(list)));
         // The warm ones say nothing any more, and are soon full: only its budget holds the cold one back.
         let mut sent = 0;
         for n in 0..200 {
@@ -421,7 +443,7 @@
             if sends(&actions).iter().any(|s| s.1 == WorkerId(0)) {
                 sent += 1;
                 let (attempt, worker) = (0, WorkerId(0));
-                desk.tell(now + n * 4 * MS + MS, Event::Started { request, attempt, worker });
+                desk.tell(now + n * 4 * MS + MS, Event::AttemptStarted { request, attempt, worker });
                 desk.end(now + n * 4 * MS + 2 * MS, request, (worker, attempt), Outcome::Ok);
             }
         }
@@ -444,13 +466,13 @@
 }
 
 /// Where the first job of each of 48 fresh dispatchers goes, which all have the same lists.
-fn first_jobs(settings: &Settings, lists: &[&[Entry]]) -> Vec<usize> {
+fn first_jobs(settings: &Settings, lists: &[&[WorkerEntry]]) -> Vec<usize> {
     let mut at = vec![0; lists[0].len()];
     for me in 0..48 {
-        let settings = Settings { me, ..settings.clone() };
+        let settings = Settings { instance: me, ..settings.clone() };
         let mut desk = Desk { dispatcher: Dispatcher::new(settings, 100 + u64::from(me)), next: 0 };
         for list in lists {
-            desk.tell(0, Event::Members(Members::Full(list.to_vec())));
+            desk.tell(0, Event::WorkerList(WorkerListUpdate::Full(list.to_vec())));
         }
         let (_, actions) = desk.arrive(2 * MS, 0, 200 * MS);
         at[sends(&actions)[0].1.0 as usize] += 1;
@@ -459,18 +481,18 @@
 }
 
 fn of_live_ratings(balancers: u32) -> Settings {
-    Settings { balancers, tells_start: false, live_weights: true, ..settings() }
+    Settings { instances: balancers, reports_start: false, weights_include_load: true, ..settings() }
 }
 
 /// Ten workers, the first five rated so, the others 3.
-fn rated(rating: f64) -> Vec<Entry> {
-    (0..10).map(|n| Entry { rating: if n < 5 { rating } else { 3.0 }, ..entry(n) }).collect()
+fn rated(rating: f64) -> Vec<WorkerEntry> {
+    (0..10).map(|n| WorkerEntry { weight: if n < 5 { rating } else { 3.0 }, ..entry(n) }).collect()
 }
 
 /// All of a fleet start at once and know nothing: their first jobs must not all go to the first of the list.
 #[test]
 fn fresh_dispatchers_do_not_all_begin_at_one_worker() {
-    let list: Vec<Entry> = (0..9).map(|n| Entry { rating: 3.0, ..entry(n) }).collect();
+    let list: Vec<WorkerEntry> = (0..9).map(|n| WorkerEntry { weight: 3.0, ..entry(n) }).collect();
     let at = first_jobs(&of_live_ratings(48), &[&list]);
     println!("{at:?}");
     assert!(at.iter().all(|&n| n <= 16), "{at:?}");
@@ -492,7 +514,7 @@
 /// A rating of nothing at all is no promise to be idle: what is rated so gets no job while others are there.
 #[test]
 fn a_rating_of_nothing_draws_no_jobs() {
-    let settings = Settings { balancers: 48, ..settings() };
+    let settings = Settings { instances: 48, ..settings() };
     let to_none: usize = first_jobs(&settings, &[&rated(0.0)])[..5].iter().sum();
     println!("{to_none} of 48");
     assert!(to_none <= 4, "{to_none} of 48");
--- a/crates/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -142,13 +142,13 @@
     match outcome {
         Outcome::Ok => 0,
         Outcome::Error => 1,
-        Outcome::Full => 2,
+        Outcome::Rejected => 2,
         Outcome::Timeout => 3,
         Outcome::ConnectFailed => 4,
         Outcome::Reset => 5,
         Outcome::Cancelled => 6,
-        Outcome::Moot => 7,
-        Outcome::Unusable => 8,
+        Outcome::NotSent => 7,
+        Outcome::InvalidRequest => 8,
     }
 }
 
--- a/crates/engine/src/desk.rs
+++ b/crates/engine/src/desk.rs
@@ -9,7 +9,9 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future::{or, yield_now};
-use sorrelhaven_dispatcher::{Action, Census, Dispatcher, Event, Micros, RequestId, Settings, WorkerId};
+use sorrelhaven_dispatcher::{
+    Action, Dispatcher, Event, Micros, RequestId, Settings, WorkerCounts, WorkerId,
+};
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -72,8 +74,8 @@
     }
 
     /// How the module regards the executors in its list now.
-    pub fn census(&self) -> Census {
-        self.state.borrow().dispatcher.census(self.clock.now())
+    pub fn worker_counts(&self) -> WorkerCounts {
+        self.state.borrow().dispatcher.worker_counts(self.clock.now())
     }
 
     /// Feeds the dispatcher one event and routes what it does about it.
@@ -87,7 +89,7 @@
         for action in state.actions.drain(..) {
             debug!(?action, "action");
             match action {
-                Action::Send { request, worker, timeout, before } => {
+                Action::Send { request, worker, timeout, send_by: before } => {
                     // The module's time-out is relative and 0 for "until the client gives up": from here on
                     // there are only deadlines.
                     let deadline = if timeout == 0 { Micros::MAX } else { now.saturating_add(timeout) };
@@ -96,11 +98,11 @@
                 Action::Cancel { request, attempt } => {
                     post(&state.requests, request, Mail::Cancel { attempt });
                 }
-                Action::Refuse { request, retry_after } => {
+                Action::Reject { request, retry_after } => {
                     post(&state.requests, request, Mail::Refuse { retry_after });
                 }
                 Action::Fail { request } => post(&state.requests, request, Mail::Fail),
-                Action::Timer { delay, token } => {
+                Action::SetTimer { delay, token } => {
                     // Only a desk that is being dropped has no one at the other end.
                     let _ = self.timers.try_send((now.saturating_add(delay), token));
                 }
@@ -108,7 +110,7 @@
                     let _ = self.probes.try_send(worker);
                 }
                 // The watch on the host group always runs and asks again by itself.
-                Action::Watch => {}
+                Action::WatchWorkerList => {}
                 Action::Log(text) => info!(target: "module", "{text}"),
             }
         }
@@ -148,13 +150,15 @@
 /// The name of an event in the log.
 fn name(event: &Event) -> &'static str {
     match event {
-        Event::Members(_) => "executor list",
+        Event::WorkerList(_) => "executor list",
         Event::Arrival(_) => "arrival",
-        Event::Started { .. } | Event::Streaming { .. } | Event::Progress { .. } => "progress of an attempt",
-        Event::Outcome { .. } => "end of an attempt",
-        Event::Written { .. } | Event::PassedOn(_) => "body written",
-        Event::Lapsed(_) => "client left",
-        Event::Probed { .. } => "probe",
+        Event::AttemptStarted { .. } | Event::ResponseStreaming { .. } | Event::AttemptProgress { .. } => {
+            "progress of an attempt"
+        }
+        Event::AttemptEnded { .. } => "end of an attempt",
+        Event::RequestSent { .. } | Event::BodyConsumed(_) => "body written",
+        Event::ClientDisconnected(_) => "client left",
+        Event::ProbeEnded { .. } => "probe",
         Event::Timer(_) => "timer",
     }
 }
--- a/crates/engine/src/ending.rs
+++ b/crates/engine/src/ending.rs
@@ -65,8 +65,8 @@
         match self {
             Ending::Done(_) => Outcome::Ok,
             Ending::Failed | Ending::Malformed | Ending::WrongId | Ending::Oversize => Outcome::Error,
-            Ending::Returned => Outcome::Full,
-            Ending::Unusable => Outcome::Unusable,
+            Ending::Returned => Outcome::Rejected,
+            Ending::Unusable => Outcome::InvalidRequest,
             Ending::Leaving
             | Ending::Unreachable
             | Ending::ConnectLate
@@ -80,7 +80,7 @@
             | Ending::NoTimeLeft
             | Ending::WindowOver
             | Ending::NoDescriptor
-            | Ending::Body(_) => Outcome::Moot,
+            | Ending::Body(_) => Outcome::NotSent,
         }
     }
 
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -16,7 +16,7 @@
 use async_io::Timer;
 use sorrelhaven_body_store::{Bodies, Disk, Permit};
 use sorrelhaven_config::{Config, HostList};
-use sorrelhaven_dispatcher::{Effect, Event, Lifecycle, Members, WorkerId};
+use sorrelhaven_dispatcher::{Event, Idempotency, Lifecycle, WorkerId, WorkerListUpdate};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -83,14 +83,19 @@
             ways: ways.clone(),
             counters: counters.clone(),
             tasks: tasks.clone(),
-            single_run: config.settings.classes.iter().map(|c| c.effect == Effect::Unsafe).collect(),
-            full_is_no_proof: config.settings.rules.full_may_have_run,
+            single_run: config
+                .settings
+                .classes
+                .iter()
+                .map(|c| c.idempotency == Idempotency::NotIdempotent)
+                .collect(),
+            full_is_no_proof: config.settings.limits.rejection_may_have_run,
             open_ids: Default::default(),
         });
         let entries = ways.host_group.learn(&config.known, desk.clock.now());
-        desk.tell(Event::Members(Members::Cached(entries)));
+        desk.tell(Event::WorkerList(WorkerListUpdate::Cached(entries)));
         let places = Places::new(tasks.clone());
-        let source = if config.settings.subscribe { Source::Asked } else { Source::Pushed };
+        let source = if config.settings.polls_discovery { Source::Asked } else { Source::Pushed };
         let backoff = Backoff::new(config.seed, config.drain_grace, config.ask_within);
         Rc::new(Engine { tasks, desk, ways, bodies, places, counters, requests, probes, backoff, source })
     }
@@ -140,7 +145,8 @@
             self.ways.links.forget(entry.worker);
         }
         self.counters.lists.add();
-        let members = if list.whole { Members::Full(entries) } else { Members::Delta(entries) };
-        self.desk.tell(Event::Members(members));
+        let members =
+            if list.whole { WorkerListUpdate::Full(entries) } else { WorkerListUpdate::Delta(entries) };
+        self.desk.tell(Event::WorkerList(members));
     }
 }
--- a/crates/engine/src/host_group.rs
+++ b/crates/engine/src/host_group.rs
@@ -8,7 +8,7 @@
 use futures_lite::FutureExt;
 use futures_lite::future::{or, poll_fn, yield_now};
 use sorrelhaven_config::{Error, HostList, Names};
-use sorrelhaven_dispatcher::{Entry, Lifecycle, Micros, WorkerId};
+use sorrelhaven_dispatcher::{Lifecycle, Micros, WorkerEntry, WorkerId};
 use sorrelhaven_wire::{Came, Fault, Head, Link, Objects, Start, by};
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -168,7 +168,7 @@
 
     /// Takes in a list, read at `now`, and gives its entries as the module takes them. An entry that does not read is
     /// passed over: one odd host must not hide what the list says of the others.
-    pub fn learn(&self, list: &HostList, now: Micros) -> Vec<Entry> {
+    pub fn learn(&self, list: &HostList, now: Micros) -> Vec<WorkerEntry> {
         let known = &mut *self.known.borrow_mut();
         known.births.begin_list(list.hosts.iter().map(|host| host.born_ms.saturating_mul(1_000)), now);
         let mut entries = Vec::new();
@@ -177,7 +177,7 @@
             let next = WorkerId(known.addresses.len() as u32);
             match host.entry(known.numbers.get(&host.host).copied().unwrap_or(next), &self.names) {
                 Ok(mut entry) => {
-                    entry.born = known.births.start(entry.worker, entry.born, now);
+                    entry.started_at = known.births.start(entry.worker, entry.started_at, now);
                     if entry.worker == next {
                         known.numbers.insert(host.host.clone(), next);
                         known.addresses.push(None);
--- a/crates/engine/src/invariants.rs
+++ b/crates/engine/src/invariants.rs
@@ -132,7 +132,7 @@
 
     /// An attempt whose last byte was written has ended.
     pub fn ended(&self, ending: &Ending, was_written: bool) {
-        if was_written && ending.outcome() == Outcome::Full && !self.full_is_no_proof {
+        if was_written && ending.outcome() == Outcome::Rejected && !self.full_is_no_proof {
             self.proven_unrun.set(self.proven_unrun.get() + 1);
         }
     }
--- a/crates/engine/src/probe.rs
+++ b/crates/engine/src/probe.rs
@@ -15,7 +15,7 @@
 pub async fn run(desk: Rc<Desk>, ways: Rc<Ways>, worker: WorkerId) {
     ways.counters.probes.add();
     let ending = by(Instant::now() + WAIT, probe(&ways, worker)).await.unwrap_or(Ending::Silent);
-    desk.tell(Event::Probed { worker, outcome: ending.outcome(), report: Vec::new() });
+    desk.tell(Event::ProbeEnded { worker, outcome: ending.outcome(), load_report: Vec::new() });
 }
 
 async fn probe(ways: &Ways, worker: WorkerId) -> Ending {
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -131,12 +131,12 @@
         self.requests.desk.tell(Event::Arrival(Arrival {
             request,
             class,
-            due,
-            hint,
-            width,
-            resent,
-            key,
-            sendable,
+            deadline: due,
+            work_hint: hint,
+            slots: width,
+            is_retry: resent,
+            affinity_key: key,
+            body_sendable: sendable,
         }));
         // A request is over when it has its answer and every execution its outcome, also one that the module has asked
         // for and that is still in the box: without it the module would count on that execution for ever.
@@ -167,12 +167,12 @@
                 Mail::Fail => self.answer(Answer::Failed),
                 Mail::Started { attempt } => {
                     if let Some(&Execution { worker, .. }) = self.executions.get(&attempt) {
-                        self.requests.desk.tell(Event::Started { request, attempt, worker });
+                        self.requests.desk.tell(Event::AttemptStarted { request, attempt, worker });
                     }
                 }
                 Mail::Running { attempt, share } => {
                     if let Some(&Execution { worker, .. }) = self.executions.get(&attempt) {
-                        self.requests.desk.tell(Event::Progress { request, attempt, worker, share });
+                        self.requests.desk.tell(Event::AttemptProgress { request, attempt, worker, share });
                     }
                 }
                 Mail::Written { attempt } => {
@@ -182,10 +182,10 @@
                     if let Some(execution) = self.executions.get_mut(&attempt) {
                         execution.sent = now;
                         let worker = execution.worker;
-                        self.requests.desk.tell(Event::Written { request, attempt, worker });
+                        self.requests.desk.tell(Event::RequestSent { request, attempt, worker });
                     }
                 }
-                Mail::PassedOn => self.requests.desk.tell(Event::PassedOn(request)),
+                Mail::PassedOn => self.requests.desk.tell(Event::BodyConsumed(request)),
                 Mail::Ended { attempt, ending, load } => self.ended(attempt, ending, load),
                 Mail::Left => {
                     if !self.fate.over.replace(true) {
@@ -195,7 +195,7 @@
                             self.requests.counters.lapsed_waiting.add();
                         }
                         self.requests.counters.gave(self.class, End::Lapsed);
-                        self.requests.desk.tell(Event::Lapsed(request));
+                        self.requests.desk.tell(Event::ClientDisconnected(request));
                     }
                 }
             }
@@ -246,7 +246,15 @@
         }
         let took = self.requests.desk.clock.now() - sent;
         let (request, closed) = (self.id, self.fate.over.get());
-        self.requests.desk.tell(Event::Outcome { request, attempt, worker, outcome, took, closed, report });
+        self.requests.desk.tell(Event::AttemptEnded {
+            request,
+            attempt,
+            worker,
+            outcome,
+            elapsed: took,
+            request_concluded: closed,
+            load_report: report,
+        });
     }
 
     /// Answers a request for which nothing else did, and has the module withdraw what is still out for it.
@@ -258,7 +266,7 @@
         warn!(id = %self.name, attempts, "a request past its deadline had no answer");
         self.requests.counters.answered_by_guard.add();
         self.answer(Answer::Failed);
-        self.requests.desk.tell(Event::Lapsed(self.id));
+        self.requests.desk.tell(Event::ClientDisconnected(self.id));
         let out: Vec<u32> = self.executions.keys().copied().collect();
         out.into_iter().for_each(|attempt| self.ended(attempt, Ending::Withdrawn, Vec::new()));
     }
--- a/crates/engine/src/tests/endings.rs
+++ b/crates/engine/src/tests/endings.rs
@@ -66,15 +66,31 @@
         let (mail, inbox) = async_channel::unbounded();
         let request = desk.open(mail);
         let (due, hint) = (desk.clock.now() + 4_000_000, Some(50_000));
-        let arrival =
-            Arrival { request, class: 0, due, hint, width: 1.0, resent: false, key: 0, sendable: true };
+        let arrival = Arrival {
+            request,
+            class: 0,
+            deadline: due,
+            work_hint: hint,
+            slots: 1.0,
+            is_retry: false,
+            affinity_key: 0,
+            body_sendable: true,
+        };
         desk.tell(Event::Arrival(arrival));
         let first = inbox.try_recv();
         assert!(matches!(first, Ok(Mail::Send { worker: WorkerId(0), .. })), "{ending:?}: {first:?}");
-        desk.tell(Event::PassedOn(request));
+        desk.tell(Event::BodyConsumed(request));
         let (outcome, closed) = (ending.outcome(), matches!(ending, Ending::Done(_)));
         let (worker, report) = (WorkerId(0), Vec::new());
-        desk.tell(Event::Outcome { request, attempt: 0, worker, outcome, took: 1_000, closed, report });
+        desk.tell(Event::AttemptEnded {
+            request,
+            attempt: 0,
+            worker,
+            outcome,
+            elapsed: 1_000,
+            request_concluded: closed,
+            load_report: report,
+        });
         let answers: Vec<Mail> = std::iter::from_fn(|| inbox.try_recv().ok()).collect();
         let right = match (&answers[..], closed, never_ran(&ending)) {
             ([], true, _) => true,
--- a/crates/engine/src/tests/server_link.rs
+++ b/crates/engine/src/tests/server_link.rs
@@ -196,7 +196,7 @@
 /// The node's own want of a descriptor is no word on the executor.
 #[test]
 fn no_descriptor_is_told_as_never_sent() {
-    assert_eq!(Ending::NoDescriptor.outcome(), Outcome::Moot);
+    assert_eq!(Ending::NoDescriptor.outcome(), Outcome::NotSent);
     let engine = shared::engine("127.0.0.1:1".parse().expect("an address"));
     let held: Vec<_> = std::iter::from_fn(|| engine.ways.links.permit()).collect();
     let order = order(Duration::from_secs(9));
@@ -283,6 +283,6 @@
     let order = Order { before: Instant::now(), ..order(Duration::from_secs(9)) };
     shared::run(&engine, execution::run(engine.ways.clone(), parcel(&engine), order, mail));
     let Ok(Mail::Ended { ending, .. }) = inbox.try_recv() else { panic!("no outcome") };
-    assert_eq!((ending.clone(), ending.outcome()), (Ending::WindowOver, Outcome::Moot));
+    assert_eq!((ending.clone(), ending.outcome()), (Ending::WindowOver, Outcome::NotSent));
     assert_eq!(engine.counters.written.get(), 0);
 }
--- a/crates/engine/src/tests/watch.rs
+++ b/crates/engine/src/tests/watch.rs
@@ -86,8 +86,8 @@
 
 /// How many executors take work, and how many do not.
 fn counted(engine: &Engine) -> [usize; 2] {
-    let census = engine.desk.census();
-    [(census.known - census.draining) as usize, census.draining as usize]
+    let worker_counts = engine.desk.worker_counts();
+    [(worker_counts.known - worker_counts.draining) as usize, worker_counts.draining as usize]
 }
 
 #[test]
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts sorrelhaven_dispatcher dispatchers on the bench's wire: one batch of events a line in, one reply a line out.
+//! Hosts dispatchers on the simulator's wire: one batch of events a line in, one reply a line out.
 //!
 //! It translates and decides nothing. Ids are interned per instance, so what an instance does cannot
 //! depend on which others share its process.
@@ -7,8 +7,8 @@
 
 use sorrelhaven_config as config;
 use sorrelhaven_dispatcher::{
-    Action, Arrival, Dispatcher, Entry, Event, Lifecycle, Members, Micros, Outcome, RequestId, Settings,
-    WorkerId,
+    Action, Arrival, Dispatcher, Event, Lifecycle, Micros, Outcome, RequestId, Settings, WorkerEntry,
+    WorkerId, WorkerListUpdate,
 };
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
@@ -18,7 +18,7 @@
 /// A list line with the worker still by its word: lists belong to the process, numbers to an instance.
 struct NamedEntry {
     worker: String,
-    entry: Entry,
+    entry: WorkerEntry,
 }
 
 /// A request's word, and what is still to come for it.
@@ -106,7 +106,7 @@
             Action::Cancel { request, attempt } => {
                 Order::Cancel { call: self.calls.get(&request)?.word.clone(), attempt }
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 let call = self.calls.get(&request)?.word.clone();
                 self.end(request);
                 self.settle(request);
@@ -119,8 +119,8 @@
                 Order::Error { call }
             }
             Action::Probe { worker } => Order::Test { worker: worker_word(worker)? },
-            Action::Timer { delay, token } => Order::Sleep { sleep_for: delay, handle: token },
-            Action::Watch => Order::StreamChanges { enable: true },
+            Action::SetTimer { delay, token } => Order::Sleep { sleep_for: delay, handle: token },
+            Action::WatchWorkerList => Order::StreamChanges { enable: true },
             Action::Log(text) => Order::Record { text },
         })
     }
@@ -184,39 +184,39 @@
                     let rows = self.ledgers.get(&bank).ok_or_else(|| format!("no ledger {bank}"))?;
                     for row in rows {
                         let worker = instance.worker(&row.worker);
-                        entries.push(Entry { worker, ..row.entry.clone() });
+                        entries.push(WorkerEntry { worker, ..row.entry.clone() });
                     }
                 }
-                Event::Members(match mode {
-                    0 => Members::Delta(entries),
-                    1 => Members::Full(entries),
-                    2 => Members::Cached(entries),
-                    3 => Members::Failed,
+                Event::WorkerList(match mode {
+                    0 => WorkerListUpdate::Delta(entries),
+                    1 => WorkerListUpdate::Full(entries),
+                    2 => WorkerListUpdate::Cached(entries),
+                    3 => WorkerListUpdate::Failed,
                     _ => return Err(format!("update of unknown mode {mode}")),
                 })
             }
             Message::Inbound(m) => Event::Arrival(Arrival {
                 request: instance.arrive(&m.call),
                 class: m.grade,
-                due: m.due,
-                hint: m.cost,
-                width: m.width.unwrap_or(1.0),
-                resent: m.resent,
-                key: m.object.map_or(0, |word| sorrelhaven_config::key(&word)),
-                sendable: true,
+                deadline: m.due,
+                work_hint: m.cost,
+                slots: m.width.unwrap_or(1.0),
+                is_retry: m.resent,
+                affinity_key: m.object.map_or(0, |word| sorrelhaven_config::key(&word)),
+                body_sendable: true,
             }),
             Message::Notice { call, worker, kind, amount, attempt } => {
                 let Some(&request) = instance.requests.get(&*call) else { return Ok(()) };
                 let worker = instance.worker(&worker);
                 match kind {
-                    1 => Event::Started { request, attempt, worker },
-                    2 => Event::Progress { request, attempt, worker, share: amount },
+                    1 => Event::AttemptStarted { request, attempt, worker },
+                    2 => Event::AttemptProgress { request, attempt, worker, share: amount },
                     _ => return Ok(()),
                 }
             }
             Message::Begun { call, worker, attempt } => {
                 let Some(&request) = instance.requests.get(&*call) else { return Ok(()) };
-                Event::Streaming { request, attempt, worker: instance.worker(&worker) }
+                Event::ResponseStreaming { request, attempt, worker: instance.worker(&worker) }
             }
             Message::Verdict(v) => {
                 let Some(&request) = instance.requests.get(&*v.call) else { return Ok(()) };
@@ -227,25 +227,27 @@
                     instance.end(request);
                 }
                 settled = Some(request);
-                Event::Outcome {
+                Event::AttemptEnded {
                     request,
                     attempt: v.attempt,
                     worker: instance.worker(&v.worker),
                     outcome: outcome(v.result)?,
-                    took: v.wait_time,
-                    closed: v.over,
-                    report: v.metrics,
+                    elapsed: v.wait_time,
+                    request_concluded: v.over,
+                    load_report: v.metrics,
                 }
             }
             Message::Lapsed { call } => {
                 let Some(&request) = instance.requests.get(&*call) else { return Ok(()) };
                 instance.end(request);
                 settled = Some(request);
-                Event::Lapsed(request)
-            }
-            Message::PingResult { worker, result, metrics } => {
-                Event::Probed { worker: instance.worker(&worker), outcome: outcome(result)?, report: metrics }
+                Event::ClientDisconnected(request)
             }
+            Message::PingResult { worker, result, metrics } => Event::ProbeEnded {
+                worker: instance.worker(&worker),
+                outcome: outcome(result)?,
+                load_report: metrics,
+            },
             Message::Wakeup { handle } => Event::Timer(handle),
             Message::Memo {} | Message::Create { .. } | Message::Kill {} | Message::Ledger { .. } => {
                 return Ok(());
@@ -263,12 +265,12 @@
     Ok(match code {
         0 => Outcome::Ok,
         1 => Outcome::Error,
-        2 => Outcome::Full,
+        2 => Outcome::Rejected,
         3 => Outcome::Timeout,
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
-        7 => Outcome::Moot,
+        7 => Outcome::NotSent,
         _ => return Err(format!("unknown outcome {code}")),
     })
 }
@@ -280,15 +282,15 @@
         2 => Lifecycle::Draining,
         other => return Err(format!("unknown lifecycle {other}")),
     };
-    let entry = Entry {
+    let entry = WorkerEntry {
         worker: WorkerId(0),
-        key: config::key(&row.worker),
+        name_hash: config::key(&row.worker),
         lifecycle,
-        born: row.born,
+        started_at: row.born,
         kind: row.machine,
         zone: row.region_part,
         cell: row.group,
-        rating: row.rating,
+        weight: row.rating,
     };
     Ok(NamedEntry { worker: row.worker.into_owned(), entry })
 }
@@ -315,7 +317,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("sorrelhaven_dispatcher-adapter: {message}");
+            eprintln!("sorrelhaven-simulator: {message}");
             ExitCode::FAILURE
         }
     }
