--- a/crates/admin/src/desk.rs
+++ b/crates/admin/src/desk.rs
@@ -67,11 +67,11 @@
     /// The figures now.
     pub fn figures(&self) -> Figures {
         let counters = &self.engine.counters;
-        let worker_counts = self.engine.desk.worker_counts();
+        let worker_counts = self.engine.dispatcher_loop.worker_counts();
         let classes = counters.classes().map(|(name, class)| ClassFigures {
             class: name.to_string(),
             passed: class.served.get(),
-            dropped: class.throttled.get(),
+            dropped: class.rejected.get(),
             bad_gateway: class.failed.get(),
         });
         Figures {
--- a/crates/admin/tests/scrape.rs
+++ b/crates/admin/tests/scrape.rs
@@ -6,7 +6,7 @@
 use sorrelhaven_admin::Desk;
 use sorrelhaven_body_store::End;
 use sorrelhaven_config::Config;
-use sorrelhaven_engine::{Answer, Engine, Job, Parcel};
+use sorrelhaven_engine::{Answer, Engine, Job, RequestPayload};
 use sorrelhaven_lifecycle::Standing;
 use sorrelhaven_test_support::{Act, Boxes, boxes_file, check};
 use std::cell::Cell;
@@ -62,15 +62,15 @@
     let headers = vec![("Idempotency-Key", format!("k-{number}"))];
     Job {
         class: case.class,
-        due: engine.desk.clock.now() + case.time,
-        hint: Some(1_000),
-        width: 1.0,
-        resent: false,
-        key: 0,
-        sendable: true,
-        place: None,
-        client: None,
-        parcel: Parcel { id, method, target, headers, body },
+        deadline: engine.dispatcher_loop.clock.now() + case.time,
+        work_hint: Some(1_000),
+        slots: 1.0,
+        is_retry: false,
+        affinity_key: 0,
+        body_sendable: true,
+        body_permit: None,
+        client_probe: None,
+        payload: RequestPayload { id, method, target, headers, body },
     }
 }
 
@@ -78,18 +78,18 @@
 fn adds_up(engine: &Engine, desk: &Desk) -> bool {
     let counters = &engine.counters;
     let ended = |c: &sorrelhaven_engine::ClassCounters| {
-        [&c.served, &c.throttled, &c.failed, &c.lapsed].map(|count| count.get()).iter().sum::<u64>()
+        [&c.served, &c.rejected, &c.failed, &c.client_gone].map(|count| count.get()).iter().sum::<u64>()
     };
     let (taken, done): (u64, u64) = counters
         .classes()
-        .map(|(_, c)| (c.taken.get(), ended(c)))
+        .map(|(_, c)| (c.admitted.get(), ended(c)))
         .fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1));
     let figures = desk.figures();
     let shown: u64 = figures.classes.iter().map(|c| c.passed + c.dropped + c.bad_gateway).sum();
-    let left = counters.total(|c| &c.lapsed);
+    let left = counters.total(|c| &c.client_gone);
     taken == done + figures.in_progress
         && shown + left == done
-        && counters.classes().all(|(_, c)| ended(c) <= c.taken.get())
+        && counters.classes().all(|(_, c)| ended(c) <= c.admitted.get())
         && figures.skipped_executors <= figures.known_executors
 }
 
@@ -104,7 +104,7 @@
         let engine = Engine::new(&Config::parse(&text, |_| None).expect("a configuration"), None);
         let desk = Desk::new(engine.clone(), Rc::<Standing>::default(), None);
         let at = engine.clone();
-        engine.tasks.spawn_urgent(async move { at.desk.run_timers().await });
+        engine.tasks.spawn_urgent(async move { at.dispatcher_loop.run_timers().await });
         let heard = Rc::new(Cell::new([0_u64; 4]));
         for (number, case) in cases.iter().copied().enumerate() {
             let (at, heard) = (engine.clone(), heard.clone());
@@ -123,10 +123,10 @@
                 };
                 let place = match or(async { Some(ticket.answer().await) }, leaves).await {
                     Some(Some(Answer::Served(_))) => 0,
-                    Some(Some(Answer::Throttled { .. })) => 1,
+                    Some(Some(Answer::Rejected { .. })) => 1,
                     Some(Some(Answer::Failed) | None) => 2,
                     None => {
-                        ticket.leave();
+                        ticket.client_disconnected();
                         3
                     }
                 };
@@ -138,7 +138,7 @@
         let sum = |heard: &Cell<[u64; 4]>| heard.get().iter().sum::<u64>() as usize;
         let watch = async {
             let mut sound = adds_up(&engine, &desk);
-            while sum(&heard) < cases.len() || engine.desk.open_requests() > 0 {
+            while sum(&heard) < cases.len() || engine.dispatcher_loop.registered_requests() > 0 {
                 yield_now().await;
                 seen.set(seen.get() + 1);
                 sound &= adds_up(&engine, &desk);
@@ -155,7 +155,7 @@
         let counted = [of(|c| c.passed), of(|c| c.dropped), of(|c| c.bad_gateway)];
         // One that leaves in the step in which its answer comes was answered, and has left.
         let crossed = counted.iter().sum::<u64>() - (served + refused + failed);
-        prop_assert!(crossed <= left && engine.counters.total(|c| &c.lapsed) == left - crossed);
+        prop_assert!(crossed <= left && engine.counters.total(|c| &c.client_gone) == left - crossed);
         prop_assert!(counted[0] >= served && counted[1] >= refused && counted[2] >= failed);
         prop_assert_eq!(figures.in_progress, 0);
         // Each run was written whole; what a box turned away was, too.
--- a/crates/dispatcher/tests/mix.rs
+++ b/crates/dispatcher/tests/mix.rs
@@ -26,7 +26,7 @@
     request: RequestId,
     class: usize,
     size: Micros,
-    key: u64,
+    affinity_key: u64,
     born: Micros,
 }
 
@@ -164,10 +164,10 @@
             let (job, sent) = w.waiting.remove(i);
             w.busy += 1;
             w.begun += 1;
-            let kept = w.keys.iter().position(|&k| k == job.key);
+            let kept = w.keys.iter().position(|&k| k == job.affinity_key);
             let fetch = if kept.is_some() { 0 } else { FETCH };
             kept.map(|i| w.keys.remove(i));
-            w.keys.push_back(job.key);
+            w.keys.push_back(job.affinity_key);
             if w.keys.len() > KEPT {
                 w.keys.pop_front();
             }
@@ -189,7 +189,7 @@
         // Keys are asked for as unevenly as 1/rank.
         let key = (KEYS as f64).powf(self.rng.f64()) as u64;
         let request = self.nodes[node].0.request();
-        let job = Job { node, life: self.nodes[node].1, request, class, size, key, born: now };
+        let job = Job { node, life: self.nodes[node].1, request, class, size, affinity_key: key, born: now };
         self.open.insert((node, request), job);
         self.worth.entry((class, now / S)).or_default().0 += size as f64;
         let key = key.wrapping_mul(0x2545_f491_4f6c_dd1d);
--- a/crates/engine/src/execution.rs
+++ b/crates/engine/src/attempt.rs
@@ -2,11 +2,11 @@
 //!
 //! Dropping the future closes the link, which is how an execution is withdrawn.
 
-use crate::ending::Ending;
+use crate::attempt_end::AttemptEnd;
+use crate::connection_pool::PooledConnection;
 use crate::invariants::Written;
-use crate::job::{Fate, Mail, Parcel};
-use crate::links::ServerLink;
-use crate::ways::Ways;
+use crate::job::{RequestMessage, RequestPayload, RequestState};
+use crate::upstreams::Upstreams;
 use async_channel::Sender;
 use async_io::Timer;
 use futures_lite::future::yield_now;
@@ -68,11 +68,11 @@
     Nothing,
     Started,
     Running(f64),
-    Over(Ending),
+    Over(AttemptEnd),
 }
 
 /// Where an execution goes, and until when.
-pub struct Order {
+pub struct AttemptSpec {
     /// The number of the execution within its request.
     pub attempt: u32,
     /// The executor.
@@ -80,91 +80,102 @@
     /// When the node stops waiting.
     pub deadline: Instant,
     /// From when on it must not be sent any more; no later than `deadline`.
-    pub before: Instant,
+    pub send_by: Instant,
     /// How far the request has come.
-    pub fate: Rc<Fate>,
+    pub request: Rc<RequestState>,
     /// Set once its last byte was written.
-    pub written: Rc<Cell<bool>>,
+    pub fully_sent: Rc<Cell<bool>>,
 }
 
-impl Order {
+impl AttemptSpec {
     /// Whether a repeat would not be dropped any more, though its client still waits.
     fn window_over(&self) -> bool {
-        self.before < self.deadline && Instant::now() >= self.before
+        self.send_by < self.deadline && Instant::now() >= self.send_by
     }
 
     /// The request's last byte was written just now.
-    fn note_written(&self, ways: &Ways, id: &str) {
-        let fate = &self.fate;
-        fate.written.set(true);
-        self.written.set(true);
-        let client_left = fate.left.get();
-        ways.counters.wrote(client_left);
-        let draining = ways.host_group.draining(self.worker).map(|since| (since, ways.drain_grace));
-        let written = Written { client_left, before: self.before, draining };
+    fn note_written(&self, ways: &Upstreams, id: &str) {
+        let fate = &self.request;
+        fate.fully_sent.set(true);
+        self.fully_sent.set(true);
+        let client_left = fate.client_left_at.get();
+        ways.counters.request_sent(client_left);
+        let draining = ways.registry.draining_since(self.worker).map(|since| (since, ways.drain_grace));
+        let written = Written { client_left, send_by: self.send_by, draining };
         fate.guard.written(&ways.counters.invariants, id, &written);
     }
 
     /// Why nothing may be sent at this moment, if that is so. A client whose connection has ended is told to the module
     /// by whoever reads from it, which may have much to read before: until then the attempt waits.
-    async fn unsendable(&self) -> Option<Ending> {
-        while self.fate.client_gone() {
+    async fn unsendable(&self) -> Option<AttemptEnd> {
+        while self.request.client_gone() {
             Timer::after(GONE_LOOK).await;
         }
-        if self.fate.over.get() {
-            Some(Ending::Concluded)
+        if self.request.concluded.get() {
+            Some(AttemptEnd::RequestConcluded)
         } else if self.window_over() {
-            Some(Ending::WindowOver)
+            Some(AttemptEnd::IdempotencyWindowExpired)
         } else {
             let left = self.deadline.saturating_duration_since(Instant::now());
-            (left < LEAST_LEFT).then_some(Ending::NoTimeLeft)
+            (left < LEAST_LEFT).then_some(AttemptEnd::DeadlineTooClose)
         }
     }
 
     /// How it ends that its time is up before its last byte was written.
-    fn late(&self, ending: Ending) -> Ending {
-        if self.window_over() { Ending::WindowOver } else { ending }
+    fn late(&self, ending: AttemptEnd) -> AttemptEnd {
+        if self.window_over() { AttemptEnd::IdempotencyWindowExpired } else { ending }
     }
 }
 
 /// Runs one execution and reports to the request's mailbox; the last report is how it ended.
-pub async fn run(ways: Rc<Ways>, parcel: Rc<Parcel>, order: Order, mail: Sender<Mail>) {
-    let Order { attempt, worker, deadline, .. } = order;
-    let report = |m: Mail| {
+pub async fn run(
+    ways: Rc<Upstreams>,
+    parcel: Rc<RequestPayload>,
+    order: AttemptSpec,
+    mail: Sender<RequestMessage>,
+) {
+    let AttemptSpec { attempt, worker, deadline, .. } = order;
+    let report = |m: RequestMessage| {
         // A request stays until its executions have ended, so there is always someone to read it.
         let _ = mail.try_send(m);
     };
-    let end = |ending: Ending| report(Mail::Ended { attempt, ending, load: Vec::new() });
+    let end = |ending: AttemptEnd| {
+        report(RequestMessage::AttemptEnded { attempt, end: ending, load_report: Vec::new() })
+    };
     let mut server_link = match begin(&ways, &parcel, &order, &mail).await {
         Ok(link) => link,
         Err(ending) => return end(ending),
     };
     order.note_written(&ways, &parcel.id);
     if parcel.body.length().is_none_or(|length| length > BLOCK as u64) {
-        report(Mail::Written { attempt });
+        report(RequestMessage::RequestSent { attempt });
     }
     let (idle, written) = (server_link.idle, Instant::now());
     let link = &mut server_link.link;
     let mut answer = match by(deadline, Answer::begin(link)).await {
-        None => return end(Ending::Silent),
-        Some(Err(Ending::Broken | Ending::Cut))
+        None => return end(AttemptEnd::ResponseTimeout),
+        Some(Err(AttemptEnd::Reset | AttemptEnd::Truncated))
             if let Some(idle) = idle
                 && written.elapsed() < AT_ONCE =>
         {
-            ways.links.went_stale(idle);
-            return end(Ending::Stale);
+            ways.pool.record_stale(idle);
+            return end(AttemptEnd::StaleConnection);
         }
         Some(Err(ending)) => return end(ending),
         Some(Ok(answer)) => answer,
     };
     loop {
         match by(deadline, answer.step(link, &parcel.id)).await {
-            None => return end(Ending::Silent),
+            None => return end(AttemptEnd::ResponseTimeout),
             Some(Step::Nothing) => {}
-            Some(Step::Started) => report(Mail::Started { attempt }),
-            Some(Step::Running(share)) => report(Mail::Running { attempt, share }),
+            Some(Step::Started) => report(RequestMessage::AttemptStarted { attempt }),
+            Some(Step::Running(share)) => report(RequestMessage::AttemptProgress { attempt, share }),
             Some(Step::Over(ending)) => {
-                report(Mail::Ended { attempt, ending, load: answer.load(&ways) });
+                report(RequestMessage::AttemptEnded {
+                    attempt,
+                    end: ending,
+                    load_report: answer.load(&ways),
+                });
                 break;
             }
         }
@@ -172,7 +183,7 @@
         yield_now().await;
     }
     if by(Instant::now() + ANSWER_END, answer.rest(link)).await == Some(true) {
-        ways.links.put(worker, server_link);
+        ways.pool.check_in(worker, server_link);
     }
 }
 
@@ -182,26 +193,26 @@
 /// also where attempts can't be called off, nothing to an executor that was told to leave, and no repeat once it would
 /// not be dropped.
 async fn begin(
-    ways: &Ways,
-    parcel: &Parcel,
-    order: &Order,
-    mail: &Sender<Mail>,
-) -> Result<ServerLink, Ending> {
-    let Order { worker, before, .. } = *order;
-    let up_by = before.min(Instant::now() + ways.connect_limit);
-    let up = by(up_by, ways.link(worker)).await;
-    let (address, mut link) = up.ok_or_else(|| order.late(Ending::ConnectLate))??;
-    if !ways.host_group.takes(worker) {
-        return Err(Ending::Leaving);
+    ways: &Upstreams,
+    parcel: &RequestPayload,
+    order: &AttemptSpec,
+    mail: &Sender<RequestMessage>,
+) -> Result<PooledConnection, AttemptEnd> {
+    let AttemptSpec { worker, send_by: before, .. } = *order;
+    let up_by = before.min(Instant::now() + ways.connect_timeout);
+    let up = by(up_by, ways.connection(worker)).await;
+    let (address, mut link) = up.ok_or_else(|| order.late(AttemptEnd::ConnectTimeout))??;
+    if !ways.registry.accepts_work(worker) {
+        return Err(AttemptEnd::Draining);
     }
     if let Some(ending) = order.unsendable().await {
-        ways.links.put(worker, link);
+        ways.pool.check_in(worker, link);
         return Err(ending);
     }
     let host = address.to_string();
     by(before, write(ways, parcel, &host, order, &mut link.link, mail))
         .await
-        .ok_or_else(|| order.late(Ending::LateUnwritten))??;
+        .ok_or_else(|| order.late(AttemptEnd::TimeoutBeforeSent))??;
     Ok(link)
 }
 
@@ -209,25 +220,25 @@
 /// the executor sees a broken request, never a whole one. The head tells how long the client waits, so it is made when
 /// the first piece of the body is there and nothing else is waited for.
 async fn write(
-    ways: &Ways,
-    parcel: &Parcel,
+    ways: &Upstreams,
+    parcel: &RequestPayload,
     host: &str,
-    order: &Order,
+    order: &AttemptSpec,
     link: &mut Link,
-    mail: &Sender<Mail>,
-) -> Result<(), Ending> {
+    mail: &Sender<RequestMessage>,
+) -> Result<(), AttemptEnd> {
     let mut body = parcel.body.reader();
     let length = parcel.body.length();
     let (mut piece, mut out, mut written) = (Vec::new(), Vec::new(), 0);
     let (mut begun, mut passing, mut more) = (false, false, true);
     while more {
-        more = body.next(&mut piece).await.map_err(Ending::Body)?;
+        more = body.next(&mut piece).await.map_err(AttemptEnd::BodyUnavailable)?;
         if let Some(ending) = order.unsendable().await {
             return Err(ending);
         }
         if !passing && body.passing_on() {
             passing = true;
-            let _ = mail.try_send(Mail::PassedOn);
+            let _ = mail.try_send(RequestMessage::BodyConsumed);
         }
         if !std::mem::replace(&mut begun, true) {
             out = parcel.head(host, order.deadline, length);
@@ -268,11 +279,11 @@
 
 /// How an execution ended whose link broke before the last byte: an executor may turn a large request away by its head
 /// alone, and end the connection.
-async fn early(link: &mut Link, deadline: Instant) -> Ending {
+async fn early(link: &mut Link, deadline: Instant) -> AttemptEnd {
     let until = deadline.min(Instant::now() + EARLY);
     match by(until, Answer::begin(link)).await {
-        Some(Ok(answer)) if answer.returned => Ending::Returned,
-        _ => Ending::BrokenUnwritten,
+        Some(Ok(answer)) if answer.returned => AttemptEnd::Rejected,
+        _ => AttemptEnd::ResetBeforeSent,
     }
 }
 
@@ -287,11 +298,11 @@
 }
 
 impl Answer {
-    async fn begin(link: &mut Link) -> Result<Answer, Ending> {
-        let head = link.head(Head::answer).await.map_err(Ending::unreadable)?;
-        let Start::Answer { status } = head.start else { return Err(Ending::Malformed) };
+    async fn begin(link: &mut Link) -> Result<Answer, AttemptEnd> {
+        let head = link.head(Head::answer).await.map_err(AttemptEnd::unreadable)?;
+        let Start::Answer { status } = head.start else { return Err(AttemptEnd::Malformed) };
         let returned = matches!(status, 503 | 504) && head.get("Not-Started") == Some("1");
-        let lines = Lines::new(head.body().map_err(Ending::unreadable)?, LINE_MOST);
+        let lines = Lines::new(head.body().map_err(AttemptEnd::unreadable)?, LINE_MOST);
         let loads = (head.only("Server-Load").map(str::to_string), None);
         Ok(Answer { status, returned, keeps_alive: head.keeps_alive(), lines, loads })
     }
@@ -299,14 +310,14 @@
     async fn step(&mut self, link: &mut Link, id: &str) -> Step {
         match self.status {
             200 => {}
-            _ if self.returned => return Step::Over(Ending::Returned),
+            _ if self.returned => return Step::Over(AttemptEnd::Rejected),
             // The job's fault, not the executor's: any other would say the same.
-            400 | 404 => return Step::Over(Ending::Unusable),
-            _ => return Step::Over(Ending::Failed),
+            400 | 404 => return Step::Over(AttemptEnd::InvalidRequest),
+            _ => return Step::Over(AttemptEnd::Failed),
         }
         match self.lines.next(link).await {
-            Err(fault) => self.distrust(Ending::unreadable(fault)),
-            Ok(None) => self.distrust(Ending::Cut),
+            Err(fault) => self.distrust(AttemptEnd::unreadable(fault)),
+            Ok(None) => self.distrust(AttemptEnd::Truncated),
             Ok(Some(line)) if line.trim_ascii().is_empty() => Step::Nothing,
             Ok(Some(line)) => self.read(&line, id),
         }
@@ -314,7 +325,7 @@
 
     /// The end of an answer that breaks the protocol: what else comes on the link may belong to anything,
     /// so it is not used again.
-    fn distrust(&mut self, ending: Ending) -> Step {
+    fn distrust(&mut self, ending: AttemptEnd) -> Step {
         self.keeps_alive = false;
         Step::Over(ending)
     }
@@ -322,29 +333,29 @@
     /// Reads one job line.
     fn read(&mut self, line: &[u8], id: &str) -> Step {
         let Ok(line) = serde_json::from_slice::<JobLine<'_>>(line) else {
-            return self.distrust(Ending::Malformed);
+            return self.distrust(AttemptEnd::Malformed);
         };
         if line.id != id {
-            return self.distrust(Ending::WrongId);
+            return self.distrust(AttemptEnd::WrongRequestId);
         }
         self.loads.1 = line.load;
         match line.news {
             News::Started => Step::Started,
             News::Running { share } => Step::Running(share),
-            News::Done { result } if result.len() > BODY_MOST => self.distrust(Ending::Oversize),
-            News::Done { result } => Step::Over(Ending::Done(result)),
-            News::Failed => Step::Over(Ending::Failed),
-            News::Returned => Step::Over(Ending::Returned),
-            News::Lost => Step::Over(Ending::Lost),
+            News::Done { result } if result.len() > BODY_MOST => self.distrust(AttemptEnd::ResponseTooLarge),
+            News::Done { result } => Step::Over(AttemptEnd::Completed(result)),
+            News::Failed => Step::Over(AttemptEnd::Failed),
+            News::Returned => Step::Over(AttemptEnd::Rejected),
+            News::Lost => Step::Over(AttemptEnd::Killed),
         }
     }
 
     /// The load report that came with the end of the attempt, the line's before the head's. One that does not read is
     /// dropped: the answer stands.
-    fn load(&self, ways: &Ways) -> Vec<f64> {
+    fn load(&self, ways: &Upstreams) -> Vec<f64> {
         let read = match &self.loads {
-            (_, Some(line)) => ways.loads.object(line),
-            (Some(head), None) => ways.loads.text(head),
+            (_, Some(line)) => ways.load_fields.object(line),
+            (Some(head), None) => ways.load_fields.text(head),
             (None, None) => return Vec::new(),
         };
         let count = if read.is_some() { &ways.counters.loads } else { &ways.counters.loads_unread };
--- a/crates/engine/src/places.rs
+++ b/crates/engine/src/body_admission.rs
@@ -1,4 +1,4 @@
-//! Places for long bodies on their way to boxes.
+//! BodyAdmission for long bodies on their way to boxes.
 //!
 //! A box is held for as long as a body takes to get there, and all bodies share one core and one network: more of them
 //! at once make each slower and hold more boxes, without any getting there sooner. Guards against a surge of long bodies
@@ -19,24 +19,24 @@
 const HELD: Duration = Duration::from_secs(1);
 
 /// The places.
-pub struct Places {
+pub struct BodyAdmission {
     free: Arc<Semaphore>,
     tasks: Rc<Tasks>,
 }
 
 /// One of them; free again when dropped, or after a while.
-pub struct Place {
+pub struct BodyPermit {
     _held: Rc<RefCell<Option<SemaphoreGuardArc>>>,
 }
 
-impl Places {
-    /// Places that are all free.
-    pub fn new(tasks: Rc<Tasks>) -> Places {
-        Places { free: Arc::new(Semaphore::new(PLACES)), tasks }
+impl BodyAdmission {
+    /// BodyAdmission that are all free.
+    pub fn new(tasks: Rc<Tasks>) -> BodyAdmission {
+        BodyAdmission { free: Arc::new(Semaphore::new(PLACES)), tasks }
     }
 
     /// A place, in the order in which they were asked for; `None` where none is free by `deadline`.
-    pub async fn take(&self, deadline: Instant) -> Option<Place> {
+    pub async fn acquire(&self, deadline: Instant) -> Option<BodyPermit> {
         let guard = by(deadline, self.free.acquire_arc()).await?;
         let held = Rc::new(RefCell::new(Some(guard)));
         let place = Rc::downgrade(&held);
@@ -46,6 +46,6 @@
                 place.borrow_mut().take();
             }
         });
-        Some(Place { _held: held })
+        Some(BodyPermit { _held: held })
     }
 }
--- a/crates/engine/src/links.rs
+++ b/crates/engine/src/connection_pool.rs
@@ -1,7 +1,7 @@
 //! The pool of server links, and the descriptors that all links share.
 
+use crate::attempt_end::AttemptEnd;
 use crate::counters::Counters;
-use crate::ending::Ending;
 use sorrelhaven_dispatcher::WorkerId;
 use sorrelhaven_wire::{Call, Failure, Link, classify};
 use std::cell::{Cell, RefCell};
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Descriptors kept for what is not a link: standard streams, the poller, signals, the listener and where it was handed
+/// DescriptorBudget kept for what is not a link: standard streams, the poller, signals, the listener and where it was handed
 /// over, the watch with the asks beside it, and the operators' address with its callers.
 const RESERVED: usize = 40;
 /// An idle server link is dropped this long before the executor may close it. A request that crosses the
@@ -23,18 +23,18 @@
 const FINDING: Duration = Duration::from_secs(60);
 
 /// The descriptors that links may hold.
-pub struct Descriptors {
+pub struct DescriptorBudget {
     most: Cell<usize>,
     used: Cell<usize>,
 }
 
 /// One descriptor of those; free again when dropped.
-pub struct Permit(Rc<Descriptors>);
+pub struct Permit(Rc<DescriptorBudget>);
 
-impl Descriptors {
+impl DescriptorBudget {
     /// A budget within `sockets`, the limit on the whole process.
-    pub fn new(sockets: usize) -> Rc<Descriptors> {
-        let descriptors = Descriptors { most: Cell::new(0), used: Cell::new(0) };
+    pub fn new(sockets: usize) -> Rc<DescriptorBudget> {
+        let descriptors = DescriptorBudget { most: Cell::new(0), used: Cell::new(0) };
         descriptors.resize(sockets);
         Rc::new(descriptors)
     }
@@ -45,17 +45,17 @@
     }
 
     /// The most client links: two thirds, so that clients alone can't leave the executors without.
-    pub fn clients_most(&self) -> usize {
+    pub fn max_downstream(&self) -> usize {
         self.most.get() * 2 / 3
     }
 
     /// Whether more are in use than may be.
-    pub fn over(&self) -> bool {
+    pub fn is_exceeded(&self) -> bool {
         self.used.get() > self.most.get()
     }
 
     /// One descriptor, if one is free.
-    pub fn take(self: &Rc<Self>) -> Option<Permit> {
+    pub fn acquire(self: &Rc<Self>) -> Option<Permit> {
         let free = self.used.get() < self.most.get();
         free.then(|| {
             self.used.set(self.used.get() + 1);
@@ -71,7 +71,7 @@
 }
 
 /// A connection to an executor, with its descriptor.
-pub struct ServerLink {
+pub struct PooledConnection {
     /// The connection.
     pub link: Link,
     /// How long it had stood idle when it was taken from the pool; `None` for a new one.
@@ -81,31 +81,35 @@
 }
 
 struct Idle {
-    link: ServerLink,
+    link: PooledConnection,
     since: Instant,
 }
 
 /// The pool.
-pub struct Links {
+pub struct ConnectionPool {
     /// The descriptors of this node.
-    pub descriptors: Rc<Descriptors>,
+    pub descriptors: Rc<DescriptorBudget>,
     keepalive: Duration,
-    /// Links that had stood idle for longer were found to be stale, and until when that counts.
+    /// ConnectionPool that had stood idle for longer were found to be stale, and until when that counts.
     found: Cell<Option<(Duration, Instant)>>,
     idle: RefCell<HashMap<WorkerId, Vec<Idle>>>,
     counters: Rc<Counters>,
 }
 
-impl Links {
+impl ConnectionPool {
     /// An empty pool; executors close links that stand idle for `keepalive`.
-    pub fn new(descriptors: Rc<Descriptors>, keepalive: Duration, counters: Rc<Counters>) -> Links {
+    pub fn new(
+        descriptors: Rc<DescriptorBudget>,
+        keepalive: Duration,
+        counters: Rc<Counters>,
+    ) -> ConnectionPool {
         let kept = keepalive.saturating_sub(KEEPALIVE_MARGIN.min(keepalive / 2));
         let (found, idle) = (Cell::new(None), RefCell::default());
-        Links { descriptors, keepalive: kept, found, idle, counters }
+        ConnectionPool { descriptors, keepalive: kept, found, idle, counters }
     }
 
     /// How long an idle link is kept.
-    pub fn kept(&self) -> Duration {
+    pub fn idle_timeout(&self) -> Duration {
         match self.found.get() {
             Some((kept, until)) if Instant::now() < until => kept,
             _ => self.keepalive,
@@ -115,19 +119,19 @@
     /// A link that had stood idle for so long broke when it was used. Something on the way, or the executors,
     /// forgets links without a word, and sooner than the settings say: each one more may cost a job that must
     /// not run twice, where a new link costs a handshake.
-    pub fn went_stale(&self, idle: Duration) {
+    pub fn record_stale(&self, idle: Duration) {
         if idle > KEPT_LEAST {
-            let kept = (idle / 2).max(KEPT_LEAST).min(self.kept());
+            let kept = (idle / 2).max(KEPT_LEAST).min(self.idle_timeout());
             self.found.set(Some((kept, Instant::now() + FINDING)));
         }
     }
 
     /// An idle link to the executor that is fit for one more request; the one used last, so that the others
     /// can grow old.
-    pub fn take(&self, worker: WorkerId, address: SocketAddr) -> Option<ServerLink> {
+    pub fn checkout(&self, worker: WorkerId, address: SocketAddr) -> Option<PooledConnection> {
         let mut idle = self.idle.borrow_mut();
         let links = idle.get_mut(&worker)?;
-        let kept = self.kept();
+        let kept = self.idle_timeout();
         while let Some(Idle { mut link, since }) = links.pop() {
             let idle = since.elapsed();
             if link.address == address && idle < kept && !link.link.disturbed() {
@@ -139,19 +143,19 @@
     }
 
     /// Opens a link.
-    pub async fn open(&self, address: SocketAddr) -> Result<ServerLink, Ending> {
-        let permit = self.permit().ok_or(Ending::NoDescriptor)?;
+    pub async fn connect(&self, address: SocketAddr) -> Result<PooledConnection, AttemptEnd> {
+        let permit = self.acquire_descriptor().ok_or(AttemptEnd::NoDescriptor)?;
         self.counters.server_links.add();
         let link = Link::connect(address).await.map_err(|error| match classify(Call::Connect, &error) {
             // The node's own want says nothing of the executor.
-            Failure::DescriptorLimit | Failure::Shortage => Ending::NoDescriptor,
-            Failure::Interrupted | Failure::NotReady | Failure::Connection => Ending::Unreachable,
+            Failure::DescriptorLimit | Failure::Shortage => AttemptEnd::NoDescriptor,
+            Failure::Interrupted | Failure::NotReady | Failure::Connection => AttemptEnd::Unreachable,
         })?;
-        Ok(ServerLink { link, idle: None, address, _permit: permit })
+        Ok(PooledConnection { link, idle: None, address, _permit: permit })
     }
 
     /// Takes a link back whose exchange is complete.
-    pub fn put(&self, worker: WorkerId, link: ServerLink) {
+    pub fn check_in(&self, worker: WorkerId, link: PooledConnection) {
         if !link.link.disturbed() {
             let since = Instant::now();
             self.idle.borrow_mut().entry(worker).or_default().push(Idle { link, since });
@@ -159,17 +163,17 @@
     }
 
     /// A descriptor; where none is free, that of the idle server link that would be dropped first.
-    pub fn permit(&self) -> Option<Permit> {
-        self.descriptors.take().or_else(|| {
+    pub fn acquire_descriptor(&self) -> Option<Permit> {
+        self.descriptors.acquire().or_else(|| {
             self.free_oldest();
-            self.descriptors.take()
+            self.descriptors.acquire()
         })
     }
 
     /// Another limit on the descriptors of the process: idle server links beyond it are closed at once.
     pub fn resize(&self, sockets: usize) {
         self.descriptors.resize(sockets);
-        while self.descriptors.over() && self.free_oldest() {}
+        while self.descriptors.is_exceeded() && self.free_oldest() {}
     }
 
     /// Drops the idle server link that would be dropped first, if there is one.
@@ -180,8 +184,8 @@
     }
 
     /// Drops the idle links that are old or that the executor has closed.
-    pub fn sweep(&self) {
-        let kept = self.kept();
+    pub fn evict_expired(&self) {
+        let kept = self.idle_timeout();
         self.idle.borrow_mut().retain(|_, links| {
             links.retain(|l| l.since.elapsed() < kept && !l.link.link.disturbed());
             !links.is_empty()
@@ -189,7 +193,7 @@
     }
 
     /// Drops the idle links to an executor that takes no more work.
-    pub fn forget(&self, worker: WorkerId) {
+    pub fn evict_worker(&self, worker: WorkerId) {
         self.idle.borrow_mut().remove(&worker);
     }
 }
--- a/crates/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -15,15 +15,15 @@
 #[derive(Default)]
 pub struct ClassCounters {
     /// Requests taken.
-    pub taken: Count,
+    pub admitted: Count,
     /// Answered with an executor's result.
     pub served: Count,
     /// Answered with a throttle.
-    pub throttled: Count,
+    pub rejected: Count,
     /// Answered as failed, or ended without an answer by the node's own fault.
     pub failed: Count,
     /// Clients that left before their answer.
-    pub lapsed: Count,
+    pub client_gone: Count,
 }
 
 /// All counts since the start. A request is taken, and later one of served, throttled, failed or lapsed; until then it
@@ -67,15 +67,15 @@
 
 /// How a request ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestEnd {
     /// With an executor's result.
     Served,
     /// With a throttle.
-    Throttled,
+    Rejected,
     /// As failed.
     Failed,
     /// Its client left.
-    Lapsed,
+    ClientGone,
 }
 
 impl Counters {
@@ -96,20 +96,20 @@
     }
 
     /// Counts a request that is taken.
-    pub fn took(&self, class: usize) {
+    pub fn request_admitted(&self, class: usize) {
         self.in_progress.set(self.in_progress.get() + 1);
-        self.classes.get(class).into_iter().for_each(|(_, c)| c.taken.add());
+        self.classes.get(class).into_iter().for_each(|(_, c)| c.admitted.add());
     }
 
     /// Counts how a request that was taken ends.
-    pub fn gave(&self, class: usize, end: End) {
+    pub fn request_concluded(&self, class: usize, end: RequestEnd) {
         self.in_progress.set(self.in_progress.get() - 1);
         let Some((_, counts)) = self.classes.get(class) else { return };
         match end {
-            End::Served => counts.served.add(),
-            End::Throttled => counts.throttled.add(),
-            End::Failed => counts.failed.add(),
-            End::Lapsed => counts.lapsed.add(),
+            RequestEnd::Served => counts.served.add(),
+            RequestEnd::Rejected => counts.rejected.add(),
+            RequestEnd::Failed => counts.failed.add(),
+            RequestEnd::ClientGone => counts.client_gone.add(),
         }
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// Counts an execution whose last byte was written just now, where its client `left` before.
-    pub fn wrote(&self, left: Option<Instant>) {
+    pub fn request_sent(&self, left: Option<Instant>) {
         self.written.add();
         if let Some(left) = left {
             self.sent_lapsed.add();
@@ -130,7 +130,7 @@
     }
 
     /// Counts how an execution ended.
-    pub fn ended(&self, outcome: Outcome) {
+    pub fn attempt_ended(&self, outcome: Outcome) {
         self.outcomes[place(outcome)].add();
     }
 }
@@ -156,11 +156,11 @@
     /// All counts with their names, in the order in which they are shown.
     pub fn figures(&self) -> Vec<(&'static str, u64)> {
         let mut figures = vec![
-            ("taken", self.total(|c| &c.taken)),
+            ("taken", self.total(|c| &c.admitted)),
             ("served", self.total(|c| &c.served)),
-            ("throttled", self.total(|c| &c.throttled)),
+            ("throttled", self.total(|c| &c.rejected)),
             ("failed", self.total(|c| &c.failed)),
-            ("lapsed", self.total(|c| &c.lapsed)),
+            ("lapsed", self.total(|c| &c.client_gone)),
             ("in_progress", self.in_progress()),
             ("sent", self.sent.get()),
         ];
--- a/crates/engine/src/host_group.rs
+++ b/crates/engine/src/discovery_watch.rs
@@ -1,8 +1,8 @@
 //! The host group: discovery's list of executors, and the watch on it.
 
-use crate::births::Births;
 use crate::clock::length;
 use crate::counters::Counters;
+use crate::start_times::StartTimes;
 use async_channel::Receiver;
 use async_io::Timer;
 use futures_lite::FutureExt;
@@ -48,14 +48,14 @@
 }
 
 /// Numbers and addresses of all executors ever named.
-pub struct HostGroup {
+pub struct WorkerRegistry {
     names: Names,
     known: RefCell<Known>,
 }
 
 #[derive(Default)]
 struct Known {
-    births: Births,
+    births: StartTimes,
     numbers: HashMap<String, WorkerId>,
     addresses: Vec<Option<SocketAddr>>,
     takes: Vec<bool>,
@@ -145,10 +145,10 @@
     }
 }
 
-impl HostGroup {
+impl WorkerRegistry {
     /// Knows no executor yet.
-    pub fn new(names: Names) -> HostGroup {
-        HostGroup { names, known: RefCell::default() }
+    pub fn new(names: Names) -> WorkerRegistry {
+        WorkerRegistry { names, known: RefCell::default() }
     }
 
     /// Where an executor listens.
@@ -157,18 +157,18 @@
     }
 
     /// Whether the list says that an executor takes new work.
-    pub fn takes(&self, worker: WorkerId) -> bool {
+    pub fn accepts_work(&self, worker: WorkerId) -> bool {
         self.known.borrow().takes.get(worker.0 as usize).is_some_and(|takes| *takes)
     }
 
     /// Since when the list says that an executor takes no new work; `None` for one that does.
-    pub fn draining(&self, worker: WorkerId) -> Option<Instant> {
+    pub fn draining_since(&self, worker: WorkerId) -> Option<Instant> {
         self.known.borrow().draining.get(worker.0 as usize).copied().flatten()
     }
 
     /// Takes in a list, read at `now`, and gives its entries as the module takes them. An entry that does not read is
     /// passed over: one odd host must not hide what the list says of the others.
-    pub fn learn(&self, list: &HostList, now: Micros) -> Vec<WorkerEntry> {
+    pub fn apply(&self, list: &HostList, now: Micros) -> Vec<WorkerEntry> {
         let known = &mut *self.known.borrow_mut();
         known.births.begin_list(list.hosts.iter().map(|host| host.born_ms.saturating_mul(1_000)), now);
         let mut entries = Vec::new();
@@ -177,7 +177,7 @@
             let next = WorkerId(known.addresses.len() as u32);
             match host.entry(known.numbers.get(&host.host).copied().unwrap_or(next), &self.names) {
                 Ok(mut entry) => {
-                    entry.started_at = known.births.start(entry.worker, entry.started_at, now);
+                    entry.started_at = known.births.started_at(entry.worker, entry.started_at, now);
                     if entry.worker == next {
                         known.numbers.insert(host.host.clone(), next);
                         known.addresses.push(None);
--- a/crates/engine/src/desk.rs
+++ b/crates/engine/src/dispatcher_loop.rs
@@ -4,7 +4,7 @@
 //! timer, the probe or the log that it concerns. One event may act on many requests.
 
 use crate::clock::Clock;
-use crate::job::Mail;
+use crate::job::RequestMessage;
 use crate::responsiveness::Responsiveness;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
@@ -22,7 +22,7 @@
 type Due = (Micros, u64);
 
 /// The dispatcher and the ways from it to those that carry its actions out.
-pub struct Desk {
+pub struct DispatcherLoop {
     /// The clock of all events.
     pub clock: Clock,
     state: RefCell<State>,
@@ -34,12 +34,12 @@
 
 struct State {
     dispatcher: Dispatcher,
-    requests: HashMap<RequestId, Sender<Mail>>,
+    requests: HashMap<RequestId, Sender<RequestMessage>>,
     next: u64,
     actions: Vec<Action>,
 }
 
-impl Desk {
+impl DispatcherLoop {
     /// A desk that asks for probes through `probes`, and tells `responsiveness` how long its work takes.
     pub fn new(
         settings: Settings,
@@ -47,15 +47,15 @@
         clock: Clock,
         probes: Sender<WorkerId>,
         responsiveness: Rc<Responsiveness>,
-    ) -> Desk {
+    ) -> DispatcherLoop {
         let dispatcher = Dispatcher::new(settings, seed);
         let state = State { dispatcher, requests: HashMap::new(), next: 0, actions: Vec::new() };
         let (timers, timers_set) = async_channel::unbounded();
-        Desk { clock, state: RefCell::new(state), timers, timers_set, probes, responsiveness }
+        DispatcherLoop { clock, state: RefCell::new(state), timers, timers_set, probes, responsiveness }
     }
 
     /// Numbers a request; its actions go to `mail` until it is closed.
-    pub fn open(&self, mail: Sender<Mail>) -> RequestId {
+    pub fn register_request(&self, mail: Sender<RequestMessage>) -> RequestId {
         let mut state = self.state.borrow_mut();
         let id = RequestId(state.next);
         state.next += 1;
@@ -64,12 +64,12 @@
     }
 
     /// Forgets a request that has its answer and no execution.
-    pub fn close(&self, id: RequestId) {
+    pub fn deregister_request(&self, id: RequestId) {
         self.state.borrow_mut().requests.remove(&id);
     }
 
     /// Requests that are not closed.
-    pub fn open_requests(&self) -> usize {
+    pub fn registered_requests(&self) -> usize {
         self.state.borrow().requests.len()
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// Feeds the dispatcher one event and routes what it does about it.
-    pub fn tell(&self, event: Event) {
+    pub fn dispatch(&self, event: Event) {
         let now = self.clock.now();
         let state = &mut *self.state.borrow_mut();
         debug!(?event, "event");
@@ -93,15 +93,19 @@
                     // The module's time-out is relative and 0 for "until the client gives up": from here on
                     // there are only deadlines.
                     let deadline = if timeout == 0 { Micros::MAX } else { now.saturating_add(timeout) };
-                    post(&state.requests, request, Mail::Send { worker, deadline, before });
+                    route_action(
+                        &state.requests,
+                        request,
+                        RequestMessage::Send { worker, deadline, send_by: before },
+                    );
                 }
                 Action::Cancel { request, attempt } => {
-                    post(&state.requests, request, Mail::Cancel { attempt });
+                    route_action(&state.requests, request, RequestMessage::Cancel { attempt });
                 }
                 Action::Reject { request, retry_after } => {
-                    post(&state.requests, request, Mail::Refuse { retry_after });
+                    route_action(&state.requests, request, RequestMessage::Reject { retry_after });
                 }
-                Action::Fail { request } => post(&state.requests, request, Mail::Fail),
+                Action::Fail { request } => route_action(&state.requests, request, RequestMessage::Fail),
                 Action::SetTimer { delay, token } => {
                     // Only a desk that is being dropped has no one at the other end.
                     let _ = self.timers.try_send((now.saturating_add(delay), token));
@@ -139,7 +143,7 @@
                 pending.pop_first();
                 let lag = self.clock.now().saturating_sub(at);
                 self.responsiveness.longest_timer_lag.note(Duration::from_micros(lag.unsigned_abs()));
-                self.tell(Event::Timer(token));
+                self.dispatch(Event::Timer(token));
                 // However many are due, and however soon the next ones are: others must have their turn in between.
                 yield_now().await;
             }
@@ -164,7 +168,7 @@
 }
 
 /// An action may concern a request that was closed in the same moment; then nothing is left to do.
-fn post(requests: &HashMap<RequestId, Sender<Mail>>, id: RequestId, mail: Mail) {
+fn route_action(requests: &HashMap<RequestId, Sender<RequestMessage>>, id: RequestId, mail: RequestMessage) {
     match requests.get(&id) {
         Some(sender) => {
             let _ = sender.try_send(mail);
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,17 +1,17 @@
 //! The parts of one node put together, without a front.
 
+use crate::body_admission::BodyAdmission;
 use crate::clock::{Clock, length};
+use crate::connection_pool::{ConnectionPool, DescriptorBudget};
 use crate::counters::Counters;
-use crate::desk::Desk;
-use crate::host_group::{self, Backoff, HostGroup, Source, Watch};
+use crate::discovery_watch::{self, Backoff, Source, Watch, WorkerRegistry};
+use crate::dispatcher_loop::DispatcherLoop;
 use crate::job::Job;
-use crate::links::{Descriptors, Links};
 use crate::load::Fields;
-use crate::places::Places;
 use crate::probe;
-use crate::request::{Requests, Ticket};
+use crate::request::{RequestHandle, Requests};
 use crate::tasks::Tasks;
-use crate::ways::Ways;
+use crate::upstreams::Upstreams;
 use async_channel::Receiver;
 use async_io::Timer;
 use sorrelhaven_body_store::{Bodies, Disk, Permit};
@@ -34,13 +34,13 @@
     /// Where all tasks run.
     pub tasks: Rc<Tasks>,
     /// The desk.
-    pub desk: Rc<Desk>,
+    pub dispatcher_loop: Rc<DispatcherLoop>,
     /// The ways to executors.
-    pub ways: Rc<Ways>,
+    pub upstreams: Rc<Upstreams>,
     /// The bodies of requests.
     pub bodies: Rc<Bodies>,
-    /// Places for long bodies on their way to boxes.
-    pub places: Places,
+    /// BodyAdmission for long bodies on their way to boxes.
+    pub body_admission: BodyAdmission,
     /// The counters.
     pub counters: Rc<Counters>,
     requests: Rc<Requests>,
@@ -62,42 +62,58 @@
         let counters = Rc::new(Counters::new(classes));
         let responsiveness = counters.responsiveness.clone();
         let tasks = Rc::new(Tasks::new(responsiveness.clone()));
-        let desk =
-            Rc::new(Desk::new(config.settings.clone(), config.seed, Clock::start(), ask, responsiveness));
-        let descriptors = Descriptors::new(config.sockets);
-        let ways = Rc::new(Ways {
-            host_group: HostGroup::new(config.names.clone()),
-            links: Links::new(descriptors, length(config.keepalive), counters.clone()),
+        let desk = Rc::new(DispatcherLoop::new(
+            config.settings.clone(),
+            config.seed,
+            Clock::start(),
+            ask,
+            responsiveness,
+        ));
+        let descriptors = DescriptorBudget::new(config.sockets);
+        let ways = Rc::new(Upstreams {
+            registry: WorkerRegistry::new(config.names.clone()),
+            pool: ConnectionPool::new(descriptors, length(config.keepalive), counters.clone()),
             tasks: tasks.clone(),
             counters: counters.clone(),
-            loads: Fields::new(config.load_fields.clone()),
+            load_fields: Fields::new(config.load_fields.clone()),
             drain_grace: length(config.drain_grace) + DRAIN_SLACK,
-            connect_limit,
+            connect_timeout: connect_limit,
         });
         let parties = config.classes.len() * config.tenants.len().max(1);
         let at = ways.clone();
-        let permit = move || at.links.permit().map(|p| Box::new(p) as Permit);
+        let permit = move || at.pool.acquire_descriptor().map(|p| Box::new(p) as Permit);
         let bodies = Bodies::new(&config.operator.bodies, parties, disk, permit);
         let requests = Rc::new(Requests {
-            desk: desk.clone(),
-            ways: ways.clone(),
+            dispatcher_loop: desk.clone(),
+            upstreams: ways.clone(),
             counters: counters.clone(),
             tasks: tasks.clone(),
-            single_run: config
+            at_most_once: config
                 .settings
                 .classes
                 .iter()
                 .map(|c| c.idempotency == Idempotency::NotIdempotent)
                 .collect(),
-            full_is_no_proof: config.settings.limits.rejection_may_have_run,
+            rejection_may_have_run: config.settings.limits.rejection_may_have_run,
             open_ids: Default::default(),
         });
-        let entries = ways.host_group.learn(&config.known, desk.clock.now());
-        desk.tell(Event::WorkerList(WorkerListUpdate::Cached(entries)));
-        let places = Places::new(tasks.clone());
+        let entries = ways.registry.apply(&config.known, desk.clock.now());
+        desk.dispatch(Event::WorkerList(WorkerListUpdate::Cached(entries)));
+        let places = BodyAdmission::new(tasks.clone());
         let source = if config.settings.polls_discovery { Source::Asked } else { Source::Pushed };
         let backoff = Backoff::new(config.seed, config.drain_grace, config.ask_within);
-        Rc::new(Engine { tasks, desk, ways, bodies, places, counters, requests, probes, backoff, source })
+        Rc::new(Engine {
+            tasks,
+            dispatcher_loop: desk,
+            upstreams: ways,
+            bodies,
+            body_admission: places,
+            counters,
+            requests,
+            probes,
+            backoff,
+            source,
+        })
     }
 
     /// Starts what runs as long as the node: the watch on the host group, which goes on from version `seq` at
@@ -105,26 +121,26 @@
     pub fn start(self: &Rc<Self>, discovery: SocketAddr, seq: u64, moved: Receiver<SocketAddr>) {
         let at = self.clone();
         self.tasks.spawn_urgent(async move { at.watch(discovery, seq, moved).await });
-        let desk = self.desk.clone();
+        let desk = self.dispatcher_loop.clone();
         self.tasks.spawn_urgent(async move { desk.run_timers().await });
         let at = self.clone();
         self.tasks.spawn(async move {
             while let Ok(worker) = at.probes.recv().await {
-                at.tasks.spawn(probe::run(at.desk.clone(), at.ways.clone(), worker));
+                at.tasks.spawn(probe::run(at.dispatcher_loop.clone(), at.upstreams.clone(), worker));
             }
         });
         self.tasks.spawn(self.bodies.clone().relieve());
-        let ways = self.ways.clone();
+        let ways = self.upstreams.clone();
         self.tasks.spawn(async move {
             loop {
                 Timer::after(SWEEP).await;
-                ways.links.sweep();
+                ways.pool.evict_expired();
             }
         });
     }
 
     /// Takes a request; `None` where one of the same id is open.
-    pub fn take(&self, job: Job) -> Option<Ticket> {
+    pub fn take(&self, job: Job) -> Option<RequestHandle> {
         self.requests.take(job)
     }
 
@@ -133,20 +149,20 @@
         let tell = |list: &HostList| self.tell(list);
         let (counters, source, backoff) = (&*self.counters, self.source, self.backoff.clone());
         let watch = Watch { counters, source, backoff };
-        host_group::watch(watch, discovery, seq, moved, tell).await;
+        discovery_watch::watch(watch, discovery, seq, moved, tell).await;
     }
 
     /// Tells the module of a list, and drops the idle links to executors that are gone.
     fn tell(&self, list: &HostList) {
         let begun = Instant::now();
-        let entries = self.ways.host_group.learn(list, self.desk.clock.now());
+        let entries = self.upstreams.registry.apply(list, self.dispatcher_loop.clock.now());
         self.counters.responsiveness.part_ended("entries of an executor list", begun);
         for entry in entries.iter().filter(|e| e.lifecycle == Lifecycle::Gone) {
-            self.ways.links.forget(entry.worker);
+            self.upstreams.pool.evict_worker(entry.worker);
         }
         self.counters.lists.add();
         let members =
             if list.whole { WorkerListUpdate::Full(entries) } else { WorkerListUpdate::Delta(entries) };
-        self.desk.tell(Event::WorkerList(members));
+        self.dispatcher_loop.dispatch(Event::WorkerList(members));
     }
 }
--- a/crates/engine/src/invariants.rs
+++ b/crates/engine/src/invariants.rs
@@ -4,8 +4,8 @@
 //! (`node_invariant_violations{name}`), the line of counters sums up (`invariant_violations`), and the log names with the
 //! request's id. A violation ends nothing: the request goes on as it would have. The soak and the tests fail on any.
 
+use crate::attempt_end::AttemptEnd;
 use crate::count::Count;
-use crate::ending::Ending;
 use sorrelhaven_dispatcher::Outcome;
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -90,8 +90,8 @@
 /// What one request has been through, as far as the invariants ask.
 #[derive(Default)]
 pub struct RequestGuard {
-    single_run: bool,
-    full_is_no_proof: bool,
+    at_most_once: bool,
+    rejection_may_have_run: bool,
     written: Cell<u32>,
     proven_unrun: Cell<u32>,
 }
@@ -101,7 +101,7 @@
     /// When its client left, if it has.
     pub client_left: Option<Instant>,
     /// From when on it must not be sent.
-    pub before: Instant,
+    pub send_by: Instant,
     /// Since when its executor is told to be draining, if it is, and the grace for that.
     pub draining: Option<(Instant, Duration)>,
 }
@@ -110,7 +110,11 @@
     /// A request of which nothing was written. `single_run`: it must not run twice; `full_is_no_proof`: an executor's word
     /// that it is full does not prove that the attempt never ran.
     pub fn new(single_run: bool, full_is_no_proof: bool) -> RequestGuard {
-        RequestGuard { single_run, full_is_no_proof, ..RequestGuard::default() }
+        RequestGuard {
+            at_most_once: single_run,
+            rejection_may_have_run: full_is_no_proof,
+            ..RequestGuard::default()
+        }
     }
 
     /// An attempt's last byte was written just now.
@@ -122,24 +126,24 @@
             request,
             since_left.is_none_or(|s| s < CLIENT_GONE),
         );
-        invariants.check(Invariant::NoAttemptAfterDeadline, request, now < attempt.before + HELD_UP);
+        invariants.check(Invariant::NoAttemptAfterDeadline, request, now < attempt.send_by + HELD_UP);
         let drained = attempt.draining.is_some_and(|(since, grace)| now > since + grace);
         invariants.check(Invariant::NothingToDrained, request, !drained);
         let may_have_run = self.may_have_run();
         self.written.set(self.written.get() + 1);
-        invariants.check(Invariant::SingleRunOnce, request, !(self.single_run && may_have_run));
+        invariants.check(Invariant::SingleRunOnce, request, !(self.at_most_once && may_have_run));
     }
 
     /// An attempt whose last byte was written has ended.
-    pub fn ended(&self, ending: &Ending, was_written: bool) {
-        if was_written && ending.outcome() == Outcome::Rejected && !self.full_is_no_proof {
+    pub fn ended(&self, ending: &AttemptEnd, was_written: bool) {
+        if was_written && ending.outcome() == Outcome::Rejected && !self.rejection_may_have_run {
             self.proven_unrun.set(self.proven_unrun.get() + 1);
         }
     }
 
     /// The request is refused, with the word that trying again is harmless.
     pub fn refused(&self, invariants: &Invariants, request: &str) {
-        let harmless = !(self.single_run && self.may_have_run());
+        let harmless = !(self.at_most_once && self.may_have_run());
         invariants.check(Invariant::NoRefusalAfterRun, request, harmless);
     }
 
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -1,8 +1,8 @@
 //! The plain types that cross between fronts, requests, the desk and executions.
 
-use crate::ending::Ending;
+use crate::attempt_end::AttemptEnd;
+use crate::body_admission::BodyPermit;
 use crate::invariants::RequestGuard;
-use crate::places::Place;
 use sorrelhaven_body_store::Spool;
 use sorrelhaven_dispatcher::{Micros, WorkerId};
 use sorrelhaven_wire::EndProbe;
@@ -16,27 +16,27 @@
     /// Its class's place in the settings.
     pub class: usize,
     /// When the client gives up.
-    pub due: Micros,
+    pub deadline: Micros,
     /// The client's guess at the work.
-    pub hint: Option<Micros>,
+    pub work_hint: Option<Micros>,
     /// The slots it takes.
-    pub width: f64,
+    pub slots: f64,
     /// The client marks it as a repeat.
-    pub resent: bool,
+    pub is_retry: bool,
     /// A number drawn from what it is about; 0 where the client does not say.
-    pub key: u64,
+    pub affinity_key: u64,
     /// Its body can be sent: false where it could not be kept and such are refused.
-    pub sendable: bool,
+    pub body_sendable: bool,
     /// The place that a long body has until its last byte was written.
-    pub place: Option<Place>,
+    pub body_permit: Option<BodyPermit>,
     /// Tells whether the client has gone, also before its connection's own task has seen it.
-    pub client: Option<EndProbe>,
+    pub client_probe: Option<EndProbe>,
     /// What travels to the executor.
-    pub parcel: Parcel,
+    pub payload: RequestPayload,
 }
 
 /// What travels to the executor, unchanged in every execution.
-pub struct Parcel {
+pub struct RequestPayload {
     /// The request's id.
     pub id: Rc<str>,
     /// Its method.
@@ -49,7 +49,7 @@
     pub body: Spool,
 }
 
-impl Parcel {
+impl RequestPayload {
     /// The head of the message to the executor at `host`, which is told how long the node waits: to `deadline`. The
     /// body goes with its length where that is known, else in chunks.
     pub fn head(&self, host: &str, deadline: Instant, length: Option<u64>) -> Vec<u8> {
@@ -69,23 +69,23 @@
 
 /// How far a request has come, as its executions see it.
 #[derive(Default)]
-pub struct Fate {
+pub struct RequestState {
     /// It has its answer, or needs none any more: nothing more is to be sent for it.
-    pub over: Cell<bool>,
+    pub concluded: Cell<bool>,
     /// When its client left before that.
-    pub left: Cell<Option<Instant>>,
+    pub client_left_at: Cell<Option<Instant>>,
     /// The last byte of one of its executions was written.
-    pub written: Cell<bool>,
+    pub fully_sent: Cell<bool>,
     /// The client's connection.
-    pub client: Option<EndProbe>,
+    pub client_probe: Option<EndProbe>,
     /// What the invariants ask of it.
     pub guard: RequestGuard,
 }
 
-impl Fate {
+impl RequestState {
     /// Whether the client has gone before its answer, as its connection says at this moment.
     pub fn client_gone(&self) -> bool {
-        !self.over.get() && self.client.as_ref().is_some_and(EndProbe::has_ended)
+        !self.concluded.get() && self.client_probe.as_ref().is_some_and(EndProbe::has_ended)
     }
 }
 
@@ -95,7 +95,7 @@
     /// What an executor gave for the request.
     Served(String),
     /// Not done, and trying again after this time is harmless.
-    Throttled {
+    Rejected {
         /// How long to stay away; 0: no advice.
         retry_after: Micros,
     },
@@ -105,7 +105,7 @@
 
 /// What a request's task is told, by the desk, by its executions and by the front.
 #[derive(Clone, Debug)]
-pub enum Mail {
+pub enum RequestMessage {
     /// The module: begin an execution.
     Send {
         /// The executor.
@@ -113,7 +113,7 @@
         /// When the module stops waiting.
         deadline: Micros,
         /// From when on it must not be sent any more.
-        before: Micros,
+        send_by: Micros,
     },
     /// The module: withdraw an execution.
     Cancel {
@@ -121,40 +121,40 @@
         attempt: u32,
     },
     /// The module: answer with a throttle.
-    Refuse {
+    Reject {
         /// How long the client ought to stay away; 0: no advice.
         retry_after: Micros,
     },
     /// The module: answer that it failed.
     Fail,
     /// An execution: the job has started.
-    Started {
+    AttemptStarted {
         /// The execution's number.
         attempt: u32,
     },
     /// An execution: so much of the job is done.
-    Running {
+    AttemptProgress {
         /// The execution's number.
         attempt: u32,
         /// The share done, from 0 to 1.
         share: f64,
     },
     /// An execution: the last byte of a long body was written.
-    Written {
+    RequestSent {
         /// The execution's number.
         attempt: u32,
     },
     /// An execution: a part of the body that is not kept is being passed on.
-    PassedOn,
+    BodyConsumed,
     /// An execution: it has ended.
-    Ended {
+    AttemptEnded {
         /// The execution's number.
         attempt: u32,
         /// How it ended.
-        ending: Ending,
+        end: AttemptEnd,
         /// The executor's load report, in the order of the settings' fields; empty where none came.
-        load: Vec<f64>,
+        load_report: Vec<f64>,
     },
     /// The front: the client has left.
-    Left,
+    ClientDisconnected,
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,20 +1,20 @@
 //! A request's life: taken from a front, decided on by the module, carried out on server links, answered once.
 //!
-//! A front hands a [`Job`] to [`Engine::take`] and gets one [`Answer`] through the [`Ticket`]. Nothing here knows
+//! A front hands a [`Job`] to [`Engine::take`] and gets one [`Answer`] through the [`RequestHandle`]. Nothing here knows
 //! how a client speaks, so every front goes through the same decisions. Files use those above them only:
 //!
 //! | file | concern |
 //! | --- | --- |
 //! | `engine` | the parts put together |
 //! | `request` | one request's life, top to bottom in one task |
-//! | `execution`, `probe` | one attempt at a job on a server link; one question to an executor |
-//! | `ways` | what they reach executors with: `host_group` and `links` |
-//! | `desk` | owns the one `Dispatcher`, feeds it events in order, routes its actions |
+//! | `attempt`, `probe` | one attempt at a job on a server link; one question to an executor |
+//! | `upstreams` | what they reach executors with: `discovery_watch` and `connection_pool` |
+//! | `dispatcher_loop` | owns the one `Dispatcher`, feeds it events in order, routes its actions |
 //! | `job` | the plain types that cross between these |
-//! | `ending` | every way an execution can end, and the module's outcome for each |
-//! | `places` | long bodies that are on their way to boxes at once |
+//! | `attempt_end` | every way an execution can end, and the module's outcome for each |
+//! | `body_admission` | long bodies that are on their way to boxes at once |
 //! | `invariants` | what must hold whatever happens, checked at run time |
-//! | `births` | when executors started, on the node's own clock |
+//! | `start_times` | when executors started, on the node's own clock |
 //! | `responsiveness` | how long the event loop is held up |
 //! | `tasks`, `clock`, `counters`, `count` | what their names say |
 //!
@@ -30,40 +30,40 @@
 //! # Ok::<(), sorrelhaven_config::Faults>(())
 //! ```
 
-mod births;
+mod attempt;
+mod attempt_end;
+mod body_admission;
 mod clock;
+mod connection_pool;
 mod count;
 mod counters;
-mod desk;
-mod ending;
+mod discovery_watch;
+mod dispatcher_loop;
 mod engine;
-mod execution;
-mod host_group;
 mod invariants;
 mod job;
-mod links;
 mod load;
-mod places;
 mod probe;
 mod request;
 mod responsiveness;
+mod start_times;
 mod tasks;
 #[cfg(test)]
 mod tests;
-mod ways;
+mod upstreams;
 
+pub use attempt_end::AttemptEnd;
+pub use body_admission::{BodyAdmission, BodyPermit};
 pub use clock::{Clock, length};
+pub use connection_pool::{ConnectionPool, DescriptorBudget, Permit, PooledConnection};
 pub use count::{Count, Longest};
-pub use counters::{ClassCounters, Counters, End};
-pub use desk::Desk;
-pub use ending::Ending;
+pub use counters::{ClassCounters, Counters, RequestEnd};
+pub use discovery_watch::WorkerRegistry;
+pub use dispatcher_loop::DispatcherLoop;
 pub use engine::Engine;
-pub use host_group::HostGroup;
 pub use invariants::{Invariant, Invariants, RequestGuard, Written};
-pub use job::{Answer, Job, Mail, Parcel};
-pub use links::{Descriptors, Links, Permit, ServerLink};
-pub use places::{Place, Places};
-pub use request::Ticket;
+pub use job::{Answer, Job, RequestMessage, RequestPayload};
+pub use request::RequestHandle;
 pub use responsiveness::{LONG_STEP, Responsiveness};
 pub use tasks::Tasks;
-pub use ways::Ways;
+pub use upstreams::Upstreams;
--- a/crates/engine/src/probe.rs
+++ b/crates/engine/src/probe.rs
@@ -1,8 +1,8 @@
 //! A probe: one question to an executor whether it lives.
 
-use crate::desk::Desk;
-use crate::ending::Ending;
-use crate::ways::Ways;
+use crate::attempt_end::AttemptEnd;
+use crate::dispatcher_loop::DispatcherLoop;
+use crate::upstreams::Upstreams;
 use sorrelhaven_dispatcher::{Event, WorkerId};
 use sorrelhaven_wire::{Head, Start, by};
 use std::rc::Rc;
@@ -12,38 +12,38 @@
 const WAIT: Duration = Duration::from_millis(500);
 
 /// Probes an executor and tells the module what came of it.
-pub async fn run(desk: Rc<Desk>, ways: Rc<Ways>, worker: WorkerId) {
+pub async fn run(desk: Rc<DispatcherLoop>, ways: Rc<Upstreams>, worker: WorkerId) {
     ways.counters.probes.add();
-    let ending = by(Instant::now() + WAIT, probe(&ways, worker)).await.unwrap_or(Ending::Silent);
-    desk.tell(Event::ProbeEnded { worker, outcome: ending.outcome(), load_report: Vec::new() });
+    let ending = by(Instant::now() + WAIT, probe(&ways, worker)).await.unwrap_or(AttemptEnd::ResponseTimeout);
+    desk.dispatch(Event::ProbeEnded { worker, outcome: ending.outcome(), load_report: Vec::new() });
 }
 
-async fn probe(ways: &Ways, worker: WorkerId) -> Ending {
-    let (address, mut server_link) = match ways.link(worker).await {
+async fn probe(ways: &Upstreams, worker: WorkerId) -> AttemptEnd {
+    let (address, mut server_link) = match ways.connection(worker).await {
         Ok(found) => found,
         Err(ending) => return ending,
     };
     let link = &mut server_link.link;
     let request = format!("GET /health/live HTTP/1.1\r\nHost: {address}\r\n\r\n");
     if link.write(request.as_bytes()).await.is_err() {
-        return Ending::BrokenUnwritten;
+        return AttemptEnd::ResetBeforeSent;
     }
     let head = match link.head(Head::answer).await {
         Ok(head) => head,
-        Err(fault) => return Ending::unreadable(fault),
+        Err(fault) => return AttemptEnd::unreadable(fault),
     };
     let body = match head.body() {
         Ok(body) => link.whole(body).await,
         Err(fault) => Err(fault),
     };
     match (body, &head.start) {
-        (Err(fault), _) => Ending::unreadable(fault),
+        (Err(fault), _) => AttemptEnd::unreadable(fault),
         (Ok(_), Start::Answer { status: 200 }) => {
             if head.keeps_alive() {
-                ways.links.put(worker, server_link);
+                ways.pool.check_in(worker, server_link);
             }
-            Ending::Done(String::new())
+            AttemptEnd::Completed(String::new())
         }
-        (Ok(_), _) => Ending::Failed,
+        (Ok(_), _) => AttemptEnd::Failed,
     }
 }
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -2,15 +2,15 @@
 //!
 //! Nothing here knows how the client speaks: a front hands in a [`Job`] and gets one [`Answer`].
 
-use crate::counters::{Counters, End};
-use crate::desk::Desk;
-use crate::ending::Ending;
-use crate::execution::{self, Order};
+use crate::attempt::{self, AttemptSpec};
+use crate::attempt_end::AttemptEnd;
+use crate::body_admission::BodyPermit;
+use crate::counters::{Counters, RequestEnd};
+use crate::dispatcher_loop::DispatcherLoop;
 use crate::invariants::{Invariant, RequestGuard};
-use crate::job::{Answer, Fate, Job, Mail, Parcel};
-use crate::places::Place;
+use crate::job::{Answer, Job, RequestMessage, RequestPayload, RequestState};
 use crate::tasks::Tasks;
-use crate::ways::Ways;
+use crate::upstreams::Upstreams;
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
 use async_io::Timer;
@@ -27,7 +27,7 @@
 const ANSWER_GUARD: Duration = Duration::from_millis(100);
 
 /// An execution that has not ended.
-struct Execution {
+struct RunningAttempt {
     worker: WorkerId,
     sent: Micros,
     written: Rc<Cell<bool>>,
@@ -37,43 +37,43 @@
 /// What a request's task waits for.
 enum Wake {
     /// A message of the module, an attempt or the front.
-    Message(Mail),
+    Message(RequestMessage),
     /// Its deadline passed some time ago.
     Overdue,
 }
 
 /// A request on its way, as the front sees it.
-pub struct Ticket {
-    mail: Sender<Mail>,
+pub struct RequestHandle {
+    mail: Sender<RequestMessage>,
     answer: Receiver<Answer>,
 }
 
-impl Ticket {
+impl RequestHandle {
     /// The answer; `None` only if the request's task ended without one.
     pub async fn answer(&self) -> Option<Answer> {
         self.answer.recv().await.ok()
     }
 
     /// The client has left.
-    pub fn leave(&self) {
-        let _ = self.mail.try_send(Mail::Left);
+    pub fn client_disconnected(&self) {
+        let _ = self.mail.try_send(RequestMessage::ClientDisconnected);
     }
 }
 
 /// All requests, and what they are carried out with.
 pub struct Requests {
     /// The desk.
-    pub desk: Rc<Desk>,
+    pub dispatcher_loop: Rc<DispatcherLoop>,
     /// The ways to executors.
-    pub ways: Rc<Ways>,
+    pub upstreams: Rc<Upstreams>,
     /// The counters.
     pub counters: Rc<Counters>,
     /// Where their tasks run.
     pub tasks: Rc<Tasks>,
     /// Whether a request of each class must not run twice.
-    pub single_run: Vec<bool>,
+    pub at_most_once: Vec<bool>,
     /// An executor's word that it is full does not prove that the attempt never ran.
-    pub full_is_no_proof: bool,
+    pub rejection_may_have_run: bool,
     /// The ids of the requests that are open.
     pub open_ids: RefCell<HashSet<Rc<str>>>,
 }
@@ -81,54 +81,69 @@
 impl Requests {
     /// Takes a request; `None` where one of the same id is open: executors know their jobs by it, so a second
     /// one would be turned away there, or mixed up with the first.
-    pub fn take(self: &Rc<Self>, job: Job) -> Option<Ticket> {
-        let name = job.parcel.id.clone();
+    pub fn take(self: &Rc<Self>, job: Job) -> Option<RequestHandle> {
+        let name = job.payload.id.clone();
         if !self.open_ids.borrow_mut().insert(name.clone()) {
             return None;
         }
         let (mail, inbox) = async_channel::unbounded();
         let (reply, answer) = async_channel::bounded(1);
-        self.counters.took(job.class);
-        let single_run = self.single_run.get(job.class).copied().unwrap_or(true);
-        let guard = RequestGuard::new(single_run, self.full_is_no_proof);
-        let life = Life {
+        self.counters.request_admitted(job.class);
+        let single_run = self.at_most_once.get(job.class).copied().unwrap_or(true);
+        let guard = RequestGuard::new(single_run, self.rejection_may_have_run);
+        let life = RequestTask {
             requests: self.clone(),
-            id: self.desk.open(mail.clone()),
+            id: self.dispatcher_loop.register_request(mail.clone()),
             class: job.class,
-            due: job.due,
+            deadline: job.deadline,
             name,
-            mail: mail.clone(),
+            messages: mail.clone(),
             reply,
-            place: None,
-            fate: Rc::new(Fate { client: job.client.clone(), guard, ..Fate::default() }),
-            executions: HashMap::new(),
+            body_permit: None,
+            state: Rc::new(RequestState {
+                client_probe: job.client_probe.clone(),
+                guard,
+                ..RequestState::default()
+            }),
+            attempts: HashMap::new(),
         };
         self.tasks.spawn(life.run(job, inbox));
-        Some(Ticket { mail, answer })
+        Some(RequestHandle { mail, answer })
     }
 }
 
-struct Life {
+struct RequestTask {
     requests: Rc<Requests>,
     id: RequestId,
     class: usize,
-    due: Micros,
+    deadline: Micros,
     name: Rc<str>,
-    mail: Sender<Mail>,
+    messages: Sender<RequestMessage>,
     reply: Sender<Answer>,
-    place: Option<Place>,
-    fate: Rc<Fate>,
-    executions: HashMap<u32, Execution>,
+    body_permit: Option<BodyPermit>,
+    state: Rc<RequestState>,
+    attempts: HashMap<u32, RunningAttempt>,
 }
 
-impl Life {
-    async fn run(mut self, job: Job, inbox: Receiver<Mail>) {
+impl RequestTask {
+    async fn run(mut self, job: Job, inbox: Receiver<RequestMessage>) {
         let request = self.id;
-        let Job { class, due, hint, width, resent, key, sendable, place, parcel, client: _ } = job;
-        self.place = place;
+        let Job {
+            class,
+            deadline: due,
+            work_hint: hint,
+            slots: width,
+            is_retry: resent,
+            affinity_key: key,
+            body_sendable: sendable,
+            body_permit: place,
+            payload: parcel,
+            client_probe: _,
+        } = job;
+        self.body_permit = place;
         let parcel = Rc::new(parcel);
         let mut attempts = 0;
-        self.requests.desk.tell(Event::Arrival(Arrival {
+        self.requests.dispatcher_loop.dispatch(Event::Arrival(Arrival {
             request,
             class,
             deadline: due,
@@ -140,8 +155,8 @@
         }));
         // A request is over when it has its answer and every execution its outcome, also one that the module has asked
         // for and that is still in the box: without it the module would count on that execution for ever.
-        let mut guard = Timer::at(self.requests.desk.clock.instant(due) + ANSWER_GUARD);
-        while !(self.fate.over.get() && self.executions.is_empty() && inbox.is_empty()) {
+        let mut guard = Timer::at(self.requests.dispatcher_loop.clock.instant(due) + ANSWER_GUARD);
+        while !(self.state.concluded.get() && self.attempts.is_empty() && inbox.is_empty()) {
             let message = async { inbox.recv().await.ok().map(Wake::Message) };
             let overdue = async {
                 (&mut guard).await;
@@ -157,45 +172,62 @@
                 }
             };
             match mail {
-                Mail::Send { worker, deadline, before } => {
+                RequestMessage::Send { worker, deadline, send_by: before } => {
                     let attempt = attempts;
                     attempts += 1;
                     self.send(&parcel, attempt, worker, deadline.min(due), before);
                 }
-                Mail::Cancel { attempt } => self.ended(attempt, Ending::Withdrawn, Vec::new()),
-                Mail::Refuse { retry_after } => self.answer(Answer::Throttled { retry_after }),
-                Mail::Fail => self.answer(Answer::Failed),
-                Mail::Started { attempt } => {
-                    if let Some(&Execution { worker, .. }) = self.executions.get(&attempt) {
-                        self.requests.desk.tell(Event::AttemptStarted { request, attempt, worker });
+                RequestMessage::Cancel { attempt } => self.ended(attempt, AttemptEnd::Cancelled, Vec::new()),
+                RequestMessage::Reject { retry_after } => self.answer(Answer::Rejected { retry_after }),
+                RequestMessage::Fail => self.answer(Answer::Failed),
+                RequestMessage::AttemptStarted { attempt } => {
+                    if let Some(&RunningAttempt { worker, .. }) = self.attempts.get(&attempt) {
+                        self.requests.dispatcher_loop.dispatch(Event::AttemptStarted {
+                            request,
+                            attempt,
+                            worker,
+                        });
                     }
                 }
-                Mail::Running { attempt, share } => {
-                    if let Some(&Execution { worker, .. }) = self.executions.get(&attempt) {
-                        self.requests.desk.tell(Event::AttemptProgress { request, attempt, worker, share });
+                RequestMessage::AttemptProgress { attempt, share } => {
+                    if let Some(&RunningAttempt { worker, .. }) = self.attempts.get(&attempt) {
+                        self.requests.dispatcher_loop.dispatch(Event::AttemptProgress {
+                            request,
+                            attempt,
+                            worker,
+                            share,
+                        });
                     }
                 }
-                Mail::Written { attempt } => {
-                    self.place = None;
+                RequestMessage::RequestSent { attempt } => {
+                    self.body_permit = None;
                     // A box is not slow because a long body takes its time to get there.
-                    let now = self.requests.desk.clock.now();
-                    if let Some(execution) = self.executions.get_mut(&attempt) {
+                    let now = self.requests.dispatcher_loop.clock.now();
+                    if let Some(execution) = self.attempts.get_mut(&attempt) {
                         execution.sent = now;
                         let worker = execution.worker;
-                        self.requests.desk.tell(Event::RequestSent { request, attempt, worker });
+                        self.requests.dispatcher_loop.dispatch(Event::RequestSent {
+                            request,
+                            attempt,
+                            worker,
+                        });
                     }
                 }
-                Mail::PassedOn => self.requests.desk.tell(Event::BodyConsumed(request)),
-                Mail::Ended { attempt, ending, load } => self.ended(attempt, ending, load),
-                Mail::Left => {
-                    if !self.fate.over.replace(true) {
-                        self.place = None;
-                        self.fate.left.set(Some(Instant::now()));
-                        if !self.fate.written.get() {
+                RequestMessage::BodyConsumed => {
+                    self.requests.dispatcher_loop.dispatch(Event::BodyConsumed(request))
+                }
+                RequestMessage::AttemptEnded { attempt, end: ending, load_report: load } => {
+                    self.ended(attempt, ending, load)
+                }
+                RequestMessage::ClientDisconnected => {
+                    if !self.state.concluded.replace(true) {
+                        self.body_permit = None;
+                        self.state.client_left_at.set(Some(Instant::now()));
+                        if !self.state.fully_sent.get() {
                             self.requests.counters.lapsed_waiting.add();
                         }
-                        self.requests.counters.gave(self.class, End::Lapsed);
-                        self.requests.desk.tell(Event::ClientDisconnected(request));
+                        self.requests.counters.request_concluded(self.class, RequestEnd::ClientGone);
+                        self.requests.dispatcher_loop.dispatch(Event::ClientDisconnected(request));
                     }
                 }
             }
@@ -206,47 +238,58 @@
     /// the answer is never sent.
     fn send(
         &mut self,
-        parcel: &Rc<Parcel>,
+        parcel: &Rc<RequestPayload>,
         attempt: u32,
         worker: WorkerId,
         deadline: Micros,
         before: Micros,
     ) {
-        let Requests { desk, ways, counters, tasks, .. } = &*self.requests;
+        let Requests { dispatcher_loop: desk, upstreams: ways, counters, tasks, .. } = &*self.requests;
         counters.sent.add();
         debug!(id = %self.name, attempt, worker = worker.0, "attempt begun");
         let (deadline, before) = (desk.clock.instant(deadline), desk.clock.instant(before.min(deadline)));
         let written = Rc::<Cell<bool>>::default();
-        let fate = self.fate.clone();
-        let order = Order { attempt, worker, deadline, before, fate, written: written.clone() };
-        let task = if self.fate.over.get() {
-            let _ = self.mail.try_send(Mail::Ended { attempt, ending: Ending::Concluded, load: Vec::new() });
+        let fate = self.state.clone();
+        let order = AttemptSpec {
+            attempt,
+            worker,
+            deadline,
+            send_by: before,
+            request: fate,
+            fully_sent: written.clone(),
+        };
+        let task = if self.state.concluded.get() {
+            let _ = self.messages.try_send(RequestMessage::AttemptEnded {
+                attempt,
+                end: AttemptEnd::RequestConcluded,
+                load_report: Vec::new(),
+            });
             tasks.hold(std::future::ready(()))
         } else {
-            tasks.hold(execution::run(ways.clone(), parcel.clone(), order, self.mail.clone()))
+            tasks.hold(attempt::run(ways.clone(), parcel.clone(), order, self.messages.clone()))
         };
-        self.executions.insert(attempt, Execution { worker, sent: desk.clock.now(), written, task });
+        self.attempts.insert(attempt, RunningAttempt { worker, sent: desk.clock.now(), written, task });
     }
 
     /// Gives an execution its one outcome. Of two ways to end that cross, the first counts.
-    fn ended(&mut self, attempt: u32, ending: Ending, report: Vec<f64>) {
-        let Some(Execution { worker, sent, written, task }) = self.executions.remove(&attempt) else {
+    fn ended(&mut self, attempt: u32, ending: AttemptEnd, report: Vec<f64>) {
+        let Some(RunningAttempt { worker, sent, written, task }) = self.attempts.remove(&attempt) else {
             return;
         };
-        self.fate.guard.ended(&ending, written.get());
+        self.state.guard.ended(&ending, written.get());
         debug!(id = %self.name, attempt, worker = worker.0, ?ending, written = written.get(), "attempt ended");
         let outcome = ending.outcome();
-        self.requests.counters.ended(outcome);
+        self.requests.counters.attempt_ended(outcome);
         match ending {
-            Ending::Withdrawn => drop(task),
+            AttemptEnd::Cancelled => drop(task),
             _ => task.detach(),
         }
-        if let Ending::Done(result) = ending {
+        if let AttemptEnd::Completed(result) = ending {
             self.answer(Answer::Served(result));
         }
-        let took = self.requests.desk.clock.now() - sent;
-        let (request, closed) = (self.id, self.fate.over.get());
-        self.requests.desk.tell(Event::AttemptEnded {
+        let took = self.requests.dispatcher_loop.clock.now() - sent;
+        let (request, closed) = (self.id, self.state.concluded.get());
+        self.requests.dispatcher_loop.dispatch(Event::AttemptEnded {
             request,
             attempt,
             worker,
@@ -259,53 +302,53 @@
 
     /// Answers a request for which nothing else did, and has the module withdraw what is still out for it.
     fn answer_overdue(&mut self) {
-        if self.fate.over.get() {
+        if self.state.concluded.get() {
             return;
         }
-        let attempts = self.executions.len();
+        let attempts = self.attempts.len();
         warn!(id = %self.name, attempts, "a request past its deadline had no answer");
         self.requests.counters.answered_by_guard.add();
         self.answer(Answer::Failed);
-        self.requests.desk.tell(Event::ClientDisconnected(self.id));
-        let out: Vec<u32> = self.executions.keys().copied().collect();
-        out.into_iter().for_each(|attempt| self.ended(attempt, Ending::Withdrawn, Vec::new()));
+        self.requests.dispatcher_loop.dispatch(Event::ClientDisconnected(self.id));
+        let out: Vec<u32> = self.attempts.keys().copied().collect();
+        out.into_iter().for_each(|attempt| self.ended(attempt, AttemptEnd::Cancelled, Vec::new()));
     }
 
     /// Gives the client its one answer.
     fn answer(&mut self, answer: Answer) {
-        if !self.fate.over.replace(true) {
-            self.place = None;
-            if matches!(answer, Answer::Throttled { .. }) {
-                self.fate.guard.refused(&self.requests.counters.invariants, &self.name);
+        if !self.state.concluded.replace(true) {
+            self.body_permit = None;
+            if matches!(answer, Answer::Rejected { .. }) {
+                self.state.guard.refused(&self.requests.counters.invariants, &self.name);
             }
             debug!(id = %self.name, ?answer, "answered");
-            let late = self.requests.desk.clock.now() - self.due;
+            let late = self.requests.dispatcher_loop.clock.now() - self.deadline;
             if late > 0 {
                 self.requests.counters.answered_late.add();
                 debug!(id = %self.name, late_us = late, "answered after its deadline");
             }
             let end = match answer {
-                Answer::Served(_) => End::Served,
-                Answer::Throttled { .. } => End::Throttled,
-                Answer::Failed => End::Failed,
+                Answer::Served(_) => RequestEnd::Served,
+                Answer::Rejected { .. } => RequestEnd::Rejected,
+                Answer::Failed => RequestEnd::Failed,
             };
-            self.requests.counters.gave(self.class, end);
+            self.requests.counters.request_concluded(self.class, end);
             let _ = self.reply.try_send(answer);
         }
     }
 }
 
-impl Drop for Life {
+impl Drop for RequestTask {
     fn drop(&mut self) {
         let counters = &self.requests.counters;
-        let (answered, all_ended) = (self.fate.over.get(), self.executions.is_empty());
+        let (answered, all_ended) = (self.state.concluded.get(), self.attempts.is_empty());
         counters.invariants.check(Invariant::OneFinalAnswer, &self.name, answered);
         counters.invariants.check(Invariant::OneOutcomePerAttempt, &self.name, all_ended);
         if !answered {
             // The client hears of a fault of the node's own.
-            counters.gave(self.class, End::Failed);
+            counters.request_concluded(self.class, RequestEnd::Failed);
         }
-        self.requests.desk.close(self.id);
+        self.requests.dispatcher_loop.deregister_request(self.id);
         self.requests.open_ids.borrow_mut().remove(&self.name);
     }
 }
--- a/crates/engine/src/births.rs
+++ b/crates/engine/src/start_times.rs
@@ -23,7 +23,7 @@
 
 /// The starts of all executors that discovery has dated.
 #[derive(Default)]
-pub struct Births {
+pub struct StartTimes {
     starts: HashMap<WorkerId, Start>,
     /// How far the newest date was ahead of the node's clock when it was read, at most.
     ahead: Option<Micros>,
@@ -32,7 +32,7 @@
     last_list: Micros,
 }
 
-impl Births {
+impl StartTimes {
     /// A list is read at `now` that holds these dates. To be called before its entries are dated.
     pub fn begin_list(&mut self, dates: impl Iterator<Item = Micros>, now: Micros) {
         let newest = dates.filter(|dated| *dated > 0).max();
@@ -51,7 +51,7 @@
     }
 
     /// When an executor started that discovery dates so, on the node's clock; 0 where that is long ago.
-    pub fn start(&mut self, worker: WorkerId, dated: Micros, now: Micros) -> Micros {
+    pub fn started_at(&mut self, worker: WorkerId, dated: Micros, now: Micros) -> Micros {
         if dated <= 0 {
             return 0;
         }
--- a/crates/engine/src/tests/backoff.rs
+++ b/crates/engine/src/tests/backoff.rs
@@ -1,6 +1,6 @@
 //! How a fleet of nodes asks discovery again after the same failure, on a simulated clock.
 
-use crate::host_group::Backoff;
+use crate::discovery_watch::Backoff;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
--- a/crates/engine/src/tests/births.rs
+++ b/crates/engine/src/tests/births.rs
@@ -1,6 +1,6 @@
 //! Starts of executors, read with wall clocks that are wrong.
 
-use crate::births::Births;
+use crate::start_times::StartTimes;
 use sorrelhaven_dispatcher::{Micros, WorkerId};
 
 const S: Micros = 1_000_000;
@@ -10,11 +10,12 @@
 
 /// The ages that a node sees `at` whose clock is `off`, given lists of dates: the known one first.
 fn ages(off: Micros, lists: &[(Micros, &[Micros])], at: Micros) -> Vec<Micros> {
-    let (mut births, mut starts) = (Births::default(), Vec::new());
+    let (mut births, mut starts) = (StartTimes::default(), Vec::new());
     for (read_at, dates) in lists {
         let now = read_at + off;
         births.begin_list(dates.iter().copied(), now);
-        let start = |(worker, dated): (usize, &Micros)| births.start(WorkerId(worker as u32), *dated, now);
+        let start =
+            |(worker, dated): (usize, &Micros)| births.started_at(WorkerId(worker as u32), *dated, now);
         starts = dates.iter().enumerate().map(start).collect();
         births.end_list(now);
     }
--- a/crates/engine/src/tests/endings.rs
+++ b/crates/engine/src/tests/endings.rs
@@ -2,69 +2,84 @@
 //! the protocol proves that it never ran.
 
 use super::shared;
-use crate::ending::Ending;
-use crate::job::Mail;
+use crate::attempt_end::AttemptEnd;
+use crate::job::RequestMessage;
 use sorrelhaven_body_store::{End, Unreadable};
 use sorrelhaven_dispatcher::{Arrival, Event, WorkerId};
 
 /// The ending listed after this one; a new one must find its place here.
-fn next(ending: &Ending) -> Option<Ending> {
+fn next(ending: &AttemptEnd) -> Option<AttemptEnd> {
     Some(match ending {
-        Ending::Done(_) => Ending::Failed,
-        Ending::Failed => Ending::Unusable,
-        Ending::Unusable => Ending::Returned,
-        Ending::Returned => Ending::Lost,
-        Ending::Lost => Ending::Leaving,
-        Ending::Leaving => Ending::NoAddress,
-        Ending::NoAddress => Ending::Concluded,
-        Ending::Concluded => Ending::NoTimeLeft,
-        Ending::NoTimeLeft => Ending::WindowOver,
-        Ending::WindowOver => Ending::Body(Unreadable::Ended(End::ClientBroke)),
-        Ending::Body(Unreadable::Ended(_)) => Ending::Body(Unreadable::PassedOn),
-        Ending::Body(Unreadable::PassedOn) => Ending::Body(Unreadable::Failed),
-        Ending::Body(Unreadable::Failed) => Ending::Body(Unreadable::Corrupt),
-        Ending::Body(Unreadable::Corrupt) => Ending::NoDescriptor,
-        Ending::NoDescriptor => Ending::Unreachable,
-        Ending::Unreachable => Ending::ConnectLate,
-        Ending::ConnectLate => Ending::BrokenUnwritten,
-        Ending::BrokenUnwritten => Ending::LateUnwritten,
-        Ending::LateUnwritten => Ending::Stale,
-        Ending::Stale => Ending::Broken,
-        Ending::Broken => Ending::Cut,
-        Ending::Cut => Ending::Silent,
-        Ending::Silent => Ending::Malformed,
-        Ending::Malformed => Ending::WrongId,
-        Ending::WrongId => Ending::Oversize,
-        Ending::Oversize => Ending::Withdrawn,
-        Ending::Withdrawn => return None,
+        AttemptEnd::Completed(_) => AttemptEnd::Failed,
+        AttemptEnd::Failed => AttemptEnd::InvalidRequest,
+        AttemptEnd::InvalidRequest => AttemptEnd::Rejected,
+        AttemptEnd::Rejected => AttemptEnd::Killed,
+        AttemptEnd::Killed => AttemptEnd::Draining,
+        AttemptEnd::Draining => AttemptEnd::NoAddress,
+        AttemptEnd::NoAddress => AttemptEnd::RequestConcluded,
+        AttemptEnd::RequestConcluded => AttemptEnd::DeadlineTooClose,
+        AttemptEnd::DeadlineTooClose => AttemptEnd::IdempotencyWindowExpired,
+        AttemptEnd::IdempotencyWindowExpired => {
+            AttemptEnd::BodyUnavailable(Unreadable::Ended(End::ClientBroke))
+        }
+        AttemptEnd::BodyUnavailable(Unreadable::Ended(_)) => {
+            AttemptEnd::BodyUnavailable(Unreadable::PassedOn)
+        }
+        AttemptEnd::BodyUnavailable(Unreadable::PassedOn) => AttemptEnd::BodyUnavailable(Unreadable::Failed),
+        AttemptEnd::BodyUnavailable(Unreadable::Failed) => AttemptEnd::BodyUnavailable(Unreadable::Corrupt),
+        AttemptEnd::BodyUnavailable(Unreadable::Corrupt) => AttemptEnd::NoDescriptor,
+        AttemptEnd::NoDescriptor => AttemptEnd::Unreachable,
+        AttemptEnd::Unreachable => AttemptEnd::ConnectTimeout,
+        AttemptEnd::ConnectTimeout => AttemptEnd::ResetBeforeSent,
+        AttemptEnd::ResetBeforeSent => AttemptEnd::TimeoutBeforeSent,
+        AttemptEnd::TimeoutBeforeSent => AttemptEnd::StaleConnection,
+        AttemptEnd::StaleConnection => AttemptEnd::Reset,
+        AttemptEnd::Reset => AttemptEnd::Truncated,
+        AttemptEnd::Truncated => AttemptEnd::ResponseTimeout,
+        AttemptEnd::ResponseTimeout => AttemptEnd::Malformed,
+        AttemptEnd::Malformed => AttemptEnd::WrongRequestId,
+        AttemptEnd::WrongRequestId => AttemptEnd::ResponseTooLarge,
+        AttemptEnd::ResponseTooLarge => AttemptEnd::Cancelled,
+        AttemptEnd::Cancelled => return None,
     })
 }
 
 /// Whether the protocol proves that an execution that ended so never ran: the executor said so, or the request's last
 /// byte was not written.
-fn never_ran(ending: &Ending) -> bool {
+fn never_ran(ending: &AttemptEnd) -> bool {
     match ending {
-        Ending::Returned | Ending::Leaving | Ending::NoAddress | Ending::Concluded => true,
-        Ending::Body(_) | Ending::NoTimeLeft | Ending::WindowOver => true,
-        Ending::NoDescriptor | Ending::Unreachable | Ending::ConnectLate => true,
-        Ending::BrokenUnwritten | Ending::LateUnwritten => true,
-        Ending::Done(_) | Ending::Failed | Ending::Unusable | Ending::Lost | Ending::Stale => false,
-        Ending::Broken | Ending::Cut | Ending::Silent | Ending::Malformed => false,
-        Ending::WrongId | Ending::Oversize | Ending::Withdrawn => false,
+        AttemptEnd::Rejected
+        | AttemptEnd::Draining
+        | AttemptEnd::NoAddress
+        | AttemptEnd::RequestConcluded => true,
+        AttemptEnd::BodyUnavailable(_)
+        | AttemptEnd::DeadlineTooClose
+        | AttemptEnd::IdempotencyWindowExpired => true,
+        AttemptEnd::NoDescriptor | AttemptEnd::Unreachable | AttemptEnd::ConnectTimeout => true,
+        AttemptEnd::ResetBeforeSent | AttemptEnd::TimeoutBeforeSent => true,
+        AttemptEnd::Completed(_)
+        | AttemptEnd::Failed
+        | AttemptEnd::InvalidRequest
+        | AttemptEnd::Killed
+        | AttemptEnd::StaleConnection => false,
+        AttemptEnd::Reset | AttemptEnd::Truncated | AttemptEnd::ResponseTimeout | AttemptEnd::Malformed => {
+            false
+        }
+        AttemptEnd::WrongRequestId | AttemptEnd::ResponseTooLarge | AttemptEnd::Cancelled => false,
     }
 }
 
 #[test]
 fn a_payment_whose_body_is_not_kept_meets_each_ending() {
     let mut met = 0;
-    let mut at = Some(Ending::Done("fine".into()));
+    let mut at = Some(AttemptEnd::Completed("fine".into()));
     while let Some(ending) = at {
         at = next(&ending);
         met += 1;
         let engine = shared::engine("127.0.0.1:1".parse().expect("an address"));
-        let desk = &engine.desk;
+        let desk = &engine.dispatcher_loop;
         let (mail, inbox) = async_channel::unbounded();
-        let request = desk.open(mail);
+        let request = desk.register_request(mail);
         let (due, hint) = (desk.clock.now() + 4_000_000, Some(50_000));
         let arrival = Arrival {
             request,
@@ -76,13 +91,16 @@
             affinity_key: 0,
             body_sendable: true,
         };
-        desk.tell(Event::Arrival(arrival));
+        desk.dispatch(Event::Arrival(arrival));
         let first = inbox.try_recv();
-        assert!(matches!(first, Ok(Mail::Send { worker: WorkerId(0), .. })), "{ending:?}: {first:?}");
-        desk.tell(Event::BodyConsumed(request));
-        let (outcome, closed) = (ending.outcome(), matches!(ending, Ending::Done(_)));
+        assert!(
+            matches!(first, Ok(RequestMessage::Send { worker: WorkerId(0), .. })),
+            "{ending:?}: {first:?}"
+        );
+        desk.dispatch(Event::BodyConsumed(request));
+        let (outcome, closed) = (ending.outcome(), matches!(ending, AttemptEnd::Completed(_)));
         let (worker, report) = (WorkerId(0), Vec::new());
-        desk.tell(Event::AttemptEnded {
+        desk.dispatch(Event::AttemptEnded {
             request,
             attempt: 0,
             worker,
@@ -91,11 +109,11 @@
             request_concluded: closed,
             load_report: report,
         });
-        let answers: Vec<Mail> = std::iter::from_fn(|| inbox.try_recv().ok()).collect();
+        let answers: Vec<RequestMessage> = std::iter::from_fn(|| inbox.try_recv().ok()).collect();
         let right = match (&answers[..], closed, never_ran(&ending)) {
             ([], true, _) => true,
-            ([Mail::Refuse { .. }], false, refused) => refused,
-            ([Mail::Fail], false, refused) => !refused,
+            ([RequestMessage::Reject { .. }], false, refused) => refused,
+            ([RequestMessage::Fail], false, refused) => !refused,
             _ => false,
         };
         assert!(right, "{ending:?}: {answers:?}");
--- a/crates/engine/src/tests/guard.rs
+++ b/crates/engine/src/tests/guard.rs
@@ -13,14 +13,14 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let engine = shared::engine(listener.local_addr().expect("its address"));
     let at = engine.clone();
-    engine.tasks.spawn_urgent(async move { at.desk.run_timers().await });
+    engine.tasks.spawn_urgent(async move { at.dispatcher_loop.run_timers().await });
     let clients = TcpListener::bind("127.0.0.1:0").expect("a port");
     let client = TcpStream::connect(clients.local_addr().expect("its address")).expect("a client");
     let (accepted, _) = clients.accept().expect("its connection");
     let link = async_io::block_on(Link::accepted(accepted)).expect("a place in the event loop");
     // The client has gone, and nobody reads from its connection.
     drop(client);
-    let due = engine.desk.clock.now() + 200_000;
+    let due = engine.dispatcher_loop.clock.now() + 200_000;
     let parcel = shared::parcel(&engine, "/api", b"body");
     let job = shared::job(parcel, due, Some(link.end_probe()));
     let ticket = engine.take(job).expect("no other has its id");
@@ -30,7 +30,7 @@
     let closed = shared::run(
         &engine,
         by(limit, async {
-            while engine.desk.open_requests() > 0 {
+            while engine.dispatcher_loop.registered_requests() > 0 {
                 futures_lite::future::yield_now().await;
             }
         }),
--- a/crates/engine/src/tests/invariants.rs
+++ b/crates/engine/src/tests/invariants.rs
@@ -1,11 +1,11 @@
 //! A guard that finds nothing proves nothing: each invariant, kept and then broken.
 
-use crate::ending::Ending;
+use crate::attempt_end::AttemptEnd;
 use crate::invariants::{Invariant, Invariants, RequestGuard, Written};
 use std::time::{Duration, Instant};
 
 fn written() -> Written {
-    Written { client_left: None, before: Instant::now() + Duration::from_secs(1), draining: None }
+    Written { client_left: None, send_by: Instant::now() + Duration::from_secs(1), draining: None }
 }
 
 /// What is violated by a request that goes through this.
@@ -28,8 +28,8 @@
     assert_eq!(write(|_, _| {}, 0), [""; 0]);
     assert_eq!(write(|w, at| w.client_left = at, 50), [""; 0]);
     assert_eq!(write(|w, at| w.client_left = at, 120), ["no_attempt_for_gone_client"]);
-    assert_eq!(write(|w, at| w.before = at.expect("a time"), 100), [""; 0], "a process may be held up");
-    assert_eq!(write(|w, at| w.before = at.expect("a time"), 200), ["no_attempt_after_deadline"]);
+    assert_eq!(write(|w, at| w.send_by = at.expect("a time"), 100), [""; 0], "a process may be held up");
+    assert_eq!(write(|w, at| w.send_by = at.expect("a time"), 200), ["no_attempt_after_deadline"]);
     let grace = |w: &mut Written, at: Option<Instant>| w.draining = at.map(|at| (at, Duration::from_secs(1)));
     assert_eq!(write(grace, 900), [""; 0]);
     assert_eq!(write(grace, 1_100), ["nothing_to_drained"]);
@@ -37,26 +37,26 @@
 
 #[test]
 fn a_single_run_that_may_have_run_is_neither_sent_again_nor_refused() {
-    let twice = |single, between: Ending| {
+    let twice = |single, between: AttemptEnd| {
         violated(single, move |guard, invariants| {
             guard.written(invariants, "r1", &written());
             guard.ended(&between, true);
             guard.written(invariants, "r1", &written());
         })
     };
-    assert_eq!(twice(true, Ending::Returned), [""; 0]);
-    assert_eq!(twice(false, Ending::Broken), [""; 0]);
-    assert_eq!(twice(true, Ending::Broken), ["single_run_once"]);
-    assert_eq!(twice(true, Ending::Stale), ["single_run_once"]);
-    let refused = |ending: Ending| {
+    assert_eq!(twice(true, AttemptEnd::Rejected), [""; 0]);
+    assert_eq!(twice(false, AttemptEnd::Reset), [""; 0]);
+    assert_eq!(twice(true, AttemptEnd::Reset), ["single_run_once"]);
+    assert_eq!(twice(true, AttemptEnd::StaleConnection), ["single_run_once"]);
+    let refused = |ending: AttemptEnd| {
         violated(true, move |guard, invariants| {
             guard.written(invariants, "r1", &written());
             guard.ended(&ending, true);
             guard.refused(invariants, "r1");
         })
     };
-    assert_eq!(refused(Ending::Returned), [""; 0]);
-    assert_eq!(refused(Ending::Silent), ["no_refusal_after_run"]);
+    assert_eq!(refused(AttemptEnd::Rejected), [""; 0]);
+    assert_eq!(refused(AttemptEnd::ResponseTimeout), ["no_refusal_after_run"]);
 }
 
 #[test]
--- a/crates/engine/src/tests/load.rs
+++ b/crates/engine/src/tests/load.rs
@@ -1,9 +1,9 @@
 //! Load reports at the two places where answers hold them, whole and in pieces, absent and malformed.
 
 use super::shared;
-use crate::ending::Ending;
-use crate::execution;
-use crate::job::Mail;
+use crate::attempt;
+use crate::attempt_end::AttemptEnd;
+use crate::job::RequestMessage;
 use std::io::{Read, Write};
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 
 /// What comes of this answer, written in pieces of so many bytes: the ending, the report, and the counts of reports that
 /// were taken and dropped.
-fn answered(answer: &str, piece: usize) -> (Ending, Vec<f64>, [u64; 2]) {
+fn answered(answer: &str, piece: usize) -> (AttemptEnd, Vec<f64>, [u64; 2]) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
     let answer = answer.to_string();
@@ -43,20 +43,22 @@
     let parcel = Rc::new(shared::parcel(&engine, "/api", b"body"));
     let order = shared::order(Duration::from_secs(9));
     let (mail, inbox) = async_channel::unbounded();
-    shared::run(&engine, execution::run(engine.ways.clone(), parcel, order, mail));
+    shared::run(&engine, attempt::run(engine.upstreams.clone(), parcel, order, mail));
     executor.join().expect("the executor");
-    let Ok(Mail::Ended { ending, load, .. }) = inbox.try_recv() else { panic!("no outcome") };
+    let Ok(RequestMessage::AttemptEnded { end: ending, load_report: load, .. }) = inbox.try_recv() else {
+        panic!("no outcome")
+    };
     (ending, load, [engine.counters.loads.get(), engine.counters.loads_unread.get()])
 }
 
 #[test]
 fn a_report_is_read_in_the_last_line_and_in_the_head_of_an_answer() {
-    let fine = || Ending::Done("fine".into());
+    let fine = || AttemptEnd::Completed("fine".into());
     let head = "HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nServer-Load: {\"cpu_share\":0.61,\"x0\":2}\r\nContent-Length: 0\r\n\r\n";
     for piece in [1, 7, 4_000] {
         let line = answered(&done(r#","load":{"x0":2,"cpu_share":0.61}"#), piece);
         assert_eq!(line, (fine(), vec![2.0, 0.61], [1, 0]));
-        assert_eq!(answered(head, piece), (Ending::Returned, vec![2.0, 0.61], [1, 0]));
+        assert_eq!(answered(head, piece), (AttemptEnd::Rejected, vec![2.0, 0.61], [1, 0]));
         assert_eq!(answered(&done(""), piece), (fine(), Vec::new(), [0, 0]));
     }
 }
@@ -76,10 +78,10 @@
         r#"{"x0":"2"}"#,
     ] {
         let (ending, report, counts) = answered(&done(&format!(",\"load\":{load}")), 4_000);
-        assert_eq!((ending, report), (Ending::Done("fine".into()), Vec::new()), "{load}");
+        assert_eq!((ending, report), (AttemptEnd::Completed("fine".into()), Vec::new()), "{load}");
         assert_eq!(counts, [0, u64::from(load != "null")], "{load}");
     }
     let head = format!("{CHUNKED}Server-Load: {{\"x0\":NaN}}\r\n");
     let (ending, report, counts) = answered(&done("").replace(CHUNKED, &head), 4_000);
-    assert_eq!((ending, report, counts), (Ending::Done("fine".into()), Vec::new(), [0, 1]));
+    assert_eq!((ending, report, counts), (AttemptEnd::Completed("fine".into()), Vec::new(), [0, 1]));
 }
--- a/crates/engine/src/tests/request.rs
+++ b/crates/engine/src/tests/request.rs
@@ -3,7 +3,7 @@
 
 use super::server_link::{Conduct, conduct, model, play};
 use super::shared;
-use crate::ending::Ending;
+use crate::attempt_end::AttemptEnd;
 use crate::job::Answer;
 use proptest::prelude::*;
 use sorrelhaven_test_support::check;
@@ -36,16 +36,16 @@
         });
         let engine = shared::engine(address);
         let at = engine.clone();
-        engine.tasks.spawn_urgent(async move { at.desk.run_timers().await });
+        engine.tasks.spawn_urgent(async move { at.dispatcher_loop.run_timers().await });
         let parcel = shared::parcel(&engine, "/api", b"body");
-        let due = engine.desk.clock.now() + 400_000;
+        let due = engine.dispatcher_loop.clock.now() + 400_000;
         let job = shared::job(parcel, due, None);
         let ticket = engine.take(job).expect("no other has its id");
         let answer = shared::run(&engine, ticket.answer());
-        let late = engine.desk.clock.now() - due;
+        let late = engine.dispatcher_loop.clock.now() - due;
         // All that is out must come to its end, too.
         shared::run(&engine, async {
-            while engine.desk.open_requests() > 0 {
+            while engine.dispatcher_loop.registered_requests() > 0 {
                 futures_lite::future::yield_now().await;
             }
             drop(std::net::TcpStream::connect(address));
@@ -53,14 +53,14 @@
         });
         executor.join().expect("the executor ends");
         let runs = count.iter().count();
-        let endings: Vec<Ending> = conducts.iter().cycle().take(runs).map(|c| model(c).0).collect();
+        let endings: Vec<AttemptEnd> = conducts.iter().cycle().take(runs).map(|c| model(c).0).collect();
         prop_assert!(late < 1_000_000, "an answer {} us late", late);
         if let Some((last, before)) = endings.split_last() {
-            prop_assert!(before.iter().all(|e| *e == Ending::Returned), "sent again after {:?}", before);
+            prop_assert!(before.iter().all(|e| *e == AttemptEnd::Rejected), "sent again after {:?}", before);
             match (last, &answer) {
-                (Ending::Done(result), Some(Answer::Served(got))) => prop_assert_eq!(result, got),
-                (Ending::Returned, Some(Answer::Throttled { .. })) => {}
-                (Ending::Done(_) | Ending::Returned, _) => {
+                (AttemptEnd::Completed(result), Some(Answer::Served(got))) => prop_assert_eq!(result, got),
+                (AttemptEnd::Rejected, Some(Answer::Rejected { .. })) => {}
+                (AttemptEnd::Completed(_) | AttemptEnd::Rejected, _) => {
                     prop_assert!(false, "{:?} gave {:?}", last, answer)
                 }
                 (_, answer) => prop_assert_eq!(answer, &Some(Answer::Failed)),
--- a/crates/engine/src/tests/server_link.rs
+++ b/crates/engine/src/tests/server_link.rs
@@ -2,9 +2,9 @@
 
 use super::shared::{self, order};
 use crate::Engine;
-use crate::ending::Ending;
-use crate::execution::{self, Order};
-use crate::job::{Mail, Parcel};
+use crate::attempt::{self, AttemptSpec};
+use crate::attempt_end::AttemptEnd;
+use crate::job::{RequestMessage, RequestPayload};
 use proptest::prelude::*;
 use sorrelhaven_config::Bodies;
 use sorrelhaven_dispatcher::{Outcome, WorkerId};
@@ -67,32 +67,32 @@
 }
 
 /// How the execution must end, and whether the link is fit for another.
-pub fn model(c: &Conduct) -> (Ending, bool) {
+pub fn model(c: &Conduct) -> (AttemptEnd, bool) {
     match c.status {
         "200 OK" => {}
-        "nonsense" => return (Ending::Malformed, false),
-        s if s.contains("Not-Started") => return (Ending::Returned, whole(c, &c.steps)),
-        "404 What" => return (Ending::Unusable, whole(c, &c.steps)),
-        _ => return (Ending::Failed, whole(c, &c.steps)),
+        "nonsense" => return (AttemptEnd::Malformed, false),
+        s if s.contains("Not-Started") => return (AttemptEnd::Rejected, whole(c, &c.steps)),
+        "404 What" => return (AttemptEnd::InvalidRequest, whole(c, &c.steps)),
+        _ => return (AttemptEnd::Failed, whole(c, &c.steps)),
     }
     for (i, step) in c.steps.iter().enumerate() {
         let ending = match step {
             Step::BlankLine => continue,
-            Step::Close => return (Ending::Cut, false),
-            Step::Huge => return (Ending::Oversize, false),
+            Step::Close => return (AttemptEnd::Truncated, false),
+            Step::Huge => return (AttemptEnd::ResponseTooLarge, false),
             Step::Line(line) => match LINES.iter().position(|l| l == line) {
                 Some(0..=2) => continue,
-                Some(3) => Ending::Done("ok\n".into()),
-                Some(4) => Ending::Failed,
-                Some(5) => Ending::Returned,
-                Some(6) => Ending::Lost,
-                Some(7) => return (Ending::WrongId, false),
-                _ => return (Ending::Malformed, false),
+                Some(3) => AttemptEnd::Completed("ok\n".into()),
+                Some(4) => AttemptEnd::Failed,
+                Some(5) => AttemptEnd::Rejected,
+                Some(6) => AttemptEnd::Killed,
+                Some(7) => return (AttemptEnd::WrongRequestId, false),
+                _ => return (AttemptEnd::Malformed, false),
             },
         };
         return (ending, whole(c, &c.steps[i..]));
     }
-    (if c.hangs { Ending::Silent } else { Ending::Cut }, false)
+    (if c.hangs { AttemptEnd::ResponseTimeout } else { AttemptEnd::Truncated }, false)
 }
 
 /// Whether the rest of the answer comes to its end.
@@ -140,27 +140,29 @@
     Ok(true)
 }
 
-fn parcel(engine: &Rc<Engine>) -> Rc<Parcel> {
+fn parcel(engine: &Rc<Engine>) -> Rc<RequestPayload> {
     Rc::new(shared::parcel(engine, "/api?x=1", b"body"))
 }
 
 /// Runs one execution against `address` and gives how it ended, and how many links stand idle after.
-fn execute(address: std::net::SocketAddr, wait: Duration) -> (Ending, bool) {
+fn execute(address: std::net::SocketAddr, wait: Duration) -> (AttemptEnd, bool) {
     let engine = shared::engine(address);
     let (mail, inbox) = async_channel::unbounded();
-    shared::run(&engine, execution::run(engine.ways.clone(), parcel(&engine), order(wait), mail));
-    let endings: Vec<Ending> = std::iter::from_fn(|| inbox.try_recv().ok())
-        .filter_map(|m| if let Mail::Ended { ending, .. } = m { Some(ending) } else { None })
+    shared::run(&engine, attempt::run(engine.upstreams.clone(), parcel(&engine), order(wait), mail));
+    let endings: Vec<AttemptEnd> = std::iter::from_fn(|| inbox.try_recv().ok())
+        .filter_map(|m| {
+            if let RequestMessage::AttemptEnded { end: ending, .. } = m { Some(ending) } else { None }
+        })
         .collect();
     assert_eq!(endings.len(), 1, "one outcome: {endings:?}");
-    (endings[0].clone(), engine.ways.links.take(WorkerId(0), address).is_some())
+    (endings[0].clone(), engine.upstreams.pool.checkout(WorkerId(0), address).is_some())
 }
 
 #[test]
 fn an_execution_ends_as_the_model_says() {
     check(160, conduct(), |c| {
         let (ending, reusable) = model(&c);
-        let silent = ending == Ending::Silent;
+        let silent = ending == AttemptEnd::ResponseTimeout;
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let (done, finished) = std::sync::mpsc::channel::<()>();
@@ -190,20 +192,20 @@
     let address = listener.local_addr().expect("its address");
     drop(listener);
     let (ending, _) = execute(address, Duration::from_secs(20));
-    assert_eq!((ending.clone(), ending.outcome()), (Ending::Unreachable, Outcome::ConnectFailed));
+    assert_eq!((ending.clone(), ending.outcome()), (AttemptEnd::Unreachable, Outcome::ConnectFailed));
 }
 
 /// The node's own want of a descriptor is no word on the executor.
 #[test]
 fn no_descriptor_is_told_as_never_sent() {
-    assert_eq!(Ending::NoDescriptor.outcome(), Outcome::NotSent);
+    assert_eq!(AttemptEnd::NoDescriptor.outcome(), Outcome::NotSent);
     let engine = shared::engine("127.0.0.1:1".parse().expect("an address"));
-    let held: Vec<_> = std::iter::from_fn(|| engine.ways.links.permit()).collect();
+    let held: Vec<_> = std::iter::from_fn(|| engine.upstreams.pool.acquire_descriptor()).collect();
     let order = order(Duration::from_secs(9));
     let (mail, inbox) = async_channel::unbounded();
-    shared::run(&engine, execution::run(engine.ways.clone(), parcel(&engine), order, mail));
-    let Ok(Mail::Ended { ending, .. }) = inbox.try_recv() else { panic!("no outcome") };
-    assert_eq!(ending, Ending::NoDescriptor, "with {} held", held.len());
+    shared::run(&engine, attempt::run(engine.upstreams.clone(), parcel(&engine), order, mail));
+    let Ok(RequestMessage::AttemptEnded { end: ending, .. }) = inbox.try_recv() else { panic!("no outcome") };
+    assert_eq!(ending, AttemptEnd::NoDescriptor, "with {} held", held.len());
 }
 
 /// A kept link that goes at the next request: that job may have run, so it is not sent again, but the links
@@ -213,7 +215,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
     let engine = shared::engine(address);
-    let before = engine.ways.links.kept();
+    let before = engine.upstreams.pool.idle_timeout();
     let executor = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("the node connects");
         let mut byte = [0];
@@ -223,15 +225,15 @@
     let (mail, inbox) = async_channel::unbounded();
     let order = order(Duration::from_secs(9));
     shared::run(&engine, async {
-        let link = engine.ways.links.open(address).await.expect("a link");
-        engine.ways.links.put(WorkerId(0), link);
+        let link = engine.upstreams.pool.connect(address).await.expect("a link");
+        engine.upstreams.pool.check_in(WorkerId(0), link);
         async_io::Timer::after(Duration::from_millis(200)).await;
-        execution::run(engine.ways.clone(), parcel(&engine), order, mail).await;
+        attempt::run(engine.upstreams.clone(), parcel(&engine), order, mail).await;
     });
     executor.join().expect("the executor ends");
-    let Ok(Mail::Ended { ending, .. }) = inbox.try_recv() else { panic!("no outcome") };
-    assert_eq!((ending.clone(), ending.outcome()), (Ending::Stale, Outcome::Reset));
-    let kept = engine.ways.links.kept();
+    let Ok(RequestMessage::AttemptEnded { end: ending, .. }) = inbox.try_recv() else { panic!("no outcome") };
+    assert_eq!((ending.clone(), ending.outcome()), (AttemptEnd::StaleConnection, Outcome::Reset));
+    let kept = engine.upstreams.pool.idle_timeout();
     assert!(before > Duration::from_secs(10) && kept >= Duration::from_millis(100), "{before:?} {kept:?}");
     assert!(kept < Duration::from_secs(5), "half of what it had stood: {kept:?}");
 }
@@ -249,9 +251,9 @@
     engine.bodies.configure(&settings, None);
     let parcel = shared::parcel(&engine, "/api", &vec![b'x'; 64 << 20]);
     let order = order(Duration::from_millis(200));
-    shared::run(&engine, execution::run(engine.ways.clone(), Rc::new(parcel), order, mail));
-    let Ok(Mail::Ended { ending, .. }) = inbox.try_recv() else { panic!("no outcome") };
-    assert_eq!((ending.clone(), ending.outcome()), (Ending::LateUnwritten, Outcome::ConnectFailed));
+    shared::run(&engine, attempt::run(engine.upstreams.clone(), Rc::new(parcel), order, mail));
+    let Ok(RequestMessage::AttemptEnded { end: ending, .. }) = inbox.try_recv() else { panic!("no outcome") };
+    assert_eq!((ending.clone(), ending.outcome()), (AttemptEnd::TimeoutBeforeSent, Outcome::ConnectFailed));
 }
 
 /// Once written, a link that breaks may have let the job run: never "could not connect".
@@ -261,13 +263,13 @@
     let address = listener.local_addr().expect("its address");
     let engine = shared::engine(address);
     shared::run(&engine, async {
-        let link = engine.ways.links.open(address).await.expect("a link");
-        engine.ways.links.put(WorkerId(0), link);
+        let link = engine.upstreams.pool.connect(address).await.expect("a link");
+        engine.upstreams.pool.check_in(WorkerId(0), link);
     });
     drop(listener.accept().expect("the node's link"));
     let until = Instant::now() + Duration::from_secs(10);
-    while engine.ways.links.take(WorkerId(0), address).is_some_and(|link| {
-        engine.ways.links.put(WorkerId(0), link);
+    while engine.upstreams.pool.checkout(WorkerId(0), address).is_some_and(|link| {
+        engine.upstreams.pool.check_in(WorkerId(0), link);
         Instant::now() < until
     }) {}
     assert!(Instant::now() < until, "a link that the executor has closed was kept");
@@ -280,9 +282,9 @@
     let address = listener.local_addr().expect("its address");
     let engine = shared::engine(address);
     let (mail, inbox) = async_channel::unbounded();
-    let order = Order { before: Instant::now(), ..order(Duration::from_secs(9)) };
-    shared::run(&engine, execution::run(engine.ways.clone(), parcel(&engine), order, mail));
-    let Ok(Mail::Ended { ending, .. }) = inbox.try_recv() else { panic!("no outcome") };
-    assert_eq!((ending.clone(), ending.outcome()), (Ending::WindowOver, Outcome::NotSent));
+    let order = AttemptSpec { send_by: Instant::now(), ..order(Duration::from_secs(9)) };
+    shared::run(&engine, attempt::run(engine.upstreams.clone(), parcel(&engine), order, mail));
+    let Ok(RequestMessage::AttemptEnded { end: ending, .. }) = inbox.try_recv() else { panic!("no outcome") };
+    assert_eq!((ending.clone(), ending.outcome()), (AttemptEnd::IdempotencyWindowExpired, Outcome::NotSent));
     assert_eq!(engine.counters.written.get(), 0);
 }
--- a/crates/engine/src/tests/shared.rs
+++ b/crates/engine/src/tests/shared.rs
@@ -1,8 +1,8 @@
 //! What the tests of the engine share: one in this thread.
 
-use crate::execution::Order;
+use crate::attempt::AttemptSpec;
 use crate::job::Job;
-use crate::{Engine, Parcel};
+use crate::{Engine, RequestPayload};
 use futures_lite::future::or;
 use sorrelhaven_body_store::End;
 use sorrelhaven_config::Config;
@@ -23,31 +23,31 @@
 }
 
 /// A first execution at the one executor, which waits for so long.
-pub fn order(wait: Duration) -> Order {
+pub fn order(wait: Duration) -> AttemptSpec {
     let deadline = Instant::now() + wait;
-    Order {
+    AttemptSpec {
         attempt: 0,
         worker: WorkerId(0),
         deadline,
-        before: deadline,
-        fate: Rc::default(),
-        written: Rc::default(),
+        send_by: deadline,
+        request: Rc::default(),
+        fully_sent: Rc::default(),
     }
 }
 
 /// A job of the first class with this parcel, whose client gives up at `due`.
-pub fn job(parcel: Parcel, due: Micros, client: Option<EndProbe>) -> Job {
+pub fn job(parcel: RequestPayload, due: Micros, client: Option<EndProbe>) -> Job {
     Job {
         class: 0,
-        due,
-        hint: Some(50_000),
-        width: 1.0,
-        resent: false,
-        key: 0,
-        sendable: true,
-        place: None,
-        client,
-        parcel,
+        deadline: due,
+        work_hint: Some(50_000),
+        slots: 1.0,
+        is_retry: false,
+        affinity_key: 0,
+        body_sendable: true,
+        body_permit: None,
+        client_probe: client,
+        payload: parcel,
     }
 }
 
@@ -57,7 +57,7 @@
 }
 
 /// A parcel `r1` with this body, kept in memory.
-pub fn parcel(engine: &Rc<Engine>, target: &str, bytes: &[u8]) -> Parcel {
+pub fn parcel(engine: &Rc<Engine>, target: &str, bytes: &[u8]) -> RequestPayload {
     let mut writer = engine.bodies.begin(0, Some(bytes.len() as u64)).ok().expect("a body that is taken");
     let body = writer.spool();
     let kept = async {
@@ -66,5 +66,5 @@
     };
     futures_lite::future::block_on(kept).expect("it is kept");
     let (id, method) = ("r1".into(), "POST".to_string());
-    Parcel { id, method, target: target.to_string(), headers: Vec::new(), body }
+    RequestPayload { id, method, target: target.to_string(), headers: Vec::new(), body }
 }
--- a/crates/engine/src/tests/watch.rs
+++ b/crates/engine/src/tests/watch.rs
@@ -2,7 +2,7 @@
 
 use super::shared;
 use crate::Engine;
-use crate::host_group::Backoff;
+use crate::discovery_watch::Backoff;
 use sorrelhaven_dispatcher::WorkerId;
 use sorrelhaven_test_support::{OPEN, say, target};
 use std::io::{Read, Write};
@@ -70,7 +70,7 @@
         let mut again = next();
         assert_eq!(target(&mut again), "/registry/instances?watch=1&after=7");
     });
-    let port = |n: u32| engine.ways.host_group.address(WorkerId(n)).map(|a| a.port());
+    let port = |n: u32| engine.upstreams.registry.address(WorkerId(n)).map(|a| a.port());
     assert_eq!([port(0), port(1), port(2), port(3)], [Some(1), Some(2), Some(3), None]);
     assert_eq!(engine.counters.lists.get(), 2);
 }
@@ -86,7 +86,7 @@
 
 /// How many executors take work, and how many do not.
 fn counted(engine: &Engine) -> [usize; 2] {
-    let worker_counts = engine.desk.worker_counts();
+    let worker_counts = engine.dispatcher_loop.worker_counts();
     [(worker_counts.known - worker_counts.draining) as usize, worker_counts.draining as usize]
 }
 
--- a/crates/engine/src/tests/written.rs
+++ b/crates/engine/src/tests/written.rs
@@ -1,9 +1,9 @@
 //! What counts as sent: a request whose last byte was written may have run, whatever happens next in the node.
 
 use super::shared;
-use crate::ending::Ending;
-use crate::execution;
-use crate::job::Mail;
+use crate::attempt;
+use crate::attempt_end::AttemptEnd;
+use crate::job::RequestMessage;
 use sorrelhaven_body_store::BLOCK;
 use std::io::Read;
 use std::net::TcpListener;
@@ -25,9 +25,9 @@
     let (mail, inbox) = async_channel::unbounded();
     // No other task runs, so the turn after the last block does not come within the deadline.
     let order = shared::order(Duration::from_millis(300));
-    async_io::block_on(execution::run(engine.ways.clone(), parcel, order, mail));
+    async_io::block_on(attempt::run(engine.upstreams.clone(), parcel, order, mail));
     let last = std::iter::from_fn(|| inbox.try_recv().ok()).last();
     assert_eq!(executor.join().expect("the executor"), BLOCK, "the executor has all of it");
-    let Some(Mail::Ended { ending, .. }) = last else { panic!("no ending: {last:?}") };
-    assert_eq!(ending, Ending::Silent, "it may have run");
+    let Some(RequestMessage::AttemptEnded { end: ending, .. }) = last else { panic!("no ending: {last:?}") };
+    assert_eq!(ending, AttemptEnd::ResponseTimeout, "it may have run");
 }
--- a/crates/engine/src/ways.rs
+++ b/crates/engine/src/upstreams.rs
@@ -1,9 +1,9 @@
 //! The ways to executors: where they listen, and the links to them.
 
+use crate::attempt_end::AttemptEnd;
+use crate::connection_pool::{ConnectionPool, PooledConnection};
 use crate::counters::Counters;
-use crate::ending::Ending;
-use crate::host_group::HostGroup;
-use crate::links::{Links, ServerLink};
+use crate::discovery_watch::WorkerRegistry;
 use crate::load::Fields;
 use crate::tasks::Tasks;
 use sorrelhaven_dispatcher::WorkerId;
@@ -12,30 +12,30 @@
 use std::time::Duration;
 
 /// What executions and probes reach executors with.
-pub struct Ways {
+pub struct Upstreams {
     /// The executors known.
-    pub host_group: HostGroup,
+    pub registry: WorkerRegistry,
     /// The server links.
-    pub links: Links,
+    pub pool: ConnectionPool,
     /// Where large bodies wait for their turn.
     pub tasks: Rc<Tasks>,
     /// The counters.
     pub counters: Rc<Counters>,
     /// The fields of load reports.
-    pub loads: Fields,
+    pub load_fields: Fields,
     /// How long after its drain was told an executor may still be sent something.
     pub drain_grace: Duration,
     /// A connection not made within this time has failed.
-    pub connect_limit: Duration,
+    pub connect_timeout: Duration,
 }
 
-impl Ways {
+impl Upstreams {
     /// A link to the executor, kept or new, and the address it goes to.
-    pub async fn link(&self, worker: WorkerId) -> Result<(SocketAddr, ServerLink), Ending> {
-        let address = self.host_group.address(worker).ok_or(Ending::NoAddress)?;
-        let link = match self.links.take(worker, address) {
+    pub async fn connection(&self, worker: WorkerId) -> Result<(SocketAddr, PooledConnection), AttemptEnd> {
+        let address = self.registry.address(worker).ok_or(AttemptEnd::NoAddress)?;
+        let link = match self.pool.checkout(worker, address) {
             Some(link) => link,
-            None => self.links.open(address).await?,
+            None => self.pool.connect(address).await?,
         };
         Ok((address, link))
     }
--- a/crates/frontend-http1/src/accept.rs
+++ b/crates/frontend-http1/src/accept.rs
@@ -124,8 +124,8 @@
 
 /// A descriptor for one more client link.
 fn room(front: &Front) -> Option<Permit> {
-    let room = front.client_links.get() < front.links().descriptors.clients_most();
-    if room { front.links().permit() } else { None }
+    let room = front.client_links.get() < front.links().descriptors.max_downstream();
+    if room { front.links().acquire_descriptor() } else { None }
 }
 
 /// Has one client link closed: the oldest that has carried no request, or else the one that has stood idle for
--- a/crates/frontend-http1/src/front.rs
+++ b/crates/frontend-http1/src/front.rs
@@ -4,7 +4,7 @@
 use event_listener::Event;
 use futures_lite::future::or;
 use sorrelhaven_config::{ClassName, Config};
-use sorrelhaven_engine::{Count, Engine, Links, length};
+use sorrelhaven_engine::{ConnectionPool, Count, Engine, length};
 use sorrelhaven_lifecycle::{Lifecycle, Standing};
 use sorrelhaven_wire::by;
 use std::cell::Cell;
@@ -132,7 +132,7 @@
 
     /// Has as many client links give way as there are beyond the bound on them.
     pub fn shed(&self) {
-        let beyond = self.client_links.get().saturating_sub(self.links().descriptors.clients_most());
+        let beyond = self.client_links.get().saturating_sub(self.links().descriptors.max_downstream());
         let silent = self.close_silent.notify_additional(beyond);
         self.close_idle.notify_additional(beyond - silent);
     }
@@ -148,7 +148,7 @@
     }
 
     /// The server links, which share the descriptors.
-    pub(crate) fn links(&self) -> &Links {
-        &self.engine.ways.links
+    pub(crate) fn links(&self) -> &ConnectionPool {
+        &self.engine.upstreams.pool
     }
 }
--- a/crates/frontend-http1/src/link.rs
+++ b/crates/frontend-http1/src/link.rs
@@ -120,7 +120,7 @@
         Body::Length(length) => Some(length as u64),
         _ => None,
     };
-    let due = front.engine.desk.clock.instant(draft.due());
+    let due = front.engine.dispatcher_loop.clock.instant(draft.due());
     let writer = match bodies.begin(draft.party(front), declared) {
         Ok(writer) => writer,
         Err((end, body)) => return not_whole(front, draft, body, end, link.end_probe(), carried).await,
@@ -144,7 +144,7 @@
     let place = match spool.length() {
         Some(length) if length <= BLOCK as u64 => None,
         _ => {
-            let waited = or(async { Some(front.engine.places.take(due).await) }, async {
+            let waited = or(async { Some(front.engine.body_admission.acquire(due).await) }, async {
                 link.ended_in_body().await;
                 None
             });
@@ -160,7 +160,7 @@
         }
     };
     if let Some(by) = front.answer_by(Instant::now()) {
-        draft.hurry(front.engine.desk.clock.micros(by));
+        draft.hurry(front.engine.dispatcher_loop.clock.micros(by));
     }
     let Some(ticket) = front.engine.take(draft.job(spool.clone(), true, place, link.end_probe())) else {
         return Some((Response::new(409), intake.is_none()));
@@ -183,7 +183,7 @@
             Some((answer.map_or(Response::new(500), Response::from), whole))
         }
         Err(end) => {
-            ticket.leave();
+            ticket.client_disconnected();
             intake::answer(end).map(|response| (response, false))
         }
     }
--- a/crates/frontend-http1/src/read.rs
+++ b/crates/frontend-http1/src/read.rs
@@ -4,7 +4,7 @@
 use crate::response::Response;
 use sorrelhaven_body_store::Spool;
 use sorrelhaven_dispatcher::Micros;
-use sorrelhaven_engine::{Job, Parcel, Place};
+use sorrelhaven_engine::{BodyPermit, Job, RequestPayload};
 use sorrelhaven_lifecycle::Lifecycle;
 use sorrelhaven_wire::{Body, EndProbe, Fault, Head, Link, Start};
 use std::rc::Rc;
@@ -58,17 +58,28 @@
     }
 
     /// The job with its body, all of it or what has come so far.
-    pub fn job(self, body: Spool, sendable: bool, place: Option<Place>, client: EndProbe) -> Job {
+    pub fn job(self, body: Spool, sendable: bool, place: Option<BodyPermit>, client: EndProbe) -> Job {
         let Draft { class, due, hint, width, resent, key, id, method, target, headers, .. } = self;
-        let parcel = Parcel { id, method, target, headers, body };
-        Job { class, due, hint, width, resent, key, sendable, place, client: Some(client), parcel }
+        let parcel = RequestPayload { id, method, target, headers, body };
+        Job {
+            class,
+            deadline: due,
+            work_hint: hint,
+            slots: width,
+            is_retry: resent,
+            affinity_key: key,
+            body_sendable: sendable,
+            body_permit: place,
+            client_probe: Some(client),
+            payload: parcel,
+        }
     }
 }
 
 /// Reads one request's head.
 pub async fn read(front: &Front, link: &mut Link) -> Result<Read, Fault> {
     let head = link.head(Head::request).await?;
-    let came = front.engine.desk.clock.now();
+    let came = front.engine.dispatcher_loop.clock.now();
     let body = head.body()?;
     let expects =
         body != Body::Length(0) && head.get("Expect").is_some_and(|v| v.eq_ignore_ascii_case("100-continue"));
--- a/crates/frontend-http1/src/response.rs
+++ b/crates/frontend-http1/src/response.rs
@@ -57,7 +57,7 @@
     fn from(answer: Answer) -> Response {
         match answer {
             Answer::Served(result) => Response { body: result.into_bytes(), ..Response::new(200) },
-            Answer::Throttled { retry_after } => {
+            Answer::Rejected { retry_after } => {
                 Response { retry_after: Some(retry_after).filter(|&t| t > 0), ..Response::new(503) }
             }
             // Not 503 or 429: those say that trying again is harmless, and this job may have run.
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -207,7 +207,7 @@
     front: Rc<Front>,
     standing: Rc<Standing>,
     format: LogFormat,
-    /// Descriptors that all processes of this node may hold.
+    /// DescriptorBudget that all processes of this node may hold.
     sockets: Cell<usize>,
     /// The other processes of this node that live.
     others: Cell<usize>,
@@ -234,7 +234,7 @@
 
     /// Divides the descriptors among the processes of this node.
     fn divide(&self) {
-        self.engine.ways.links.resize(self.sockets.get() / (1 + self.others.get()));
+        self.engine.upstreams.pool.resize(self.sockets.get() / (1 + self.others.get()));
         self.front.shed();
     }
 
@@ -303,7 +303,7 @@
     /// Serves until it is told to stop and all that was taken is answered.
     async fn serve(&self, listener: Async<TcpListener>, queue: Queue) {
         front::accept(self.front.clone(), listener, queue, self.accepted_enough(queue)).await;
-        while self.front.open_links() > 0 || self.engine.desk.open_requests() > 0 {
+        while self.front.open_links() > 0 || self.engine.dispatcher_loop.registered_requests() > 0 {
             Timer::after(CLOSING_LOOK).await;
         }
     }
