--- a/crates/admin/src/call.rs
+++ b/crates/admin/src/call.rs
@@ -1,6 +1,6 @@
 //! Lines, as they come in pieces, read into calls.
 
-use sorrelhaven_lifecycle::Call;
+use sorrelhaven_lifecycle::Command;
 use std::fmt;
 
 /// The most that a line may hold, in bytes, its end not counted.
@@ -10,8 +10,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Asked {
     /// Something about the node's lifecycle.
-    Lifecycle(Call),
-    /// The figures.
+    Lifecycle(Command),
+    /// The metrics.
     ShowStat,
     /// The nodes that this one knows.
     Members,
@@ -64,9 +64,9 @@
 
     fn read(&self) -> Result<Asked, Unread> {
         match self.0.trim_ascii() {
-            b"ready" => Ok(Asked::Lifecycle(Call::Ready)),
-            b"drain" => Ok(Asked::Lifecycle(Call::Drain)),
-            b"resume" => Ok(Asked::Lifecycle(Call::Resume)),
+            b"ready" => Ok(Asked::Lifecycle(Command::Ready)),
+            b"drain" => Ok(Asked::Lifecycle(Command::Drain)),
+            b"resume" => Ok(Asked::Lifecycle(Command::Resume)),
             b"show-stat" => Ok(Asked::ShowStat),
             b"members" => Ok(Asked::Members),
             other => Err(Unread::Unknown(String::from_utf8_lossy(other).into_owned())),
--- a/crates/admin/src/desk.rs
+++ b/crates/admin/src/desk.rs
@@ -1,10 +1,10 @@
 //! Answers calls.
 
 use crate::call::{Asked, Unread};
-use crate::figures::{ClassFigures, Figures};
+use crate::metrics::{ClassMetrics, Metrics};
 use sorrelhaven_engine::Engine;
-use sorrelhaven_lifecycle::{Reply, Standing};
-use sorrelhaven_membership::{Membership, Row, Standing as Held};
+use sorrelhaven_lifecycle::{CommandReply, LifecycleHandle};
+use sorrelhaven_membership::{Member, MemberState, Membership};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Instant;
@@ -12,14 +12,18 @@
 /// What answers the operators.
 pub struct Desk {
     engine: Rc<Engine>,
-    standing: Rc<Standing>,
+    standing: Rc<LifecycleHandle>,
     members: Option<Rc<RefCell<Membership>>>,
 }
 
 impl Desk {
     /// A desk that shows what `engine` counts, does what is asked of `standing`, and knows the other nodes where
     /// membership is on.
-    pub fn new(engine: Rc<Engine>, standing: Rc<Standing>, members: Option<Rc<RefCell<Membership>>>) -> Desk {
+    pub fn new(
+        engine: Rc<Engine>,
+        standing: Rc<LifecycleHandle>,
+        members: Option<Rc<RefCell<Membership>>>,
+    ) -> Desk {
         Desk { engine, standing, members }
     }
 
@@ -27,10 +31,10 @@
     pub fn answer(&self, line: Result<Asked, Unread>, now: Instant) -> String {
         match line {
             Ok(Asked::Lifecycle(call)) => match self.standing.call(call, now) {
-                Reply::Yes(holds) => format!("SUCCESS {holds}\n"),
-                Reply::No(holds) => format!("FAILURE {holds}\n"),
+                CommandReply::Success(holds) => format!("SUCCESS {holds}\n"),
+                CommandReply::Failure(holds) => format!("FAILURE {holds}\n"),
             },
-            Ok(Asked::ShowStat) => self.figures().text(),
+            Ok(Asked::ShowStat) => self.metrics().text(),
             Ok(Asked::Members) => self.members(),
             Err(unread) => format!("FAILURE {unread}\n"),
         }
@@ -41,40 +45,40 @@
         let Some(members) = &self.members else { return "FAILURE membership is off\n".to_string() };
         let mut rows = members.borrow().table();
         rows.sort_by(|a, b| a.id.cmp(&b.id));
-        let line = |r: &Row| format!("{} {} {} {}\n", r.id.name, r.id.life, r.id.address, r.standing);
+        let line = |r: &Member| format!("{} {} {} {}\n", r.id.name, r.id.incarnation, r.id.address, r.state);
         rows.iter().map(line).collect::<String>() + "EOT\n"
     }
 
     fn member_figures(&self) -> Vec<(&'static str, &'static str, u64)> {
         let Some(members) = &self.members else { return Vec::new() };
-        let (table, f) = (members.borrow().table(), members.borrow().figures());
-        let count = |standing| table.iter().filter(|r| r.standing == standing).count() as u64;
+        let (table, f) = (members.borrow().table(), members.borrow().metrics());
+        let count = |standing| table.iter().filter(|r| r.state == standing).count() as u64;
         vec![
-            ("members_alive", "gauge", count(Held::Alive)),
-            ("members_suspect", "gauge", count(Held::Suspect)),
-            ("members_dead", "gauge", count(Held::Dead)),
-            ("members_left", "gauge", count(Held::Left)),
+            ("members_alive", "gauge", count(MemberState::Alive)),
+            ("members_suspect", "gauge", count(MemberState::Suspect)),
+            ("members_dead", "gauge", count(MemberState::Dead)),
+            ("members_left", "gauge", count(MemberState::Left)),
             ("member_probes", "counter", f.probes),
             ("member_suspicions", "counter", f.suspicions),
             ("member_refuted", "counter", f.refuted),
             ("member_declared_dead", "counter", f.declared_dead),
             ("member_pauses", "counter", f.pauses),
             ("member_bytes_sent", "counter", f.bytes),
-            ("member_dropped", "counter", f.misshapen + f.forged + f.replayed + f.senseless),
+            ("member_dropped", "counter", f.malformed + f.unauthenticated + f.replayed + f.undecodable),
         ]
     }
 
-    /// The figures now.
-    pub fn figures(&self) -> Figures {
+    /// The metrics now.
+    pub fn metrics(&self) -> Metrics {
         let counters = &self.engine.counters;
         let worker_counts = self.engine.dispatcher_loop.worker_counts();
-        let classes = counters.classes().map(|(name, class)| ClassFigures {
+        let classes = counters.classes().map(|(name, class)| ClassMetrics {
             class: name.to_string(),
             passed: class.served.get(),
             dropped: class.rejected.get(),
             bad_gateway: class.failed.get(),
         });
-        Figures {
+        Metrics {
             classes: classes.collect(),
             upstream_tries: counters.written.get(),
             in_progress: counters.in_progress(),
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,16 +1,16 @@
 //! The operators' address: each connection carries one line, a call, and gets its answer.
 //!
-//! `call` reads lines into calls, `figures` writes figures as text, `places` says which caller gives way; they do no
+//! `call` reads lines into calls, `metrics` writes metrics as text, `places` says which caller gives way; they do no
 //! I/O. `desk` answers calls, `serve` has the sockets.
 
 mod call;
 mod desk;
-mod figures;
+mod metrics;
 mod places;
 mod serve;
 
 pub use call::{Asked, Incoming, LINE_MOST, Unread};
 pub use desk::Desk;
-pub use figures::{ClassFigures, Figures};
+pub use metrics::{ClassMetrics, Metrics};
 pub use places::{PLACES, gives_way};
 pub use serve::{listen, serve};
--- a/crates/admin/src/figures.rs
+++ b/crates/admin/src/metrics.rs
@@ -1,10 +1,10 @@
-//! Figures as text: a line each, `name{label="value"} figure`, and a line `EOT` at the end.
+//! Metrics as text: a line each, `name{label="value"} figure`, and a line `EOT` at the end.
 
 use std::fmt::Write;
 
-/// The figures of one class.
+/// The metrics of one class.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ClassFigures {
+pub struct ClassMetrics {
     /// Its name.
     pub class: String,
     /// Jobs served.
@@ -16,13 +16,13 @@
 }
 
 /// One figure of a class.
-type ByClass = fn(&ClassFigures) -> u64;
+type ByClass = fn(&ClassMetrics) -> u64;
 
-/// All figures at one moment.
+/// All metrics at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Metrics {
     /// By class, in the order of the settings.
-    pub classes: Vec<ClassFigures>,
+    pub classes: Vec<ClassMetrics>,
     /// Attempts written whole to executors.
     pub upstream_tries: u64,
     /// Jobs taken and not yet ended.
@@ -45,7 +45,7 @@
     pub members: Vec<(&'static str, &'static str, u64)>,
 }
 
-impl Figures {
+impl Metrics {
     /// The text, `EOT` included.
     pub fn text(&self) -> String {
         let mut text = String::new();
--- a/crates/admin/src/serve.rs
+++ b/crates/admin/src/serve.rs
@@ -7,7 +7,9 @@
 use async_io::{Async, Timer};
 use futures_lite::future::yield_now;
 use sorrelhaven_engine::Tasks;
-use sorrelhaven_wire::{Call, Failure, Fault, Link, by, classify, shortage_pause};
+use sorrelhaven_wire::{
+    Connection, SocketCall, SocketFailure, WireError, classify, shortage_pause, timeout_at,
+};
 use std::collections::VecDeque;
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -67,13 +69,13 @@
 
 /// Waits until an accept that failed so is worth another.
 async fn wait_after(error: &io::Error, listener: &Async<TcpListener>) {
-    match classify(Call::Accept, error) {
-        Failure::NotReady => {
+    match classify(SocketCall::Accept, error) {
+        SocketFailure::NotReady => {
             let _ = listener.readable().await;
         }
-        Failure::Interrupted | Failure::Connection => yield_now().await,
-        Failure::DescriptorLimit | Failure::Shortage => {
-            warn!(%error, "cannot accept an operator's call");
+        SocketFailure::Interrupted | SocketFailure::Connection => yield_now().await,
+        SocketFailure::DescriptorLimit | SocketFailure::Shortage => {
+            warn!(%error, "admin accept failed");
             shortage_pause().await;
         }
     }
@@ -81,25 +83,25 @@
 
 /// One caller, from its accept to its end.
 async fn talk(desk: &Desk, stream: TcpStream) {
-    let Ok(mut link) = Link::accepted(stream).await else { return };
-    let line = by(Instant::now() + WHOLE, line(&mut link)).await;
+    let Ok(mut link) = Connection::accepted(stream).await else { return };
+    let line = timeout_at(Instant::now() + WHOLE, line(&mut link)).await;
     let Some(line) = line.unwrap_or(Some(Err(Unread::TooSlow))) else { return };
-    debug!(?line, "an operator calls");
+    debug!(?line, "admin command");
     let answer = desk.answer(line, Instant::now());
-    if by(Instant::now() + TAKEN, link.write(answer.as_bytes())).await == Some(Ok(())) {
-        _ = by(Instant::now() + LINGER, link.linger(LINGER_MOST)).await;
+    if timeout_at(Instant::now() + TAKEN, link.write(answer.as_bytes())).await == Some(Ok(())) {
+        _ = timeout_at(Instant::now() + LINGER, link.drain_input(LINGER_MOST)).await;
     }
 }
 
 /// The line; `None` where the caller has gone.
-async fn line(link: &mut Link) -> Option<Result<Asked, Unread>> {
+async fn line(link: &mut Connection) -> Option<Result<Asked, Unread>> {
     let mut incoming = Incoming::default();
     loop {
         match link.fill().await {
-            Err(Fault::Closed) => return incoming.end(),
+            Err(WireError::Closed) => return incoming.end(),
             Err(_) => return None,
             Ok(()) => {
-                if let Some(line) = incoming.push(&link.take()) {
+                if let Some(line) = incoming.push(&link.take_buffered()) {
                     return Some(line);
                 }
             }
--- a/crates/body-store/src/lib.rs
+++ b/crates/body-store/src/lib.rs
@@ -10,32 +10,32 @@
 //! | `end` | every way in which the coming of a body can end |
 //!
 //! ```
-//! use sorrelhaven_body_store::{Bodies, End};
+//! use sorrelhaven_body_store::{BodyStore, BodyEnd};
 //!
-//! let bodies = Bodies::new(&Default::default(), 1, None, || None);
+//! let bodies = BodyStore::new(&Default::default(), 1, None, || None);
 //! async_io::block_on(async {
 //!     let mut writer = bodies.begin(0, Some(4)).map_err(|(end, _)| end)?;
 //!     let spool = writer.spool();
 //!     writer.push(b"body").await?;
-//!     assert_eq!(writer.finish().await, End::InMemory);
+//!     assert_eq!(writer.finish().await, BodyEnd::InMemory);
 //!     let (mut reader, mut out) = (spool.reader(), Vec::new());
 //!     while reader.next(&mut out).await.expect("all of it is kept") {}
 //!     assert_eq!(out, b"body");
-//!     Ok::<(), End>(())
+//!     Ok::<(), BodyEnd>(())
 //! })?;
-//! # Ok::<(), End>(())
+//! # Ok::<(), BodyEnd>(())
 //! ```
 
+mod body_end;
 mod budget;
 mod disk;
-mod end;
 mod plan;
 mod pool;
 mod settings;
-mod spool;
+mod store;
 
+pub use body_end::{BodyEnd, BodyReadError};
 pub use budget::{Budget, SMALL};
 pub use disk::{Directory, Disk, DiskFile, Unusable, is_full};
-pub use end::{End, Unreadable};
-pub use plan::{BodyId, FileLimits, Limits, Now, Plan, Step, Verdict, Why};
-pub use spool::{BLOCK, Bodies, Permit, Reader, Spool, Writer};
+pub use plan::{BodyId, FileLimits, Limits, NotStoredReason, Now, Plan, StorageDecision, StorageTier};
+pub use store::{BLOCK_BYTES, BodyStore, BodyWriter, Permit, RequestBody, StoredBodyReader};
--- a/crates/body-store/src/plan.rs
+++ b/crates/body-store/src/plan.rs
@@ -26,19 +26,19 @@
 
 /// Where a body is kept.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Step {
+pub enum StorageTier {
     /// In memory.
     #[default]
     Memory,
     /// In a file, or on its way there.
     File,
     /// Not kept: what comes can be passed on once.
-    Unkept,
+    NotStored,
 }
 
-/// Why a body is not kept.
+/// Why a body is not stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Why {
+pub enum NotStoredReason {
     /// It is larger than any one that is kept, or the budgets are used up.
     Budget,
     /// The disk is full, or has no more than is to be left free.
@@ -51,11 +51,11 @@
 
 /// What is to become of the next piece of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum StorageDecision {
     /// Keep it there.
-    Keep(Step),
+    Keep(StorageTier),
     /// From here on nothing more is kept of it.
-    Unkept(Why),
+    NotStored(NotStoredReason),
     /// The body is larger than any that is taken.
     TooLong,
 }
@@ -87,7 +87,7 @@
 #[derive(Debug)]
 struct Account {
     party: usize,
-    step: Step,
+    step: StorageTier,
     length: u64,
     in_memory: u64,
     in_file: u64,
@@ -98,7 +98,7 @@
 /// The troubles of the disk.
 #[derive(Debug, Default)]
 struct Trouble {
-    why: Option<Why>,
+    why: Option<NotStoredReason>,
     closed_until: Now,
     pause: Duration,
 }
@@ -147,73 +147,75 @@
     }
 
     /// Takes in a body of `party`, which has told its length or not.
-    pub fn begin(&mut self, now: Now, party: usize, declared: Option<u64>) -> (BodyId, Verdict) {
+    pub fn begin(&mut self, now: Now, party: usize, declared: Option<u64>) -> (BodyId, StorageDecision) {
         let id = BodyId(self.next);
         self.next += 1;
-        let (step, party) = (Step::Memory, party.min(self.memory.parties() - 1));
+        let (step, party) = (StorageTier::Memory, party.min(self.memory.parties() - 1));
         let account =
             Account { party, step, length: 0, in_memory: 0, in_file: 0, whole: false, moving: false };
         self.bodies.insert(id, account);
         let verdict = match declared {
-            Some(length) if length > self.limits.largest => Verdict::TooLong,
+            Some(length) if length > self.limits.largest => StorageDecision::TooLong,
             Some(length) if length > self.limits.memory_each => self.up(now, id, length),
-            _ => Verdict::Keep(Step::Memory),
+            _ => StorageDecision::Keep(StorageTier::Memory),
         };
         (id, verdict)
     }
 
     /// A body has `more` bytes to come next. They count as held from here on where they are kept.
-    pub fn want(&mut self, now: Now, id: BodyId, more: u64) -> Verdict {
-        let Some(body) = self.bodies.get_mut(&id) else { return Verdict::TooLong };
+    pub fn want(&mut self, now: Now, id: BodyId, more: u64) -> StorageDecision {
+        let Some(body) = self.bodies.get_mut(&id) else { return StorageDecision::TooLong };
         let length = body.length.saturating_add(more);
         if length > self.limits.largest {
-            return Verdict::TooLong;
+            return StorageDecision::TooLong;
         }
         body.length = length;
         match body.step {
-            Step::Unkept => Verdict::Unkept(Why::Budget),
-            Step::Memory => {
+            StorageTier::NotStored => StorageDecision::NotStored(NotStoredReason::Budget),
+            StorageTier::Memory => {
                 let fits = length <= self.limits.memory_each;
                 if fits && self.memory.take(body.party, body.in_memory, more) {
                     body.in_memory += more;
-                    return Verdict::Keep(Step::Memory);
+                    return StorageDecision::Keep(StorageTier::Memory);
                 }
                 self.up(now, id, length)
             }
-            Step::File => {
+            StorageTier::File => {
                 let each = self.limits.files.as_ref().map_or(0, |f| f.each);
                 if length > each || !self.files.take(body.party, body.in_file, more) {
-                    body.step = Step::Unkept;
-                    return Verdict::Unkept(Why::Budget);
+                    body.step = StorageTier::NotStored;
+                    return StorageDecision::NotStored(NotStoredReason::Budget);
                 }
                 body.in_file += more;
-                Verdict::Keep(Step::File)
+                StorageDecision::Keep(StorageTier::File)
             }
         }
     }
 
     /// Out of memory: into a file that takes all of it, or not kept.
-    fn up(&mut self, now: Now, id: BodyId, expected: u64) -> Verdict {
+    fn up(&mut self, now: Now, id: BodyId, expected: u64) -> StorageDecision {
         let open = self.files_open(now);
-        let Some(body) = self.bodies.get_mut(&id) else { return Verdict::TooLong };
+        let Some(body) = self.bodies.get_mut(&id) else { return StorageDecision::TooLong };
         let each = self.limits.files.as_ref().map_or(0, |f| f.each);
         let why = match open {
             Err(why) => why,
-            Ok(()) if expected > each || !self.files.take(body.party, 0, body.length) => Why::Budget,
+            Ok(()) if expected > each || !self.files.take(body.party, 0, body.length) => {
+                NotStoredReason::Budget
+            }
             Ok(()) => {
-                body.step = Step::File;
+                body.step = StorageTier::File;
                 body.in_file = body.length;
-                return Verdict::Keep(Step::File);
+                return StorageDecision::Keep(StorageTier::File);
             }
         };
-        body.step = Step::Unkept;
-        Verdict::Unkept(why)
+        body.step = StorageTier::NotStored;
+        StorageDecision::NotStored(why)
     }
 
     /// Whether a file may be begun. After a trouble they are closed for a pause; then one body tries again.
-    fn files_open(&self, now: Now) -> Result<(), Why> {
+    fn files_open(&self, now: Now) -> Result<(), NotStoredReason> {
         match (&self.limits.files, self.disk.why) {
-            (None, _) => Err(Why::Budget),
+            (None, _) => Err(NotStoredReason::Budget),
             (Some(_), Some(why)) if now < self.disk.closed_until => Err(why),
             (Some(_), _) => Ok(()),
         }
@@ -229,7 +231,7 @@
     /// The disk has failed a body: files are closed for a while, and the body is not kept from here on. What had been
     /// written of it can still be read, or shows when it is.
     /// With it comes whether this is news: the disk was well before.
-    pub fn trouble(&mut self, now: Now, id: BodyId, why: Why) -> (Verdict, bool) {
+    pub fn trouble(&mut self, now: Now, id: BodyId, why: NotStoredReason) -> (StorageDecision, bool) {
         // Of the bodies that meet the same trouble only the first one closes the files for longer.
         if now >= self.disk.closed_until {
             self.disk.pause = (self.disk.pause * 2).clamp(PAUSE, PAUSE_MOST);
@@ -240,17 +242,17 @@
             if std::mem::take(&mut body.moving) {
                 // It is whole, partly in the file and the rest in memory, and stays so.
                 self.moves -= 1;
-                return (Verdict::Keep(Step::File), news);
+                return (StorageDecision::Keep(StorageTier::File), news);
             }
-            body.step = Step::Unkept;
+            body.step = StorageTier::NotStored;
         }
-        (Verdict::Unkept(why), news)
+        (StorageDecision::NotStored(why), news)
     }
 
     /// From here on nothing more of a body is kept, for a reason that the plan does not know of: no descriptor was free.
     pub fn unkept(&mut self, id: BodyId) {
         if let Some(body) = self.bodies.get_mut(&id) {
-            body.step = Step::Unkept;
+            body.step = StorageTier::NotStored;
         }
     }
 
@@ -298,7 +300,7 @@
         let movable = self
             .bodies
             .iter()
-            .filter(|(_, b)| b.whole && !b.moving && b.step == Step::Memory && b.in_memory > SMALL);
+            .filter(|(_, b)| b.whole && !b.moving && b.step == StorageTier::Memory && b.in_memory > SMALL);
         let heaviest = movable.max_by_key(|(_, b)| (self.memory.held_by(b.party), b.in_memory));
         let id = *heaviest?.0;
         let length = self.bodies[&id].length;
@@ -308,7 +310,7 @@
         if length > each || !self.files.take(body.party, 0, length) {
             return None;
         }
-        (body.moving, body.in_file, body.step) = (true, length, Step::File);
+        (body.moving, body.in_file, body.step) = (true, length, StorageTier::File);
         self.moves += 1;
         Some(id)
     }
@@ -332,7 +334,7 @@
     }
 
     /// Where a body is kept.
-    pub fn step(&self, id: BodyId) -> Option<Step> {
+    pub fn step(&self, id: BodyId) -> Option<StorageTier> {
         self.bodies.get(&id).map(|b| b.step)
     }
 
@@ -341,7 +343,7 @@
         (self.memory.used(), self.files.used())
     }
 
-    /// Bodies that there are.
+    /// BodyStore that there are.
     pub fn bodies(&self) -> usize {
         self.bodies.len()
     }
--- a/crates/body-store/src/settings.rs
+++ b/crates/body-store/src/settings.rs
@@ -1,11 +1,11 @@
 //! The operators' settings as the plan takes them.
 
 use crate::plan::{FileLimits, Limits};
-use sorrelhaven_config::Bodies;
+use sorrelhaven_config::BodySettings;
 
 /// The limits that these settings make; `disk` tells whether there is a directory in use.
-pub fn limits(settings: &Bodies, disk: bool) -> Limits {
-    let Bodies { largest_bytes, memory, files, .. } = settings;
+pub fn limits(settings: &BodySettings, disk: bool) -> Limits {
+    let BodySettings { largest_bytes, memory, files, .. } = settings;
     Limits {
         largest: *largest_bytes,
         memory_each: memory.each_bytes,
--- a/crates/body-store/src/spool.rs
+++ b/crates/body-store/src/store.rs
@@ -1,15 +1,15 @@
 //! The I/O part: takes a body in as it comes, keeps it where the plan says, and gives it out to executions.
 //!
 //! A body is a row of blocks. Those at the front may be in a file, with a checksum each; the rest is in memory. A
-//! [`Writer`] takes it in, any number of [`Reader`]s give it out from the first byte on, also while it still comes.
+//! [`BodyWriter`] takes it in, any number of [`StoredBodyReader`]s give it out from the first byte on, also while it still comes.
 
+use crate::body_end::{BodyEnd, BodyReadError};
 use crate::disk::{Disk, DiskFile, is_full};
-use crate::end::{End, Unreadable};
-use crate::plan::{BodyId, Now, Plan, Step, Verdict, Why};
+use crate::plan::{BodyId, NotStoredReason, Now, Plan, StorageDecision, StorageTier};
 use crate::pool::Pool;
 use crate::settings;
 use event_listener::Event;
-use sorrelhaven_config::{Bodies as Settings, Unkept};
+use sorrelhaven_config::{BodySettings, Unkept};
 use std::any::Any;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -20,9 +20,9 @@
 use tracing::{info, warn};
 
 /// The bytes of a block: the unit of files, of their checksums, and of what a reader holds.
-pub const BLOCK: usize = 64 * 1024;
+pub const BLOCK_BYTES: usize = 64 * 1024;
 /// The most of a body that is not kept that may have come and not been passed on.
-const WINDOW: u64 = BLOCK as u64;
+const WINDOW: u64 = BLOCK_BYTES as u64;
 /// One call to the disk that takes longer than this has the disk stepped away from.
 const STALL: Duration = Duration::from_millis(250);
 /// The calls for one body may take so long altogether...
@@ -45,7 +45,7 @@
 
 #[derive(Default)]
 struct Counters {
-    ends: [Count; End::ALL.len()],
+    ends: [Count; BodyEnd::ALL.len()],
     unkept: [Count; 4],
     files: Count,
     moved: Count,
@@ -54,7 +54,7 @@
 }
 
 /// All bodies of one node.
-pub struct Bodies {
+pub struct BodyStore {
     plan: RefCell<Plan>,
     disk: RefCell<Option<Arc<dyn Disk>>>,
     refuse: Cell<bool>,
@@ -67,17 +67,17 @@
     parts: RefCell<std::collections::HashMap<BodyId, std::rc::Weak<Shared>>>,
 }
 
-impl Bodies {
-    /// Bodies of so many parties (class and state office) by these settings. `disk` is where the settings' directory
+impl BodyStore {
+    /// BodyStore of so many parties (class and state office) by these settings. `disk` is where the settings' directory
     /// is, and `permit` gives a descriptor from the node's budget for each file.
     pub fn new(
-        settings: &Settings,
+        settings: &BodySettings,
         parties: usize,
         disk: Option<Arc<dyn Disk>>,
         permit: impl Fn() -> Option<Permit> + 'static,
-    ) -> Rc<Bodies> {
+    ) -> Rc<BodyStore> {
         let limits = settings::limits(settings, disk.is_some());
-        Rc::new(Bodies {
+        Rc::new(BodyStore {
             plan: RefCell::new(Plan::new(limits, parties)),
             disk: RefCell::new(disk),
             refuse: Cell::new(settings.unkept == Unkept::Refuse),
@@ -93,7 +93,7 @@
 
     /// Other settings, from now on; bodies that are kept stay kept, and those in memory beyond its new bound are moved
     /// to files where there are any.
-    pub fn configure(&self, settings: &Settings, disk: Option<Arc<dyn Disk>>) {
+    pub fn configure(&self, settings: &BodySettings, disk: Option<Arc<dyn Disk>>) {
         self.plan.borrow_mut().configure(settings::limits(settings, disk.is_some()));
         *self.disk.borrow_mut() = disk;
         self.refuse.set(settings.unkept == Unkept::Refuse);
@@ -103,12 +103,12 @@
 
     /// Until when a body whose first byte came at `first` keeps the pace, now that so many bytes have come. One is
     /// given `grace` before it counts.
-    pub fn in_time(&self, first: Instant, grace: Duration, came: u64) -> Instant {
+    pub fn upload_deadline(&self, first: Instant, grace: Duration, came: u64) -> Instant {
         first + grace + Duration::from_secs_f64(came as f64 / self.slowest.get().max(1) as f64)
     }
 
     /// Bytes held in memory and in files.
-    pub fn held(&self) -> (u64, u64) {
+    pub fn usage(&self) -> (u64, u64) {
         self.plan.borrow().held()
     }
 
@@ -116,7 +116,11 @@
     ///
     /// # Errors
     /// `TooLong`, or what becomes of one that can't be kept where such are refused, with the body that has ended so.
-    pub fn begin(self: &Rc<Self>, party: usize, declared: Option<u64>) -> Result<Writer, (End, Spool)> {
+    pub fn begin(
+        self: &Rc<Self>,
+        party: usize,
+        declared: Option<u64>,
+    ) -> Result<BodyWriter, (BodyEnd, RequestBody)> {
         let (id, verdict) = self.plan.borrow_mut().begin(self.now(), party, declared);
         let shared = Rc::new(Shared {
             bodies: self.clone(),
@@ -126,21 +130,21 @@
             changed: Event::new(),
         });
         self.parts.borrow_mut().insert(id, Rc::downgrade(&shared));
-        let writer = Writer { shared, disk_time: Duration::ZERO };
+        let writer = BodyWriter { shared, disk_time: Duration::ZERO };
         let begun = match verdict {
-            Verdict::Keep(step) => {
+            StorageDecision::Keep(step) => {
                 writer.shared.state.borrow_mut().step = step;
                 Ok(())
             }
-            Verdict::Unkept(why) => writer.unkept(why),
-            Verdict::TooLong => Err(writer.end(End::TooLong)),
+            StorageDecision::NotStored(why) => writer.unkept(why),
+            StorageDecision::TooLong => Err(writer.end(BodyEnd::TooLong)),
         };
-        begun.map_err(|end| (end, writer.spool()))?;
+        begun.map_err(|end| (end, writer.body()))?;
         Ok(writer)
     }
 
     /// Moves whole bodies from memory to files where memory is short; for ever.
-    pub async fn relieve(self: Rc<Self>) {
+    pub async fn run_spiller(self: Rc<Self>) {
         loop {
             let pressed = self.pressure.listen();
             let next = self.plan.borrow_mut().relief(self.now());
@@ -150,7 +154,7 @@
             };
             let shared = self.parts.borrow().get(&id).and_then(std::rc::Weak::upgrade);
             if let Some(shared) = shared {
-                let mut writer = Writer { shared, disk_time: Duration::ZERO };
+                let mut writer = BodyWriter { shared, disk_time: Duration::ZERO };
                 let moved = async {
                     if writer.shared.state.borrow().file.is_none() {
                         writer.open_file().await?;
@@ -160,7 +164,7 @@
                 let moved = moved.await.is_ok();
                 self.plan.borrow_mut().moved(id);
                 if moved {
-                    writer.shared.state.borrow_mut().step = Step::File;
+                    writer.shared.state.borrow_mut().step = StorageTier::File;
                     self.counters.moved.add(1);
                 }
             }
@@ -168,22 +172,23 @@
     }
 
     /// All counts with their names, in the order in which they are shown.
-    pub fn figures(&self) -> Vec<(&'static str, u64)> {
+    pub fn metrics(&self) -> Vec<(&'static str, u64)> {
         let counters = &self.counters;
-        let (memory, files) = self.held();
-        let mut figures: Vec<(&str, u64)> =
-            End::ALL.iter().zip(&counters.ends).map(|(end, count)| (end.name(), count.0.get())).collect();
-        let unkept = ["unkept_budget", "unkept_disk_full", "unkept_disk_failed", "unkept_disk_slow"];
-        figures.extend(unkept.iter().zip(&counters.unkept).map(|(name, count)| (*name, count.0.get())));
-        figures.extend([
+        let (memory, files) = self.usage();
+        let mut metrics: Vec<(&str, u64)> =
+            BodyEnd::ALL.iter().zip(&counters.ends).map(|(end, count)| (end.name(), count.0.get())).collect();
+        let unkept =
+            ["not_stored_budget", "not_stored_disk_full", "not_stored_disk_failed", "not_stored_disk_slow"];
+        metrics.extend(unkept.iter().zip(&counters.unkept).map(|(name, count)| (*name, count.0.get())));
+        metrics.extend([
             ("body_files", counters.files.0.get()),
-            ("bodies_moved", counters.moved.0.get()),
+            ("bodies_spilled", counters.moved.0.get()),
             ("blocks_corrupt", counters.corrupt.0.get()),
             ("blocks_unread", counters.unread.0.get()),
             ("memory_bytes", memory),
             ("file_bytes", files),
         ]);
-        figures
+        metrics
     }
 
     fn now(&self) -> Now {
@@ -191,10 +196,10 @@
     }
 
     /// The disk has failed a body; says so once until it is well again.
-    fn trouble(&self, id: BodyId, why: Why, error: &str) {
+    fn trouble(&self, id: BodyId, why: NotStoredReason, error: &str) {
         let (_, news) = self.plan.borrow_mut().trouble(self.now(), id, why);
         if news {
-            warn!(?why, error, "the disk for bodies is stepped away from");
+            warn!(?why, error, "body store disk disabled");
         }
     }
 
@@ -206,13 +211,13 @@
     }
 }
 
-fn place(end: End) -> usize {
-    End::ALL.iter().position(|e| *e == end).unwrap_or(0)
+fn place(end: BodyEnd) -> usize {
+    BodyEnd::ALL.iter().position(|e| *e == end).unwrap_or(0)
 }
 
 /// A body, shared by its writer, its request and its executions.
 struct Shared {
-    bodies: Rc<Bodies>,
+    bodies: Rc<BodyStore>,
     id: BodyId,
     declared: Option<u64>,
     state: RefCell<State>,
@@ -221,7 +226,7 @@
 
 #[derive(Default)]
 struct State {
-    step: Step,
+    step: StorageTier,
     /// Bytes that have come.
     came: u64,
     /// What is in memory, full blocks but for the last; the first of them begins at `memory_from`.
@@ -238,7 +243,7 @@
     /// The reader to which bytes that are not kept were given; no other can have the whole body.
     passed_to: Option<u64>,
     readers: u64,
-    end: Option<End>,
+    end: Option<BodyEnd>,
 }
 
 /// A file, closed beside the executor.
@@ -259,13 +264,13 @@
     fn append(&mut self, mut bytes: &[u8], expected: Option<u64>) {
         while !bytes.is_empty() {
             let room = match self.blocks.back() {
-                Some(block) if block.len() < BLOCK => BLOCK - block.len(),
+                Some(block) if block.len() < BLOCK_BYTES => BLOCK_BYTES - block.len(),
                 _ => {
                     // A body that has told its length has just the room it needs.
                     let left = expected.map_or(bytes.len() as u64, |e| e.saturating_sub(self.came));
-                    let room = left.clamp(bytes.len().min(BLOCK) as u64, BLOCK as u64) as usize;
+                    let room = left.clamp(bytes.len().min(BLOCK_BYTES) as u64, BLOCK_BYTES as u64) as usize;
                     self.blocks.push_back(Arc::new(Vec::with_capacity(room)));
-                    BLOCK
+                    BLOCK_BYTES
                 }
             };
             let (now, rest) = bytes.split_at(room.min(bytes.len()));
@@ -282,7 +287,7 @@
         let mut freed = 0;
         while let Some(block) = self.blocks.front()
             && self.memory_from + block.len() as u64 <= at
-            && (block.len() == BLOCK || self.end.is_some())
+            && (block.len() == BLOCK_BYTES || self.end.is_some())
         {
             freed += block.len() as u64;
             self.memory_from += block.len() as u64;
@@ -294,7 +299,9 @@
     /// What is in memory from `at` to the end of its block.
     fn piece(&self, at: u64) -> &[u8] {
         let from = (at - self.memory_from) as usize;
-        self.blocks.get(from / BLOCK).map_or(&[], |block| &block[(from % BLOCK).min(block.len())..])
+        self.blocks
+            .get(from / BLOCK_BYTES)
+            .map_or(&[], |block| &block[(from % BLOCK_BYTES).min(block.len())..])
     }
 }
 
@@ -313,9 +320,9 @@
 
 /// A body as a request holds it: read by its executions, gone when the last of them and the request are.
 #[derive(Clone)]
-pub struct Spool(Rc<Shared>);
+pub struct RequestBody(Rc<Shared>);
 
-impl Spool {
+impl RequestBody {
     /// Its length, where that is known yet.
     pub fn length(&self) -> Option<u64> {
         let state = self.0.state.borrow();
@@ -323,32 +330,32 @@
     }
 
     /// Where it is kept.
-    pub fn step(&self) -> Step {
+    pub fn tier(&self) -> StorageTier {
         self.0.state.borrow().step
     }
 
     /// How its coming ended; `None` while it comes.
-    pub fn end(&self) -> Option<End> {
+    pub fn end(&self) -> Option<BodyEnd> {
         self.0.state.borrow().end
     }
 
     /// Whether bytes that are not kept were passed on: then no other execution can have the whole of it.
-    pub fn passed_on(&self) -> bool {
+    pub fn is_consumed(&self) -> bool {
         self.0.state.borrow().passed_to.is_some()
     }
 
     /// Reads it from its first byte on.
-    pub fn reader(&self) -> Reader {
+    pub fn reader(&self) -> StoredBodyReader {
         let mut state = self.0.state.borrow_mut();
         state.readers += 1;
         let number = state.readers;
         drop(state);
-        Reader { shared: self.0.clone(), at: 0, number }
+        StoredBodyReader { shared: self.0.clone(), at: 0, number }
     }
 }
 
 /// Reads a body, for one execution.
-pub struct Reader {
+pub struct StoredBodyReader {
     shared: Rc<Shared>,
     at: u64,
     number: u64,
@@ -359,20 +366,20 @@
     Read { file: Arc<Filed>, offset: u64, length: usize, sum: u32 },
     Wait,
     Given,
-    End,
+    BodyEnd,
 }
 
-impl Reader {
+impl StoredBodyReader {
     /// Appends the next piece, a block at most, to `out`; false once all was given. Waits for what has not come.
     ///
     /// # Errors
-    /// Why it can't be had; what was given before must not be taken for a whole body.
-    pub async fn next(&mut self, out: &mut Vec<u8>) -> Result<bool, Unreadable> {
+    /// NotStoredReason it can't be had; what was given before must not be taken for a whole body.
+    pub async fn next(&mut self, out: &mut Vec<u8>) -> Result<bool, BodyReadError> {
         loop {
             let changed = self.shared.changed.listen();
             match self.step(out)? {
                 Next::Given => return Ok(true),
-                Next::End => return Ok(false),
+                Next::BodyEnd => return Ok(false),
                 Next::Wait => changed.await,
                 Next::Read { file, offset, length, sum } => {
                     let block = read(&self.shared.bodies, file, offset, length, sum).await?;
@@ -386,15 +393,15 @@
     }
 
     /// Whether this reader was given bytes that are not kept.
-    pub fn passing_on(&self) -> bool {
+    pub fn consumes(&self) -> bool {
         self.shared.state.borrow().passed_to == Some(self.number)
     }
 
-    fn step(&mut self, out: &mut Vec<u8>) -> Result<Next, Unreadable> {
+    fn step(&mut self, out: &mut Vec<u8>) -> Result<Next, BodyReadError> {
         let Shared { bodies, id, state, .. } = &*self.shared;
         let state = &mut *state.borrow_mut();
         if let Some(end) = state.end.filter(|end| !end.is_whole()) {
-            return Err(Unreadable::Ended(end));
+            return Err(BodyReadError::Ended(end));
         }
         if state.passed_to == Some(self.number) {
             // Whoever comes for more has passed on what it had.
@@ -405,11 +412,11 @@
             }
         }
         if self.at == state.came {
-            return Ok(if state.end.is_some() { Next::End } else { Next::Wait });
+            return Ok(if state.end.is_some() { Next::BodyEnd } else { Next::Wait });
         }
         if state.unkept_from.is_some_and(|from| self.at >= from) {
             match state.passed_to {
-                Some(other) if other != self.number => return Err(Unreadable::PassedOn),
+                Some(other) if other != self.number => return Err(BodyReadError::PassedOn),
                 Some(_) => {}
                 None => {
                     // From here on no one else can have the whole body: what was kept of it is of no use.
@@ -424,10 +431,10 @@
             }
         }
         if self.at < state.memory_from {
-            let Some(file) = state.file.clone() else { return Err(Unreadable::PassedOn) };
-            let block = self.at / BLOCK as u64;
-            let offset = block * BLOCK as u64;
-            let length = (state.filed - offset).min(BLOCK as u64) as usize;
+            let Some(file) = state.file.clone() else { return Err(BodyReadError::PassedOn) };
+            let block = self.at / BLOCK_BYTES as u64;
+            let offset = block * BLOCK_BYTES as u64;
+            let length = (state.filed - offset).min(BLOCK_BYTES as u64) as usize;
             return Ok(Next::Read { file, offset, length, sum: state.sums[block as usize] });
         }
         let mut piece = state.piece(self.at);
@@ -443,12 +450,12 @@
 
 /// Reads a block and checks it. The execution's own deadline bounds the wait.
 async fn read(
-    bodies: &Bodies,
+    bodies: &BodyStore,
     file: Arc<Filed>,
     offset: u64,
     length: usize,
     sum: u32,
-) -> Result<Vec<u8>, Unreadable> {
+) -> Result<Vec<u8>, BodyReadError> {
     let call = move || {
         let mut block = vec![0; length];
         let read = match &file.file {
@@ -462,32 +469,32 @@
         Some((Ok((found, block)), _)) if found == sum => Ok(block),
         Some((Ok(_), _)) => {
             bodies.counters.corrupt.add(1);
-            warn!(offset, "a body's file does not hold what was written");
-            Err(Unreadable::Corrupt)
+            warn!(offset, "stored body corrupt");
+            Err(BodyReadError::Corrupt)
         }
         Some((Err(error), _)) => {
             bodies.counters.unread.add(1);
-            warn!(offset, %error, "a body's file can't be read");
-            Err(Unreadable::Failed)
+            warn!(offset, %error, "stored body unreadable");
+            Err(BodyReadError::Failed)
         }
-        None => Err(Unreadable::Failed),
+        None => Err(BodyReadError::Failed),
     }
 }
 
 /// Takes a body in. Dropped before its end, the body is one whose request was over before it had come.
-pub struct Writer {
+pub struct BodyWriter {
     shared: Rc<Shared>,
     disk_time: Duration,
 }
 
-impl Writer {
+impl BodyWriter {
     /// The body as its request holds it.
-    pub fn spool(&self) -> Spool {
-        Spool(self.shared.clone())
+    pub fn body(&self) -> RequestBody {
+        RequestBody(self.shared.clone())
     }
 
     /// Bytes that have come.
-    pub fn came(&self) -> u64 {
+    pub fn received(&self) -> u64 {
         self.shared.state.borrow().came
     }
 
@@ -495,19 +502,19 @@
     ///
     /// # Errors
     /// How the body's coming has ended with this.
-    pub async fn push(&mut self, bytes: &[u8]) -> Result<(), End> {
+    pub async fn push(&mut self, bytes: &[u8]) -> Result<(), BodyEnd> {
         let Shared { bodies, id, declared, state, .. } = &*self.shared;
         let verdict = bodies.plan.borrow_mut().want(bodies.now(), *id, bytes.len() as u64);
         match verdict {
-            Verdict::TooLong => return Err(self.end(End::TooLong)),
-            Verdict::Keep(step) => {
+            StorageDecision::TooLong => return Err(self.end(BodyEnd::TooLong)),
+            StorageDecision::Keep(step) => {
                 {
                     let state = &mut *state.borrow_mut();
                     state.step = step;
                     state.append(bytes, *declared);
                 }
                 bodies.relief();
-                if step == Step::File {
+                if step == StorageTier::File {
                     let kept = async {
                         if self.shared.state.borrow().file.is_none() {
                             self.open_file().await?;
@@ -520,7 +527,7 @@
                     }
                 }
             }
-            Verdict::Unkept(why) => {
+            StorageDecision::NotStored(why) => {
                 self.unkept(why)?;
                 self.window().await;
                 self.shared.state.borrow_mut().append(bytes, self.shared.declared);
@@ -531,13 +538,13 @@
     }
 
     /// All of it has come.
-    pub async fn finish(mut self) -> End {
-        if self.shared.state.borrow().step == Step::File {
+    pub async fn finish(mut self) -> BodyEnd {
+        if self.shared.state.borrow().step == StorageTier::File {
             // What the disk does not take is still in memory, so the body is whole all the same.
             let _ = self.flush(true).await;
         }
-        let end = End::whole(match self.shared.state.borrow().unkept_from {
-            Some(_) => Step::Unkept,
+        let end = BodyEnd::whole(match self.shared.state.borrow().unkept_from {
+            Some(_) => StorageTier::NotStored,
             None => self.shared.state.borrow().step,
         });
         let Shared { bodies, id, .. } = &*self.shared;
@@ -547,7 +554,7 @@
     }
 
     /// It ends here, for this reason.
-    pub fn end(&self, end: End) -> End {
+    pub fn end(&self, end: BodyEnd) -> BodyEnd {
         let mut state = self.shared.state.borrow_mut();
         if state.end.is_none() {
             state.end = Some(end);
@@ -567,7 +574,7 @@
     }
 
     /// From here on nothing more is kept.
-    fn unkept(&self, why: Why) -> Result<(), End> {
+    fn unkept(&self, why: NotStoredReason) -> Result<(), BodyEnd> {
         let Shared { bodies, id, state, .. } = &*self.shared;
         {
             let state = &mut *state.borrow_mut();
@@ -575,17 +582,17 @@
                 return Ok(());
             }
             state.unkept_from = Some(state.came);
-            state.step = Step::Unkept;
+            state.step = StorageTier::NotStored;
         }
         let kind = match why {
-            Why::Budget => 0,
-            Why::DiskFull => 1,
-            Why::DiskFailed => 2,
-            Why::DiskSlow => 3,
+            NotStoredReason::Budget => 0,
+            NotStoredReason::DiskFull => 1,
+            NotStoredReason::DiskFailed => 2,
+            NotStoredReason::DiskSlow => 3,
         };
         bodies.plan.borrow_mut().unkept(*id);
         bodies.counters.unkept[kind].add(1);
-        if bodies.refuse.get() { Err(self.end(End::unkept(why))) } else { Ok(()) }
+        if bodies.refuse.get() { Err(self.end(BodyEnd::unkept(why))) } else { Ok(()) }
     }
 
     /// Waits until there is room for more of a body that is not kept.
@@ -608,10 +615,10 @@
     }
 
     /// Makes the body's file.
-    async fn open_file(&mut self) -> Result<(), Why> {
+    async fn open_file(&mut self) -> Result<(), NotStoredReason> {
         let Shared { bodies, id, .. } = &*self.shared;
-        let Some(disk) = bodies.disk.borrow().clone() else { return Err(Why::Budget) };
-        let Some(permit) = (bodies.permit)() else { return Err(Why::Budget) };
+        let Some(disk) = bodies.disk.borrow().clone() else { return Err(NotStoredReason::Budget) };
+        let Some(permit) = (bodies.permit)() else { return Err(NotStoredReason::Budget) };
         let call = move || disk.free().and_then(|free| Ok((free, disk.create()?)));
         let (free, file) = match bodies.pool.run(Instant::now() + STALL, call).await {
             Some((Ok(made), _)) => made,
@@ -619,8 +626,8 @@
             None => return Err(self.slow()),
         };
         if !bodies.plan.borrow().has_room(*id, free) {
-            bodies.trouble(*id, Why::DiskFull, "it has no more left than is to be left free");
-            return Err(Why::DiskFull);
+            bodies.trouble(*id, NotStoredReason::DiskFull, "it has no more left than is to be left free");
+            return Err(NotStoredReason::DiskFull);
         }
         bodies.counters.files.add(1);
         let mut state = self.shared.state.borrow_mut();
@@ -630,13 +637,13 @@
     }
 
     /// Writes the full blocks to the file, all of them where `whole`.
-    async fn flush(&mut self, whole: bool) -> Result<(), Why> {
+    async fn flush(&mut self, whole: bool) -> Result<(), NotStoredReason> {
         loop {
             let Shared { bodies, id, state, .. } = &*self.shared;
             let (file, block, offset) = {
                 let state = state.borrow();
                 let (Some(file), Some(block)) = (&state.file, state.blocks.front()) else { return Ok(()) };
-                if block.len() < BLOCK && !whole || state.end.is_some_and(|e| !e.is_whole()) {
+                if block.len() < BLOCK_BYTES && !whole || state.end.is_some_and(|e| !e.is_whole()) {
                     return Ok(());
                 }
                 (file.clone(), block.clone(), state.filed)
@@ -672,7 +679,7 @@
                 plan.disk_well()
             };
             if well {
-                info!("the disk for bodies is used again");
+                info!("body store disk enabled");
             }
             let filed = self.shared.state.borrow().filed;
             if self.disk_time > SLACK + Duration::from_secs_f64(filed as f64 / SLOWEST) {
@@ -681,22 +688,22 @@
         }
     }
 
-    fn failed(&self, error: &io::Error) -> Why {
-        let why = if is_full(error) { Why::DiskFull } else { Why::DiskFailed };
+    fn failed(&self, error: &io::Error) -> NotStoredReason {
+        let why = if is_full(error) { NotStoredReason::DiskFull } else { NotStoredReason::DiskFailed };
         self.shared.bodies.trouble(self.shared.id, why, &error.to_string());
         why
     }
 
-    fn slow(&self) -> Why {
-        self.shared.bodies.trouble(self.shared.id, Why::DiskSlow, "it is slower than the client");
-        Why::DiskSlow
+    fn slow(&self) -> NotStoredReason {
+        self.shared.bodies.trouble(self.shared.id, NotStoredReason::DiskSlow, "it is slower than the client");
+        NotStoredReason::DiskSlow
     }
 }
 
-impl Drop for Writer {
+impl Drop for BodyWriter {
     fn drop(&mut self) {
         if self.shared.state.borrow().end.is_none() {
-            self.end(if self.came() == 0 { End::NeverBegun } else { End::Refused });
+            self.end(if self.received() == 0 { BodyEnd::NeverBegun } else { BodyEnd::Refused });
         }
     }
 }
--- a/crates/config/src/hosts.rs
+++ b/crates/config/src/hosts.rs
@@ -19,7 +19,7 @@
 
 /// One executor.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Host {
+pub struct DiscoveryHost {
     /// Its name, the same at every node.
     pub host: String,
     /// Where this node reaches it; of no use once it is gone.
@@ -41,7 +41,7 @@
     pub share: f64,
     /// Its last start, in Unix time; 0 when that is long ago.
     #[serde(default)]
-    pub born_ms: i64,
+    pub started_ms: i64,
 }
 
 fn one() -> f64 {
@@ -50,38 +50,38 @@
 
 /// A whole list, or the entries that changed.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct HostList {
+pub struct DiscoveryList {
     /// The list's version.
     #[serde(default)]
     pub seq: u64,
     /// It replaces what was known.
     #[serde(default)]
-    pub whole: bool,
+    pub complete: bool,
     /// Its entries.
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<DiscoveryHost>,
 }
 
 /// The words of the settings whose places the decision module uses as numbers.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct SettingNames {
     /// The zones.
     pub zones: Vec<String>,
     /// The kinds of machine.
     pub kinds: Vec<String>,
 }
 
-impl HostList {
+impl DiscoveryList {
     /// Reads a list, whole or of changes.
     ///
     /// # Errors
     /// The text is no list; the error names the key.
-    pub fn read(text: &[u8]) -> Result<HostList, Error> {
+    pub fn read(text: &[u8]) -> Result<DiscoveryList, Error> {
         // Following the path of each key triples the cost, so that is left for lists that do not read.
         serde_json::from_slice(text).or_else(|_| read("", &mut serde_json::Deserializer::from_slice(text)))
     }
 
     /// Whether every entry reads in these words; the error names the key.
-    pub fn check(&self, names: &Names) -> Result<(), Error> {
+    pub fn check(&self, names: &SettingNames) -> Result<(), Error> {
         for (i, host) in self.hosts.iter().enumerate() {
             host.entry(WorkerId(0), names).map_err(|e| e.within(&format!("hosts[{i}]")))?;
         }
@@ -89,9 +89,9 @@
     }
 }
 
-impl Host {
+impl DiscoveryHost {
     /// The entry as the decision module takes it.
-    pub fn entry(&self, worker: WorkerId, names: &Names) -> Result<WorkerEntry, Error> {
+    pub fn entry(&self, worker: WorkerId, names: &SettingNames) -> Result<WorkerEntry, Error> {
         let gone = self.health == Health::Terminated;
         let place = |key: &str, words: &[String], word: &str| match words.iter().position(|w| w == word) {
             Some(place) => Ok(place),
@@ -103,13 +103,13 @@
         }
         Ok(WorkerEntry {
             worker,
-            name_hash: key(&self.host),
+            name_hash: stable_hash(&self.host),
             lifecycle: match self.health {
                 Health::InService => Lifecycle::Ready,
                 Health::Terminating => Lifecycle::Draining,
                 Health::Terminated => Lifecycle::Gone,
             },
-            started_at: self.born_ms.saturating_mul(1_000),
+            started_at: self.started_ms.saturating_mul(1_000),
             kind: place("class", &names.kinds, &self.class)?,
             zone: place("site", &names.zones, &self.site)?,
             cell: self.block,
@@ -119,6 +119,6 @@
 }
 
 /// FNV-1a: a number that every dispatcher draws alike from a worker's word.
-pub fn key(word: &str) -> u64 {
+pub fn stable_hash(word: &str) -> u64 {
     word.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -10,8 +10,8 @@
 mod settings;
 
 pub use fault::{Error, Faults};
-pub use hosts::{Health, Host, HostList, Names, key};
-pub use operator::{Bodies, BodyFiles, BodyMemory, Membership, Operator, Peers, Unkept};
+pub use hosts::{DiscoveryHost, DiscoveryList, Health, SettingNames, stable_hash};
+pub use operator::{BodyFiles, BodyMemory, BodySettings, Membership, Operator, Peers, Unkept};
 pub use settings::settings_from;
 use settings::{Conf, settings};
 
@@ -88,9 +88,9 @@
     /// What the operators set.
     pub operator: Operator,
     /// The host group as this node had it last.
-    pub known: HostList,
+    pub known: DiscoveryList,
     /// The words for zones and kinds, in the order of the settings.
-    pub names: Names,
+    pub names: SettingNames,
     /// The classes, in the order of the settings.
     pub classes: Vec<ClassName>,
     /// The tenants; none where the site has none.
@@ -214,7 +214,8 @@
         }
         let conf = keep(&mut faults, read::<Conf>("settings", file.settings));
         let site = conf.and_then(|conf| keep(&mut faults, Site::checked(conf)));
-        let known = file.known.map_or(Ok(HostList::default()), |value| read::<HostList>("known", value));
+        let known =
+            file.known.map_or(Ok(DiscoveryList::default()), |value| read::<DiscoveryList>("known", value));
         let known = keep(&mut faults, known);
         if let (Some(known), Some(site)) = (&known, &site) {
             keep(&mut faults, known.check(&site.names).map_err(|e| e.within("known")));
@@ -254,7 +255,7 @@
 
 /// What the settings say, to the module and to the rest.
 struct Site {
-    names: Names,
+    names: SettingNames,
     classes: Vec<ClassName>,
     tenants: Vec<String>,
     keepalive: Micros,
@@ -266,7 +267,7 @@
 
 impl Site {
     fn checked(conf: Conf) -> Result<Site, Error> {
-        let names = Names { zones: conf.zones.clone(), kinds: conf.kinds.clone() };
+        let names = SettingNames { zones: conf.zones.clone(), kinds: conf.kinds.clone() };
         let tenants = conf.projects.iter().map(|p| p.name.clone()).collect();
         let (grades, keepalive) = (conf.grade_names(), conf.ceilings.keepalive);
         let load_fields = conf.report_fields();
--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -21,7 +21,7 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Operator {
     /// Where the bodies of requests are kept so that they can be sent again.
-    pub bodies: Bodies,
+    pub bodies: BodySettings,
     /// Nodes that know each other, over UDP.
     pub membership: Membership,
 }
@@ -128,7 +128,8 @@
 /// Where the bodies of requests are kept so that they can be sent again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
-pub struct Bodies {
+#[schemars(rename = "Bodies")]
+pub struct BodySettings {
     /// The largest body that is taken at all, in bytes; a larger one is answered 413 from its head alone. The
     /// platform's protocol allows 65536.
     #[schemars(range(max = 1_099_511_627_776u64))]
@@ -137,15 +138,15 @@
     /// whole is answered 408.
     #[schemars(range(min = 1, max = 1_099_511_627_776u64))]
     pub slowest_bytes_per_s: u64,
-    /// Bodies in memory.
+    /// BodySettings in memory.
     pub memory: BodyMemory,
-    /// Bodies in files.
+    /// BodySettings in files.
     pub files: BodyFiles,
     /// What becomes of a request whose body can be kept nowhere.
     pub unkept: Unkept,
 }
 
-/// Bodies in memory.
+/// BodySettings in memory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct BodyMemory {
@@ -157,7 +158,7 @@
     pub total_bytes: u64,
 }
 
-/// Bodies in files.
+/// BodySettings in files.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct BodyFiles {
@@ -184,9 +185,9 @@
     Refuse,
 }
 
-impl Default for Bodies {
+impl Default for BodySettings {
     fn default() -> Self {
-        Bodies {
+        BodySettings {
             largest_bytes: 65_536,
             slowest_bytes_per_s: 65_536,
             memory: BodyMemory::default(),
@@ -249,7 +250,7 @@
 
     /// What does not go together, where the process may hold `memory_mb` megabytes.
     pub fn faults(&self, memory_mb: u64) -> Vec<Error> {
-        let Bodies { largest_bytes, slowest_bytes_per_s, memory, files, unkept } = &self.bodies;
+        let BodySettings { largest_bytes, slowest_bytes_per_s, memory, files, unkept } = &self.bodies;
         let mut faults = self.membership.faults();
         let mut fault = |key: &str, text: String| faults.push(Error::new(format!("bodies.{key}"), text));
         for (key, size) in [
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -109,7 +109,7 @@
     second_copies: bool,
 }
 
-/// The figures of the rules.
+/// The metrics of the rules.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Invariants {
--- a/crates/dispatcher/src/interface.rs
+++ b/crates/dispatcher/src/interface.rs
@@ -79,7 +79,7 @@
     pub rejection_may_have_run: bool,
 }
 
-/// The figures of the rules.
+/// The metrics of the rules.
 #[derive(Clone, Debug, Default)]
 pub struct SlowStartRules {
     /// A starting worker has at least this share of its capacity...
@@ -125,7 +125,7 @@
     pub classes: Vec<Class>,
     /// What the site permits.
     pub limits: Limits,
-    /// The figures of the rules.
+    /// The metrics of the rules.
     pub slow_start: SlowStartRules,
     /// What is taken off the worth served.
     pub penalties: Penalties,
--- a/crates/dispatcher/src/record.rs
+++ b/crates/dispatcher/src/record.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher remembers, as plain figures. Nothing here decides.
+//! What a dispatcher remembers, as plain metrics. Nothing here decides.
 
 use std::collections::VecDeque;
 
--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -12,15 +12,15 @@
 use futures_lite::future::yield_now;
 use serde::Deserialize;
 use serde_json::Value;
-use sorrelhaven_body_store::BLOCK;
+use sorrelhaven_body_store::BLOCK_BYTES;
 use sorrelhaven_dispatcher::WorkerId;
-use sorrelhaven_wire::{BODY_MOST, Fault, Head, Lines, Link, Start, by};
+use sorrelhaven_wire::{Connection, Head, LineReader, MAX_BODY_BYTES, StartLine, WireError, timeout_at};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
 /// The most that a job line may hold: a result is a body, and its text may be escaped.
-const LINE_MOST: usize = 2 * BODY_MOST;
+const LINE_MOST: usize = 2 * MAX_BODY_BYTES;
 /// After the last job line the end of the answer follows at once, or the link is not worth keeping.
 const ANSWER_END: Duration = Duration::from_secs(1);
 
@@ -147,12 +147,12 @@
         Err(ending) => return end(ending),
     };
     order.note_written(&ways, &parcel.id);
-    if parcel.body.length().is_none_or(|length| length > BLOCK as u64) {
+    if parcel.body.length().is_none_or(|length| length > BLOCK_BYTES as u64) {
         report(RequestMessage::RequestSent { attempt });
     }
     let (idle, written) = (server_link.idle, Instant::now());
-    let link = &mut server_link.link;
-    let mut answer = match by(deadline, Answer::begin(link)).await {
+    let link = &mut server_link.connection;
+    let mut answer = match timeout_at(deadline, Answer::begin(link)).await {
         None => return end(AttemptEnd::ResponseTimeout),
         Some(Err(AttemptEnd::Reset | AttemptEnd::Truncated))
             if let Some(idle) = idle
@@ -165,7 +165,7 @@
         Some(Ok(answer)) => answer,
     };
     loop {
-        match by(deadline, answer.step(link, &parcel.id)).await {
+        match timeout_at(deadline, answer.step(link, &parcel.id)).await {
             None => return end(AttemptEnd::ResponseTimeout),
             Some(Step::Nothing) => {}
             Some(Step::Started) => report(RequestMessage::AttemptStarted { attempt }),
@@ -182,7 +182,7 @@
         // One that says something without a pause must not keep the others waiting.
         yield_now().await;
     }
-    if by(Instant::now() + ANSWER_END, answer.rest(link)).await == Some(true) {
+    if timeout_at(Instant::now() + ANSWER_END, answer.rest(link)).await == Some(true) {
         ways.pool.check_in(worker, server_link);
     }
 }
@@ -200,7 +200,7 @@
 ) -> Result<PooledConnection, AttemptEnd> {
     let AttemptSpec { worker, send_by: before, .. } = *order;
     let up_by = before.min(Instant::now() + ways.connect_timeout);
-    let up = by(up_by, ways.connection(worker)).await;
+    let up = timeout_at(up_by, ways.connection(worker)).await;
     let (address, mut link) = up.ok_or_else(|| order.late(AttemptEnd::ConnectTimeout))??;
     if !ways.registry.accepts_work(worker) {
         return Err(AttemptEnd::Draining);
@@ -210,7 +210,7 @@
         return Err(ending);
     }
     let host = address.to_string();
-    by(before, write(ways, parcel, &host, order, &mut link.link, mail))
+    timeout_at(before, write(ways, parcel, &host, order, &mut link.connection, mail))
         .await
         .ok_or_else(|| order.late(AttemptEnd::TimeoutBeforeSent))??;
     Ok(link)
@@ -224,7 +224,7 @@
     parcel: &RequestPayload,
     host: &str,
     order: &AttemptSpec,
-    link: &mut Link,
+    link: &mut Connection,
     mail: &Sender<RequestMessage>,
 ) -> Result<(), AttemptEnd> {
     let mut body = parcel.body.reader();
@@ -236,7 +236,7 @@
         if let Some(ending) = order.unsendable().await {
             return Err(ending);
         }
-        if !passing && body.passing_on() {
+        if !passing && body.consumes() {
             passing = true;
             let _ = mail.try_send(RequestMessage::BodyConsumed);
         }
@@ -252,7 +252,7 @@
         if length == Some(written) {
             return Ok(());
         }
-        if out.len() >= BLOCK {
+        if out.len() >= BLOCK_BYTES {
             // Large bodies must not keep small jobs waiting.
             ways.tasks.turn().await;
         }
@@ -279,9 +279,9 @@
 
 /// How an execution ended whose link broke before the last byte: an executor may turn a large request away by its head
 /// alone, and end the connection.
-async fn early(link: &mut Link, deadline: Instant) -> AttemptEnd {
+async fn early(link: &mut Connection, deadline: Instant) -> AttemptEnd {
     let until = deadline.min(Instant::now() + EARLY);
-    match by(until, Answer::begin(link)).await {
+    match timeout_at(until, Answer::begin(link)).await {
         Some(Ok(answer)) if answer.returned => AttemptEnd::Rejected,
         _ => AttemptEnd::ResetBeforeSent,
     }
@@ -292,22 +292,22 @@
     status: u16,
     returned: bool,
     keeps_alive: bool,
-    lines: Lines,
+    lines: LineReader,
     /// The load report of its head, and of the line that ended the attempt.
     loads: (Option<String>, Option<Value>),
 }
 
 impl Answer {
-    async fn begin(link: &mut Link) -> Result<Answer, AttemptEnd> {
-        let head = link.head(Head::answer).await.map_err(AttemptEnd::unreadable)?;
-        let Start::Answer { status } = head.start else { return Err(AttemptEnd::Malformed) };
+    async fn begin(link: &mut Connection) -> Result<Answer, AttemptEnd> {
+        let head = link.read_head(Head::parse_response).await.map_err(AttemptEnd::unreadable)?;
+        let StartLine::Response { status } = head.start else { return Err(AttemptEnd::Malformed) };
         let returned = matches!(status, 503 | 504) && head.get("Not-Started") == Some("1");
-        let lines = Lines::new(head.body().map_err(AttemptEnd::unreadable)?, LINE_MOST);
+        let lines = LineReader::new(head.body().map_err(AttemptEnd::unreadable)?, LINE_MOST);
         let loads = (head.only("Server-Load").map(str::to_string), None);
         Ok(Answer { status, returned, keeps_alive: head.keeps_alive(), lines, loads })
     }
 
-    async fn step(&mut self, link: &mut Link, id: &str) -> Step {
+    async fn step(&mut self, link: &mut Connection, id: &str) -> Step {
         match self.status {
             200 => {}
             _ if self.returned => return Step::Over(AttemptEnd::Rejected),
@@ -342,7 +342,9 @@
         match line.news {
             News::Started => Step::Started,
             News::Running { share } => Step::Running(share),
-            News::Done { result } if result.len() > BODY_MOST => self.distrust(AttemptEnd::ResponseTooLarge),
+            News::Done { result } if result.len() > MAX_BODY_BYTES => {
+                self.distrust(AttemptEnd::ResponseTooLarge)
+            }
             News::Done { result } => Step::Over(AttemptEnd::Completed(result)),
             News::Failed => Step::Over(AttemptEnd::Failed),
             News::Returned => Step::Over(AttemptEnd::Rejected),
@@ -364,13 +366,13 @@
     }
 
     /// Reads to the end of the answer; whether the link can carry another request.
-    async fn rest(&mut self, link: &mut Link) -> bool {
+    async fn rest(&mut self, link: &mut Connection) -> bool {
         while self.keeps_alive {
             match self.lines.next(link).await {
                 Ok(Some(_)) => yield_now().await,
                 Ok(None) => return true,
-                Err(Fault::Closed | Fault::Broken | Fault::Malformed) => return false,
-                Err(Fault::HeadTooLarge | Fault::BodyTooLarge) => return false,
+                Err(WireError::Closed | WireError::Broken | WireError::Malformed) => return false,
+                Err(WireError::HeadTooLarge | WireError::BodyTooLarge) => return false,
             }
         }
         false
--- a/crates/engine/src/attempt_end.rs
+++ b/crates/engine/src/attempt_end.rs
@@ -1,8 +1,8 @@
 //! Every way in which a server link's exchange can end, and what each means to the module.
 
-use sorrelhaven_body_store::Unreadable;
+use sorrelhaven_body_store::BodyReadError;
 use sorrelhaven_dispatcher::Outcome;
-use sorrelhaven_wire::Fault;
+use sorrelhaven_wire::WireError;
 
 /// How an execution ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
     /// The time in which a repeat is dropped was over before its last byte was written.
     IdempotencyWindowExpired,
     /// The request's body can't be had whole, so its last byte was not sent: the parcel's failure, not the executor's.
-    BodyUnavailable(Unreadable),
+    BodyUnavailable(BodyReadError),
     /// No descriptor was free for a server link.
     NoDescriptor,
     /// The connection was refused or could not be made.
@@ -90,12 +90,12 @@
     }
 
     /// How a link ends whose answer could not be read.
-    pub fn unreadable(fault: Fault) -> AttemptEnd {
+    pub fn unreadable(fault: WireError) -> AttemptEnd {
         match fault {
-            Fault::Closed => AttemptEnd::Truncated,
-            Fault::Broken => AttemptEnd::Reset,
-            Fault::Malformed => AttemptEnd::Malformed,
-            Fault::HeadTooLarge | Fault::BodyTooLarge => AttemptEnd::ResponseTooLarge,
+            WireError::Closed => AttemptEnd::Truncated,
+            WireError::Broken => AttemptEnd::Reset,
+            WireError::Malformed => AttemptEnd::Malformed,
+            WireError::HeadTooLarge | WireError::BodyTooLarge => AttemptEnd::ResponseTooLarge,
         }
     }
 }
--- a/crates/engine/src/body_admission.rs
+++ b/crates/engine/src/body_admission.rs
@@ -7,7 +7,7 @@
 use crate::tasks::Tasks;
 use async_io::Timer;
 use async_lock::{Semaphore, SemaphoreGuardArc};
-use sorrelhaven_wire::by;
+use sorrelhaven_wire::timeout_at;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -30,14 +30,14 @@
 }
 
 impl BodyAdmission {
-    /// BodyAdmission that are all free.
+    /// All permits are free.
     pub fn new(tasks: Rc<Tasks>) -> BodyAdmission {
         BodyAdmission { free: Arc::new(Semaphore::new(PLACES)), tasks }
     }
 
     /// A place, in the order in which they were asked for; `None` where none is free by `deadline`.
     pub async fn acquire(&self, deadline: Instant) -> Option<BodyPermit> {
-        let guard = by(deadline, self.free.acquire_arc()).await?;
+        let guard = timeout_at(deadline, self.free.acquire_arc()).await?;
         let held = Rc::new(RefCell::new(Some(guard)));
         let place = Rc::downgrade(&held);
         self.tasks.spawn(async move {
--- a/crates/engine/src/connection_pool.rs
+++ b/crates/engine/src/connection_pool.rs
@@ -3,7 +3,7 @@
 use crate::attempt_end::AttemptEnd;
 use crate::counters::Counters;
 use sorrelhaven_dispatcher::WorkerId;
-use sorrelhaven_wire::{Call, Failure, Link, classify};
+use sorrelhaven_wire::{Connection, SocketCall, SocketFailure, classify};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -73,7 +73,7 @@
 /// A connection to an executor, with its descriptor.
 pub struct PooledConnection {
     /// The connection.
-    pub link: Link,
+    pub connection: Connection,
     /// How long it had stood idle when it was taken from the pool; `None` for a new one.
     pub idle: Option<Duration>,
     address: SocketAddr,
@@ -90,7 +90,7 @@
     /// The descriptors of this node.
     pub descriptors: Rc<DescriptorBudget>,
     keepalive: Duration,
-    /// ConnectionPool that had stood idle for longer were found to be stale, and until when that counts.
+    /// Connections that had stood idle for longer were found to be stale, and until when that counts.
     found: Cell<Option<(Duration, Instant)>>,
     idle: RefCell<HashMap<WorkerId, Vec<Idle>>>,
     counters: Rc<Counters>,
@@ -134,7 +134,7 @@
         let kept = self.idle_timeout();
         while let Some(Idle { mut link, since }) = links.pop() {
             let idle = since.elapsed();
-            if link.address == address && idle < kept && !link.link.disturbed() {
+            if link.address == address && idle < kept && !link.connection.has_unsolicited_input() {
                 link.idle = Some(idle);
                 return Some(link);
             }
@@ -146,17 +146,21 @@
     pub async fn connect(&self, address: SocketAddr) -> Result<PooledConnection, AttemptEnd> {
         let permit = self.acquire_descriptor().ok_or(AttemptEnd::NoDescriptor)?;
         self.counters.server_links.add();
-        let link = Link::connect(address).await.map_err(|error| match classify(Call::Connect, &error) {
-            // The node's own want says nothing of the executor.
-            Failure::DescriptorLimit | Failure::Shortage => AttemptEnd::NoDescriptor,
-            Failure::Interrupted | Failure::NotReady | Failure::Connection => AttemptEnd::Unreachable,
+        let link = Connection::connect(address).await.map_err(|error| {
+            match classify(SocketCall::Connect, &error) {
+                // The node's own want says nothing of the executor.
+                SocketFailure::DescriptorLimit | SocketFailure::Shortage => AttemptEnd::NoDescriptor,
+                SocketFailure::Interrupted | SocketFailure::NotReady | SocketFailure::Connection => {
+                    AttemptEnd::Unreachable
+                }
+            }
         })?;
-        Ok(PooledConnection { link, idle: None, address, _permit: permit })
+        Ok(PooledConnection { connection: link, idle: None, address, _permit: permit })
     }
 
     /// Takes a link back whose exchange is complete.
     pub fn check_in(&self, worker: WorkerId, link: PooledConnection) {
-        if !link.link.disturbed() {
+        if !link.connection.has_unsolicited_input() {
             let since = Instant::now();
             self.idle.borrow_mut().entry(worker).or_default().push(Idle { link, since });
         }
@@ -187,7 +191,7 @@
     pub fn evict_expired(&self) {
         let kept = self.idle_timeout();
         self.idle.borrow_mut().retain(|_, links| {
-            links.retain(|l| l.since.elapsed() < kept && !l.link.link.disturbed());
+            links.retain(|l| l.since.elapsed() < kept && !l.link.connection.has_unsolicited_input());
             !links.is_empty()
         });
     }
--- a/crates/engine/src/count.rs
+++ b/crates/engine/src/count.rs
@@ -1,4 +1,4 @@
-//! Plain figures that the operators read.
+//! Plain metrics that the operators read.
 
 use std::cell::Cell;
 use std::time::Duration;
--- a/crates/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -135,8 +135,17 @@
     }
 }
 
-const OUTCOMES: [&str; 9] =
-    ["ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", "unusable"];
+const OUTCOMES: [&str; 9] = [
+    "ok",
+    "error",
+    "worker_rejected",
+    "timeout",
+    "connect_failed",
+    "reset",
+    "cancelled",
+    "not_sent",
+    "invalid_request",
+];
 
 fn place(outcome: Outcome) -> usize {
     match outcome {
@@ -154,35 +163,35 @@
 
 impl Counters {
     /// All counts with their names, in the order in which they are shown.
-    pub fn figures(&self) -> Vec<(&'static str, u64)> {
-        let mut figures = vec![
-            ("taken", self.total(|c| &c.admitted)),
+    pub fn metrics(&self) -> Vec<(&'static str, u64)> {
+        let mut metrics = vec![
+            ("admitted", self.total(|c| &c.admitted)),
             ("served", self.total(|c| &c.served)),
-            ("throttled", self.total(|c| &c.rejected)),
+            ("rejected", self.total(|c| &c.rejected)),
             ("failed", self.total(|c| &c.failed)),
-            ("lapsed", self.total(|c| &c.client_gone)),
+            ("client_gone", self.total(|c| &c.client_gone)),
             ("in_progress", self.in_progress()),
-            ("sent", self.sent.get()),
+            ("attempts", self.sent.get()),
         ];
-        figures.extend(OUTCOMES.iter().zip(&self.outcomes).map(|(name, count)| (*name, count.get())));
-        figures.extend([
-            ("written", self.written.get()),
-            ("lapsed_waiting", self.lapsed_waiting.get()),
-            ("sent_lapsed", self.sent_lapsed.get()),
-            ("sent_lapsed_late", self.sent_lapsed_late.get()),
-            ("loads", self.loads.get()),
-            ("loads_unread", self.loads_unread.get()),
-            ("server_links", self.server_links.get()),
+        metrics.extend(OUTCOMES.iter().zip(&self.outcomes).map(|(name, count)| (*name, count.get())));
+        metrics.extend([
+            ("requests_sent", self.written.get()),
+            ("client_gone_waiting", self.lapsed_waiting.get()),
+            ("sent_after_client_gone", self.sent_lapsed.get()),
+            ("sent_late_after_client_gone", self.sent_lapsed_late.get()),
+            ("load_reports", self.loads.get()),
+            ("load_reports_malformed", self.loads_unread.get()),
+            ("upstream_connections", self.server_links.get()),
             ("probes", self.probes.get()),
-            ("lists", self.lists.get()),
-            ("watches_broken", self.watches_broken.get()),
+            ("worker_lists", self.lists.get()),
+            ("discovery_watches_failed", self.watches_broken.get()),
             ("invariant_violations", self.invariants.total()),
             ("answered_late", self.answered_late.get()),
-            ("answered_by_guard", self.answered_by_guard.get()),
+            ("answered_by_deadline_guard", self.answered_by_guard.get()),
             ("long_steps", self.responsiveness.long_steps.get()),
             ("longest_step_us", self.responsiveness.longest_step.micros()),
             ("longest_timer_lag_us", self.responsiveness.longest_timer_lag.micros()),
         ]);
-        figures
+        metrics
     }
 }
--- a/crates/engine/src/discovery_watch.rs
+++ b/crates/engine/src/discovery_watch.rs
@@ -7,9 +7,11 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 use futures_lite::future::{or, poll_fn, yield_now};
-use sorrelhaven_config::{Error, HostList, Names};
+use sorrelhaven_config::{DiscoveryList, Error, SettingNames};
 use sorrelhaven_dispatcher::{Lifecycle, Micros, WorkerEntry, WorkerId};
-use sorrelhaven_wire::{Came, Fault, Head, Link, Objects, Start, by};
+use sorrelhaven_wire::{
+    Connection, Head, JsonObjectEvent, JsonObjectReader, StartLine, WireError, timeout_at,
+};
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
 use std::fmt;
@@ -49,7 +51,7 @@
 
 /// Numbers and addresses of all executors ever named.
 pub struct WorkerRegistry {
-    names: Names,
+    names: SettingNames,
     known: RefCell<Known>,
 }
 
@@ -124,7 +126,7 @@
     /// It has spoken, and says nothing any more, or no list that ends.
     Silent,
     Refused(u16),
-    Unreadable(Fault),
+    Unreadable(WireError),
     Malformed(Error),
 }
 
@@ -135,8 +137,10 @@
             WatchEnd::Unanswered => f.write_str("it did not answer"),
             WatchEnd::Silent => f.write_str("it fell silent"),
             WatchEnd::Refused(status) => write!(f, "it answered {status}"),
-            WatchEnd::Unreadable(Fault::BodyTooLarge) => write!(f, "a list of more than {LIST_MOST} bytes"),
-            WatchEnd::Unreadable(Fault::Malformed) => {
+            WatchEnd::Unreadable(WireError::BodyTooLarge) => {
+                write!(f, "a list of more than {LIST_MOST} bytes")
+            }
+            WatchEnd::Unreadable(WireError::Malformed) => {
                 f.write_str("a list that is no JSON object, or was torn")
             }
             WatchEnd::Unreadable(fault) => write!(f, "it could not be read: {fault:?}"),
@@ -147,7 +151,7 @@
 
 impl WorkerRegistry {
     /// Knows no executor yet.
-    pub fn new(names: Names) -> WorkerRegistry {
+    pub fn new(names: SettingNames) -> WorkerRegistry {
         WorkerRegistry { names, known: RefCell::default() }
     }
 
@@ -168,9 +172,9 @@
 
     /// Takes in a list, read at `now`, and gives its entries as the module takes them. An entry that does not read is
     /// passed over: one odd host must not hide what the list says of the others.
-    pub fn apply(&self, list: &HostList, now: Micros) -> Vec<WorkerEntry> {
+    pub fn apply(&self, list: &DiscoveryList, now: Micros) -> Vec<WorkerEntry> {
         let known = &mut *self.known.borrow_mut();
-        known.births.begin_list(list.hosts.iter().map(|host| host.born_ms.saturating_mul(1_000)), now);
+        known.births.begin_list(list.hosts.iter().map(|host| host.started_ms.saturating_mul(1_000)), now);
         let mut entries = Vec::new();
         let mut listed = vec![false; known.takes.len()];
         for host in &list.hosts {
@@ -192,11 +196,11 @@
                     known.set_takes(entry.worker.0 as usize, entry.lifecycle == Lifecycle::Ready);
                     entries.push(entry);
                 }
-                Err(error) => warn!(host = host.host, %error, "an entry that does not read"),
+                Err(error) => warn!(host = host.host, %error, "worker list entry ignored"),
             }
         }
         known.births.end_list(now);
-        if list.whole {
+        if list.complete {
             for place in (0..listed.len()).filter(|place| !listed[*place]) {
                 known.set_takes(place, false);
             }
@@ -222,7 +226,7 @@
     mut discovery: SocketAddr,
     seq: u64,
     moved: Receiver<SocketAddr>,
-    tell: impl Fn(&HostList),
+    tell: impl Fn(&DiscoveryList),
 ) {
     let mut after = Some(seq);
     let mut said = String::new();
@@ -241,11 +245,11 @@
             // The same fault again and again is told once.
             let text = end.to_string();
             if std::mem::replace(&mut said, text.clone()) == text {
-                debug!(end = text, "the watch on the host group ended again");
+                debug!(end = text, "discovery watch failed again");
             } else {
-                warn!(end = text, "the watch on the host group ended");
+                warn!(end = text, "discovery watch failed");
             }
-            if matches!(end, WatchEnd::Malformed(_) | WatchEnd::Unreadable(Fault::Malformed)) {
+            if matches!(end, WatchEnd::Malformed(_) | WatchEnd::Unreadable(WireError::Malformed)) {
                 after = None;
             }
             let pause = match (watch.source, &end) {
@@ -260,7 +264,7 @@
                 // The agent starts anew, or its machine does, and may go on at any moment.
                 (
                     Source::Pushed,
-                    WatchEnd::Unreachable | WatchEnd::Unreadable(Fault::Closed | Fault::Broken),
+                    WatchEnd::Unreachable | WatchEnd::Unreadable(WireError::Closed | WireError::Broken),
                 ) => watch.backoff.anew(),
                 _ => watch.backoff.pause(matches!(end, WatchEnd::Refused(_))),
             };
@@ -275,7 +279,7 @@
         };
         if let Some(address) = or(to, one).await {
             // Another agent may count its versions in another way: its whole list is asked for.
-            info!(%address, "the watch on the host group moves");
+            info!(%address, "discovery address changed");
             (discovery, after) = (address, None);
             watch.backoff.reset();
             said.clear();
@@ -285,8 +289,8 @@
 
 /// An ask that has been answered: what comes on it are lists.
 struct Answered {
-    link: Link,
-    lists: Objects,
+    link: Connection,
+    lists: JsonObjectReader,
 }
 
 impl Watch<'_> {
@@ -295,7 +299,7 @@
         &mut self,
         discovery: SocketAddr,
         after: &mut Option<u64>,
-        tell: &impl Fn(&HostList),
+        tell: &impl Fn(&DiscoveryList),
     ) -> Result<std::convert::Infallible, WatchEnd> {
         let query = |after: &Option<u64>| after.map_or(String::new(), |seq| format!("?watch=1&after={seq}"));
         let mut answered = self.asked(discovery, &query(after)).await?;
@@ -307,19 +311,24 @@
                 let now = Instant::now();
                 whole = lists.inside().then(|| whole.unwrap_or(now + WHOLE));
                 let limit = whole.map_or(now + SILENCE, |whole| whole.min(now + SILENCE));
-                let next = by(limit, lists.next(&mut link)).await.ok_or(WatchEnd::Silent)?;
+                let next = timeout_at(limit, lists.next(&mut link)).await.ok_or(WatchEnd::Silent)?;
                 match next.map_err(WatchEnd::Unreadable)? {
                     // The fetched list is complete, and a watch goes on from it; a watch itself has no end.
-                    Came::End if fetched && after.is_some() => break,
-                    Came::End => return Err(WatchEnd::Unreadable(Fault::Closed)),
-                    Came::Part => {}
-                    Came::Object(text) => {
+                    JsonObjectEvent::End if fetched && after.is_some() => break,
+                    JsonObjectEvent::End => return Err(WatchEnd::Unreadable(WireError::Closed)),
+                    JsonObjectEvent::Part => {}
+                    JsonObjectEvent::Object(text) => {
                         let begun = Instant::now();
-                        let list = HostList::read(&text).map_err(WatchEnd::Malformed)?;
+                        let list = DiscoveryList::read(&text).map_err(WatchEnd::Malformed)?;
                         self.counters.responsiveness.part_ended("parsing an executor list", begun);
                         // A long list takes some milliseconds to parse, and some more to take in.
                         yield_now().await;
-                        info!(seq = list.seq, whole = list.whole, hosts = list.hosts.len(), "host group");
+                        info!(
+                            seq = list.seq,
+                            complete = list.complete,
+                            workers = list.hosts.len(),
+                            "worker list applied"
+                        );
                         tell(&list);
                         *after = Some(list.seq);
                     }
@@ -372,13 +381,13 @@
 /// One ask, on a connection of its own, until its answer begins.
 async fn begin(discovery: SocketAddr, query: &str) -> Result<Answered, WatchEnd> {
     let limit = Instant::now() + SILENCE;
-    let link = by(limit, Link::connect(discovery)).await.ok_or(WatchEnd::Unanswered)?;
+    let link = timeout_at(limit, Connection::connect(discovery)).await.ok_or(WatchEnd::Unanswered)?;
     ask(link.map_err(|_| WatchEnd::Unreachable)?, discovery, query, limit).await
 }
 
 /// One ask on this connection, until its answer begins.
 async fn ask(
-    mut link: Link,
+    mut link: Connection,
     discovery: SocketAddr,
     query: &str,
     limit: Instant,
@@ -386,11 +395,11 @@
     let request = format!("GET /registry/instances{query} HTTP/1.1\r\nHost: {discovery}\r\n\r\n");
     let begun = async {
         link.write(request.as_bytes()).await?;
-        let head = link.head(Head::answer).await?;
-        Ok((head.start.clone(), Objects::new(head.body()?, LIST_MOST)))
+        let head = link.read_head(Head::parse_response).await?;
+        Ok((head.start.clone(), JsonObjectReader::new(head.body()?, LIST_MOST)))
     };
-    match by(limit, begun).await.ok_or(WatchEnd::Unanswered)?.map_err(WatchEnd::Unreadable)? {
-        (Start::Answer { status }, _) if status != 200 => Err(WatchEnd::Refused(status)),
+    match timeout_at(limit, begun).await.ok_or(WatchEnd::Unanswered)?.map_err(WatchEnd::Unreadable)? {
+        (StartLine::Response { status }, _) if status != 200 => Err(WatchEnd::Refused(status)),
         (_, lists) => Ok(Answered { link, lists }),
     }
 }
--- a/crates/engine/src/dispatcher_loop.rs
+++ b/crates/engine/src/dispatcher_loop.rs
@@ -173,6 +173,6 @@
         Some(sender) => {
             let _ = sender.try_send(mail);
         }
-        None => warn!(?id, ?mail, "an action for a request that is closed"),
+        None => warn!(?id, ?mail, "action for a concluded request dropped"),
     }
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -14,8 +14,8 @@
 use crate::upstreams::Upstreams;
 use async_channel::Receiver;
 use async_io::Timer;
-use sorrelhaven_body_store::{Bodies, Disk, Permit};
-use sorrelhaven_config::{Config, HostList};
+use sorrelhaven_body_store::{BodyStore, Disk, Permit};
+use sorrelhaven_config::{Config, DiscoveryList};
 use sorrelhaven_dispatcher::{Event, Idempotency, Lifecycle, WorkerId, WorkerListUpdate};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -38,7 +38,7 @@
     /// The ways to executors.
     pub upstreams: Rc<Upstreams>,
     /// The bodies of requests.
-    pub bodies: Rc<Bodies>,
+    pub bodies: Rc<BodyStore>,
     /// BodyAdmission for long bodies on their way to boxes.
     pub body_admission: BodyAdmission,
     /// The counters.
@@ -82,7 +82,7 @@
         let parties = config.classes.len() * config.tenants.len().max(1);
         let at = ways.clone();
         let permit = move || at.pool.acquire_descriptor().map(|p| Box::new(p) as Permit);
-        let bodies = Bodies::new(&config.operator.bodies, parties, disk, permit);
+        let bodies = BodyStore::new(&config.operator.bodies, parties, disk, permit);
         let requests = Rc::new(Requests {
             dispatcher_loop: desk.clone(),
             upstreams: ways.clone(),
@@ -129,7 +129,7 @@
                 at.tasks.spawn(probe::run(at.dispatcher_loop.clone(), at.upstreams.clone(), worker));
             }
         });
-        self.tasks.spawn(self.bodies.clone().relieve());
+        self.tasks.spawn(self.bodies.clone().run_spiller());
         let ways = self.upstreams.clone();
         self.tasks.spawn(async move {
             loop {
@@ -146,14 +146,14 @@
 
     /// Watches the host group, for ever.
     pub async fn watch(&self, discovery: SocketAddr, seq: u64, moved: Receiver<SocketAddr>) {
-        let tell = |list: &HostList| self.tell(list);
+        let tell = |list: &DiscoveryList| self.tell(list);
         let (counters, source, backoff) = (&*self.counters, self.source, self.backoff.clone());
         let watch = Watch { counters, source, backoff };
         discovery_watch::watch(watch, discovery, seq, moved, tell).await;
     }
 
     /// Tells the module of a list, and drops the idle links to executors that are gone.
-    fn tell(&self, list: &HostList) {
+    fn tell(&self, list: &DiscoveryList) {
         let begun = Instant::now();
         let entries = self.upstreams.registry.apply(list, self.dispatcher_loop.clock.now());
         self.counters.responsiveness.part_ended("entries of an executor list", begun);
@@ -162,7 +162,7 @@
         }
         self.counters.lists.add();
         let members =
-            if list.whole { WorkerListUpdate::Full(entries) } else { WorkerListUpdate::Delta(entries) };
+            if list.complete { WorkerListUpdate::Full(entries) } else { WorkerListUpdate::Delta(entries) };
         self.dispatcher_loop.dispatch(Event::WorkerList(members));
     }
 }
--- a/crates/engine/src/invariants.rs
+++ b/crates/engine/src/invariants.rs
@@ -47,7 +47,7 @@
         Invariant::OneOutcomePerAttempt,
     ];
 
-    /// Its name in logs and figures.
+    /// Its name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::OneFinalAnswer => "one_final_answer",
@@ -72,7 +72,7 @@
     pub fn check(&self, invariant: Invariant, request: &str, holds: bool) {
         if !holds {
             self.violations[invariant as usize].add();
-            error!(invariant = invariant.name(), request, "an invariant is violated");
+            error!(invariant = invariant.name(), request, "invariant violated");
         }
     }
 
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -3,9 +3,9 @@
 use crate::attempt_end::AttemptEnd;
 use crate::body_admission::BodyPermit;
 use crate::invariants::RequestGuard;
-use sorrelhaven_body_store::Spool;
+use sorrelhaven_body_store::RequestBody;
 use sorrelhaven_dispatcher::{Micros, WorkerId};
-use sorrelhaven_wire::EndProbe;
+use sorrelhaven_wire::PeerProbe;
 use std::cell::Cell;
 use std::fmt::Write;
 use std::rc::Rc;
@@ -30,7 +30,7 @@
     /// The place that a long body has until its last byte was written.
     pub body_permit: Option<BodyPermit>,
     /// Tells whether the client has gone, also before its connection's own task has seen it.
-    pub client_probe: Option<EndProbe>,
+    pub client_probe: Option<PeerProbe>,
     /// What travels to the executor.
     pub payload: RequestPayload,
 }
@@ -46,7 +46,7 @@
     /// Further headers that travel on.
     pub headers: Vec<(&'static str, String)>,
     /// Its body.
-    pub body: Spool,
+    pub body: RequestBody,
 }
 
 impl RequestPayload {
@@ -77,7 +77,7 @@
     /// The last byte of one of its executions was written.
     pub fully_sent: Cell<bool>,
     /// The client's connection.
-    pub client_probe: Option<EndProbe>,
+    pub client_probe: Option<PeerProbe>,
     /// What the invariants ask of it.
     pub guard: RequestGuard,
 }
@@ -85,7 +85,7 @@
 impl RequestState {
     /// Whether the client has gone before its answer, as its connection says at this moment.
     pub fn client_gone(&self) -> bool {
-        !self.concluded.get() && self.client_probe.as_ref().is_some_and(EndProbe::has_ended)
+        !self.concluded.get() && self.client_probe.as_ref().is_some_and(PeerProbe::has_closed)
     }
 }
 
--- a/crates/engine/src/probe.rs
+++ b/crates/engine/src/probe.rs
@@ -4,7 +4,7 @@
 use crate::dispatcher_loop::DispatcherLoop;
 use crate::upstreams::Upstreams;
 use sorrelhaven_dispatcher::{Event, WorkerId};
-use sorrelhaven_wire::{Head, Start, by};
+use sorrelhaven_wire::{Head, StartLine, timeout_at};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -14,7 +14,8 @@
 /// Probes an executor and tells the module what came of it.
 pub async fn run(desk: Rc<DispatcherLoop>, ways: Rc<Upstreams>, worker: WorkerId) {
     ways.counters.probes.add();
-    let ending = by(Instant::now() + WAIT, probe(&ways, worker)).await.unwrap_or(AttemptEnd::ResponseTimeout);
+    let ending =
+        timeout_at(Instant::now() + WAIT, probe(&ways, worker)).await.unwrap_or(AttemptEnd::ResponseTimeout);
     desk.dispatch(Event::ProbeEnded { worker, outcome: ending.outcome(), load_report: Vec::new() });
 }
 
@@ -23,22 +24,22 @@
         Ok(found) => found,
         Err(ending) => return ending,
     };
-    let link = &mut server_link.link;
+    let link = &mut server_link.connection;
     let request = format!("GET /health/live HTTP/1.1\r\nHost: {address}\r\n\r\n");
     if link.write(request.as_bytes()).await.is_err() {
         return AttemptEnd::ResetBeforeSent;
     }
-    let head = match link.head(Head::answer).await {
+    let head = match link.read_head(Head::parse_response).await {
         Ok(head) => head,
         Err(fault) => return AttemptEnd::unreadable(fault),
     };
     let body = match head.body() {
-        Ok(body) => link.whole(body).await,
+        Ok(body) => link.read_body(body).await,
         Err(fault) => Err(fault),
     };
     match (body, &head.start) {
         (Err(fault), _) => AttemptEnd::unreadable(fault),
-        (Ok(_), Start::Answer { status: 200 }) => {
+        (Ok(_), StartLine::Response { status: 200 }) => {
             if head.keeps_alive() {
                 ways.pool.check_in(worker, server_link);
             }
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -246,7 +246,7 @@
     ) {
         let Requests { dispatcher_loop: desk, upstreams: ways, counters, tasks, .. } = &*self.requests;
         counters.sent.add();
-        debug!(id = %self.name, attempt, worker = worker.0, "attempt begun");
+        debug!(id = %self.name, attempt, worker = worker.0, "attempt started");
         let (deadline, before) = (desk.clock.instant(deadline), desk.clock.instant(before.min(deadline)));
         let written = Rc::<Cell<bool>>::default();
         let fate = self.state.clone();
@@ -306,7 +306,7 @@
             return;
         }
         let attempts = self.attempts.len();
-        warn!(id = %self.name, attempts, "a request past its deadline had no answer");
+        warn!(id = %self.name, attempts, "request overdue, answered by the deadline guard");
         self.requests.counters.answered_by_guard.add();
         self.answer(Answer::Failed);
         self.requests.dispatcher_loop.dispatch(Event::ClientDisconnected(self.id));
@@ -321,11 +321,11 @@
             if matches!(answer, Answer::Rejected { .. }) {
                 self.state.guard.refused(&self.requests.counters.invariants, &self.name);
             }
-            debug!(id = %self.name, ?answer, "answered");
+            debug!(id = %self.name, ?answer, "request concluded");
             let late = self.requests.dispatcher_loop.clock.now() - self.deadline;
             if late > 0 {
                 self.requests.counters.answered_late.add();
-                debug!(id = %self.name, late_us = late, "answered after its deadline");
+                debug!(id = %self.name, late_us = late, "request concluded after its deadline");
             }
             let end = match answer {
                 Answer::Served(_) => RequestEnd::Served,
--- a/crates/engine/src/responsiveness.rs
+++ b/crates/engine/src/responsiveness.rs
@@ -28,7 +28,7 @@
         self.longest_step.note(took);
         if took > LONG_STEP {
             self.long_steps.add();
-            warn!(took_ms = took.as_millis(), "a step of the event loop took long");
+            warn!(took_ms = took.as_millis(), "slow event loop step");
         }
     }
 
@@ -36,7 +36,7 @@
     pub fn part_ended(&self, part: &'static str, begun: Instant) {
         let took = begun.elapsed();
         if took > LONG_STEP {
-            warn!(part, took_ms = took.as_millis(), "part of a step of the event loop took long");
+            warn!(part, took_ms = took.as_millis(), "slow part of an event loop step");
         }
     }
 }
--- a/crates/engine/src/start_times.rs
+++ b/crates/engine/src/start_times.rs
@@ -14,7 +14,7 @@
 use std::collections::HashMap;
 
 /// A start as it was read.
-struct Start {
+struct StartLine {
     /// As discovery dates it.
     dated: Micros,
     /// On the node's clock.
@@ -24,7 +24,7 @@
 /// The starts of all executors that discovery has dated.
 #[derive(Default)]
 pub struct StartTimes {
-    starts: HashMap<WorkerId, Start>,
+    starts: HashMap<WorkerId, StartLine>,
     /// How far the newest date was ahead of the node's clock when it was read, at most.
     ahead: Option<Micros>,
     /// Lists read: the known one, the first one of discovery, changes.
@@ -65,7 +65,7 @@
         let age = [by_list, by_clock, by_change].into_iter().flatten().min().unwrap_or(0).max(0);
         // A process that starts again is another one, whatever the dates say.
         let at = (now - age).max(before.map_or(1, |start| start.at + 1));
-        self.starts.insert(worker, Start { dated, at });
+        self.starts.insert(worker, StartLine { dated, at });
         at
     }
 }
--- a/crates/frontend-http1/src/accept.rs
+++ b/crates/frontend-http1/src/accept.rs
@@ -1,11 +1,11 @@
 //! The listener: accepts client links, and has old ones give way where descriptors run short.
 
+use crate::connection::client_link;
 use crate::front::Front;
-use crate::link::client_link;
 use async_io::Async;
 use futures_lite::future::{or, yield_now};
 use sorrelhaven_engine::Permit;
-use sorrelhaven_wire::{Call, Failure, Link, by, classify, shortage_pause};
+use sorrelhaven_wire::{Connection, SocketCall, SocketFailure, classify, shortage_pause, timeout_at};
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::ops::ControlFlow;
@@ -30,11 +30,13 @@
     let until = Instant::now() + LISTEN_MOST;
     loop {
         match listen_once(address) {
-            Err(error) if Instant::now() < until => match classify(Call::Listen, &error) {
-                Failure::Interrupted => {}
+            Err(error) if Instant::now() < until => match classify(SocketCall::Listen, &error) {
+                SocketFailure::Interrupted => {}
                 // Nothing else runs yet.
-                Failure::Shortage => std::thread::sleep(LISTEN_PAUSE),
-                Failure::NotReady | Failure::DescriptorLimit | Failure::Connection => return Err(error),
+                SocketFailure::Shortage => std::thread::sleep(LISTEN_PAUSE),
+                SocketFailure::NotReady | SocketFailure::DescriptorLimit | SocketFailure::Connection => {
+                    return Err(error);
+                }
             },
             listening => return listening,
         }
@@ -77,8 +79,8 @@
     if queue == Queue::Own {
         let emptied =
             async { while accept_one(&front, &listener, permit(&front).await).await.is_continue() {} };
-        if by(Instant::now() + EMPTYING_MOST, emptied).await.is_none() {
-            warn!("connections in the queue were not accepted before the end");
+        if timeout_at(Instant::now() + EMPTYING_MOST, emptied).await.is_none() {
+            warn!("shutdown left connections in the accept queue");
         }
     }
 }
@@ -94,20 +96,20 @@
         Err(error) => error,
     };
     drop(permit);
-    if classify(Call::Accept, &error) == Failure::NotReady {
+    if classify(SocketCall::Accept, &error) == SocketFailure::NotReady {
         return ControlFlow::Break(());
     }
     front.counters.accepts_failed.add();
     // The same trouble again and again is told once.
     if !front.accept_failing.replace(true) {
-        warn!(%error, "cannot accept; it is tried again");
+        warn!(%error, "accept failed, retrying");
     }
-    match classify(Call::Accept, &error) {
+    match classify(SocketCall::Accept, &error) {
         // Of the connection that was to be accepted, not of the listener: the next one may be well.
-        Failure::NotReady | Failure::Interrupted | Failure::Connection => {}
+        SocketFailure::NotReady | SocketFailure::Interrupted | SocketFailure::Connection => {}
         // The machine's want, not this process's: no other connection need go for it.
-        Failure::Shortage => shortage_pause().await,
-        Failure::DescriptorLimit => give_way(front).await,
+        SocketFailure::Shortage => shortage_pause().await,
+        SocketFailure::DescriptorLimit => give_way(front).await,
     }
     ControlFlow::Continue(())
 }
@@ -135,7 +137,7 @@
     if front.close_silent.notify_additional(1) == 0 {
         front.close_idle.notify_additional(1);
     }
-    by(Instant::now() + FULL_PAUSE, freed).await;
+    timeout_at(Instant::now() + FULL_PAUSE, freed).await;
 }
 
 fn begin(front: &Rc<Front>, stream: TcpStream, permit: Permit) {
@@ -143,11 +145,11 @@
     front.client_links.set(front.client_links.get() + 1);
     let at = front.clone();
     front.engine.tasks.spawn(async move {
-        match Link::accepted(stream).await {
+        match Connection::accepted(stream).await {
             Ok(mut link) => client_link(&at, &mut link).await,
             Err(error) => {
                 at.counters.accepts_failed.add();
-                warn!(%error, "a connection that was accepted could not be served");
+                warn!(%error, "accepted connection could not be registered");
             }
         }
         drop(permit);
--- a/crates/frontend-http1/src/link.rs
+++ b/crates/frontend-http1/src/connection.rs
@@ -5,8 +5,8 @@
 use crate::read::{Draft, Read, read};
 use crate::response::Response;
 use futures_lite::future::{or, yield_now};
-use sorrelhaven_body_store::{BLOCK, End, Spool};
-use sorrelhaven_wire::{BODY_MOST, Body, EndProbe, Fault, Link, by};
+use sorrelhaven_body_store::{BLOCK_BYTES, BodyEnd, RequestBody};
+use sorrelhaven_wire::{Body, Connection, MAX_BODY_BYTES, PeerProbe, WireError, timeout_at};
 use std::time::{Duration, Instant};
 use tracing::debug;
 
@@ -19,11 +19,11 @@
 /// How long a link that is given up is read on, so that the client sees the answer and not a reset.
 const LINGER: Duration = Duration::from_millis(500);
 /// The most that is still taken from such a link, in bytes.
-const LINGER_MOST: usize = 4 * BODY_MOST;
+const LINGER_MOST: usize = 4 * MAX_BODY_BYTES;
 
 /// One client link: requests one after the other, until either side ends it. Until it has carried a job it
 /// must hurry, and gives way to others as long as nothing has come on it.
-pub async fn client_link(front: &Front, link: &mut Link) {
+pub async fn client_link(front: &Front, link: &mut Connection) {
     let accepted = Instant::now();
     let mut carried = false;
     while arrives(front, link, (!carried).then_some(accepted + WHOLE)).await {
@@ -33,15 +33,15 @@
         };
         if response.status / 100 == 4 {
             front.counters.malformed.add();
-            debug!(response.status, body = %String::from_utf8_lossy(&response.body), "not taken");
+            debug!(response.status, body = %String::from_utf8_lossy(&response.body), "request rejected by the protocol");
         }
         response.close |= !keeps_alive || link.is_overrun() || front.empties();
         let bytes = response.bytes();
-        if by(Instant::now() + SLOW_READER, link.write(&bytes)).await != Some(Ok(())) {
+        if timeout_at(Instant::now() + SLOW_READER, link.write(&bytes)).await != Some(Ok(())) {
             return;
         }
         if response.close {
-            _ = by(Instant::now() + LINGER, link.linger(LINGER_MOST)).await;
+            _ = timeout_at(Instant::now() + LINGER, link.drain_input(LINGER_MOST)).await;
             return;
         }
         // A client that sends without a pause must not keep the others waiting.
@@ -53,7 +53,7 @@
 /// connection can carry another. `None` where no one is there to hear it. `carried` is set once it is a job.
 async fn exchange(
     front: &Front,
-    link: &mut Link,
+    link: &mut Connection,
     first: Instant,
     carried: &mut bool,
 ) -> Option<(Response, bool)> {
@@ -78,24 +78,24 @@
 }
 
 /// The answer to what could not be read; `None` where no one is there to hear it.
-fn unread(fault: Fault) -> Option<Response> {
+fn unread(fault: WireError) -> Option<Response> {
     match fault {
-        Fault::Closed | Fault::Broken => None,
-        Fault::Malformed => Some(Response::fault(400, "not HTTP")),
-        Fault::HeadTooLarge => Some(Response::fault(431, "the head is too large")),
-        Fault::BodyTooLarge => Some(Response::fault(413, "the body is too large")),
+        WireError::Closed | WireError::Broken => None,
+        WireError::Malformed => Some(Response::fault(400, "not HTTP")),
+        WireError::HeadTooLarge => Some(Response::fault(431, "the head is too large")),
+        WireError::BodyTooLarge => Some(Response::fault(413, "the body is too large")),
     }
 }
 
 /// Reads past the body of what is no job.
-async fn drop_body(link: &mut Link, body: Body, expects: bool) -> Result<(), Fault> {
-    if matches!(body, Body::Length(n) if n > BODY_MOST) {
-        return Err(Fault::BodyTooLarge);
+async fn drop_body(link: &mut Connection, body: Body, expects: bool) -> Result<(), WireError> {
+    if matches!(body, Body::Length(n) if n > MAX_BODY_BYTES) {
+        return Err(WireError::BodyTooLarge);
     }
     if expects {
         link.write(CONTINUE).await?;
     }
-    link.whole(body).await.map(drop)
+    link.read_body(body).await.map(drop)
 }
 
 /// A job whose body is to come.
@@ -111,7 +111,7 @@
 /// its server is chosen before it is whole.
 async fn carry(
     front: &Front,
-    link: &mut Link,
+    link: &mut Connection,
     Coming { mut draft, body, expects, first }: Coming,
     carried: &mut bool,
 ) -> Option<(Response, bool)> {
@@ -123,36 +123,36 @@
     let due = front.engine.dispatcher_loop.clock.instant(draft.due());
     let writer = match bodies.begin(draft.party(front), declared) {
         Ok(writer) => writer,
-        Err((end, body)) => return not_whole(front, draft, body, end, link.end_probe(), carried).await,
+        Err((end, body)) => return not_whole(front, draft, body, end, link.peer_probe(), carried).await,
     };
-    let spool = writer.spool();
+    let spool = writer.body();
     if expects && link.write(CONTINUE).await.is_err() {
         return None;
     }
     let intake = Intake { body, writer, first, due };
     let hurried = async {
         front.hurry(first).await;
-        End::TooSlow
+        BodyEnd::TooSlow
     };
     let came = or(intake.keep(front, link), async { Came::Ended(hurried.await) });
     let intake = match came.await {
         Came::Whole => None,
         Came::Unkept(intake) => Some(intake),
-        Came::Ended(end) => return not_whole(front, draft, spool, end, link.end_probe(), carried).await,
+        Came::Ended(end) => return not_whole(front, draft, spool, end, link.peer_probe(), carried).await,
     };
     // A long body waits until few others are on their way; one whose time is up meanwhile is the module's to refuse.
     let place = match spool.length() {
-        Some(length) if length <= BLOCK as u64 => None,
+        Some(length) if length <= BLOCK_BYTES as u64 => None,
         _ => {
             let waited = or(async { Some(front.engine.body_admission.acquire(due).await) }, async {
-                link.ended_in_body().await;
+                link.read_ahead_until_closed_in_body().await;
                 None
             });
             match waited.await {
                 Some(place) => place,
                 None => {
                     if let Some(intake) = intake {
-                        intake.writer.end(End::ClientBroke);
+                        intake.writer.end(BodyEnd::ClientBroke);
                     }
                     return None;
                 }
@@ -162,7 +162,7 @@
     if let Some(by) = front.answer_by(Instant::now()) {
         draft.hurry(front.engine.dispatcher_loop.clock.micros(by));
     }
-    let Some(ticket) = front.engine.take(draft.job(spool.clone(), true, place, link.end_probe())) else {
+    let Some(ticket) = front.engine.take(draft.job(spool.clone(), true, place, link.peer_probe())) else {
         return Some((Response::new(409), intake.is_none()));
     };
     *carried = true;
@@ -173,13 +173,13 @@
                 return end;
             }
         }
-        link.ended().await;
-        End::ClientBroke
+        link.read_ahead_until_closed().await;
+        BodyEnd::ClientBroke
     };
     match or(async { Ok(ticket.answer().await) }, async { Err(rest.await) }).await {
         // An answer may come before the whole body has: what is left of it can't be told from a next request.
         Ok(answer) => {
-            let whole = spool.end().is_some_and(End::is_whole);
+            let whole = spool.end().is_some_and(BodyEnd::is_whole);
             Some((answer.map_or(Response::new(500), Response::from), whole))
         }
         Err(end) => {
@@ -193,9 +193,9 @@
 async fn not_whole(
     front: &Front,
     draft: Draft,
-    body: Spool,
-    end: End,
-    client: EndProbe,
+    body: RequestBody,
+    end: BodyEnd,
+    client: PeerProbe,
     carried: &mut bool,
 ) -> Option<(Response, bool)> {
     if !intake::refused(end) {
@@ -214,14 +214,14 @@
 /// Waits for the first byte of a request; false when the link is to be closed instead. One that has carried no job yet
 /// is closed at `hurry`. A link on which something has come is never closed unread: what comes between the last read and
 /// the close is looked for once more.
-async fn arrives(front: &Front, link: &mut Link, hurry: Option<Instant>) -> bool {
-    if link.pending() > 0 {
+async fn arrives(front: &Front, link: &mut Connection, hurry: Option<Instant>) -> bool {
+    if link.buffered() > 0 {
         return true;
     }
     let eviction = if hurry.is_some() { &front.close_silent } else { &front.close_idle };
     let leave = front.leave.listen();
     let closed = async {
-        if !front.standing.look(|node| node.closed(Instant::now())) {
+        if !front.lifecycle.read(|node| node.closed(Instant::now())) {
             leave.await;
         }
         Wake::Close
@@ -232,7 +232,7 @@
     };
     let came = async { if link.fill().await.is_ok() { Wake::Input } else { Wake::Gone } };
     let until = hurry.unwrap_or_else(|| Instant::now() + IDLE);
-    match by(until, or(came, or(evicted, closed))).await {
+    match timeout_at(until, or(came, or(evicted, closed))).await {
         Some(Wake::Input) => true,
         Some(Wake::Gone) => false,
         Some(Wake::Evicted) if link.has_input() => {
--- a/crates/frontend-http1/src/front.rs
+++ b/crates/frontend-http1/src/front.rs
@@ -5,8 +5,8 @@
 use futures_lite::future::or;
 use sorrelhaven_config::{ClassName, Config};
 use sorrelhaven_engine::{ConnectionPool, Count, Engine, length};
-use sorrelhaven_lifecycle::{Lifecycle, Standing};
-use sorrelhaven_wire::by;
+use sorrelhaven_lifecycle::{Lifecycle, LifecycleHandle};
+use sorrelhaven_wire::timeout_at;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -26,11 +26,11 @@
 
 impl Counters {
     /// All counts with their names, in the order in which they are shown.
-    pub fn figures(&self) -> [(&'static str, u64); 4] {
+    pub fn metrics(&self) -> [(&'static str, u64); 4] {
         [
-            ("client_links", self.client_links.get()),
-            ("malformed", self.malformed.get()),
-            ("evicted", self.evicted.get()),
+            ("downstream_connections", self.client_links.get()),
+            ("malformed_requests", self.malformed.get()),
+            ("evicted_connections", self.evicted.get()),
             ("accepts_failed", self.accepts_failed.get()),
         ]
     }
@@ -59,14 +59,14 @@
     /// Client links that stand idle are to end now.
     pub(crate) leave: Event,
     /// What the node is.
-    pub(crate) standing: Rc<Standing>,
+    pub(crate) lifecycle: Rc<LifecycleHandle>,
     /// The longest that a client waits, by the settings.
     longest: Duration,
 }
 
 impl Front {
     /// A front that hands its jobs to `engine` and asks `standing` whether clients are wanted.
-    pub fn new(engine: Rc<Engine>, config: &Config, standing: Rc<Standing>) -> Rc<Front> {
+    pub fn new(engine: Rc<Engine>, config: &Config, standing: Rc<LifecycleHandle>) -> Rc<Front> {
         let longest = config.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
         Rc::new(Front {
             engine,
@@ -79,7 +79,7 @@
             close_silent: Event::new(),
             link_freed: Event::new(),
             leave: Event::new(),
-            standing,
+            lifecycle: standing,
             longest: length(longest),
         })
     }
@@ -87,11 +87,11 @@
     /// Waits until the time that `time` finds in the node's lifecycle has come, through all changes of that.
     pub async fn reached(&self, time: impl Fn(&Lifecycle) -> Option<Instant>) {
         loop {
-            let change = self.standing.change();
-            match self.standing.look(&time) {
+            let change = self.lifecycle.changed();
+            match self.lifecycle.read(&time) {
                 None => change.await,
                 Some(at) => {
-                    if by(at, change).await.is_none() {
+                    if timeout_at(at, change).await.is_none() {
                         return;
                     }
                 }
@@ -103,7 +103,7 @@
     pub async fn send_away(&self) {
         loop {
             self.reached(Lifecycle::idle_until).await;
-            let change = self.standing.change();
+            let change = self.lifecycle.changed();
             self.leave.notify(usize::MAX);
             change.await;
         }
@@ -112,7 +112,7 @@
     /// What comes of `work`, which reads a request whose first byte could come at `first`; `None` where that takes
     /// longer than a request may, or than a node that empties can wait.
     pub(crate) async fn whole<T>(&self, first: Instant, work: impl Future<Output = T>) -> Option<T> {
-        or(by(first + WHOLE, work), async {
+        or(timeout_at(first + WHOLE, work), async {
             self.hurry(first).await;
             None
         })
@@ -127,7 +127,7 @@
 
     /// By when a request that came whole at `came` must have its answer, whatever its client allows.
     pub(crate) fn answer_by(&self, came: Instant) -> Option<Instant> {
-        self.standing.look(|node| node.answer_by(came, self.longest))
+        self.lifecycle.read(|node| node.answer_by(came, self.longest))
     }
 
     /// Has as many client links give way as there are beyond the bound on them.
@@ -144,7 +144,7 @@
 
     /// Whether each answer is to end its client link.
     pub(crate) fn empties(&self) -> bool {
-        self.standing.look(Lifecycle::empties)
+        self.lifecycle.read(Lifecycle::empties)
     }
 
     /// The server links, which share the descriptors.
--- a/crates/frontend-http1/src/intake.rs
+++ b/crates/frontend-http1/src/intake.rs
@@ -3,8 +3,8 @@
 use crate::front::Front;
 use crate::response::Response;
 use futures_lite::future::or;
-use sorrelhaven_body_store::{BLOCK, End, Step, Writer};
-use sorrelhaven_wire::{Body, Fault, Link, by};
+use sorrelhaven_body_store::{BLOCK_BYTES, BodyEnd, BodyWriter, StorageTier};
+use sorrelhaven_wire::{Body, Connection, WireError, timeout_at};
 use std::time::{Duration, Instant};
 
 /// A request must be whole so long after its first byte, the first one on a link so long after the accept; a long body
@@ -14,14 +14,14 @@
 
 /// So much of a body that is not kept must have come before a box is chosen for it, in bytes. Guards against clients
 /// that say much and send little: each would hold a box that waits for it.
-const FRONT: u64 = BLOCK as u64 / 2;
+const FRONT: u64 = BLOCK_BYTES as u64 / 2;
 
 /// A body on its way in.
 pub struct Intake {
     /// How far the body has been read.
     pub body: Body,
     /// Where it goes.
-    pub writer: Writer,
+    pub writer: BodyWriter,
     /// When its first byte could come.
     pub first: Instant,
     /// When its client gives up.
@@ -35,49 +35,55 @@
     /// What comes from here on is not kept: it is to be passed on as it comes.
     Unkept(Intake),
     /// It has ended in some other way.
-    Ended(End),
+    Ended(BodyEnd),
 }
 
 impl Intake {
     /// Takes the body in until it is whole, or until it is not kept any more.
-    pub async fn keep(self, front: &Front, link: &mut Link) -> Came {
+    pub async fn keep(self, front: &Front, link: &mut Connection) -> Came {
         self.run(front, link, true).await
     }
 
     /// Takes in the rest of a body that is not kept, as fast as it is passed on.
-    pub async fn pass(self, front: &Front, link: &mut Link) -> End {
+    pub async fn pass(self, front: &Front, link: &mut Connection) -> BodyEnd {
         match self.run(front, link, false).await {
-            Came::Whole => End::Streamed,
+            Came::Whole => BodyEnd::Streamed,
             Came::Ended(end) => end,
-            Came::Unkept(intake) => intake.writer.end(End::Refused),
+            Came::Unkept(intake) => intake.writer.end(BodyEnd::Refused),
         }
     }
 
-    async fn run(mut self, front: &Front, link: &mut Link, kept: bool) -> Came {
+    async fn run(mut self, front: &Front, link: &mut Connection, kept: bool) -> Came {
         let mut piece = Vec::new();
         loop {
-            if kept && self.writer.came() >= FRONT && self.writer.spool().step() == Step::Unkept {
+            if kept && self.writer.received() >= FRONT && self.writer.body().tier() == StorageTier::NotStored
+            {
                 return Came::Unkept(self);
             }
             piece.clear();
-            let slowest = front.engine.bodies.in_time(self.first, WHOLE, self.writer.came());
-            let more = match by(slowest.min(self.due), link.more(&mut self.body, &mut piece)).await {
-                None => return Came::Ended(self.writer.end(End::TooSlow)),
-                Some(Err(Fault::BodyTooLarge)) => return Came::Ended(self.writer.end(End::TooLong)),
-                Some(Err(_)) => return Came::Ended(self.writer.end(End::ClientBroke)),
-                Some(Ok(more)) => more,
-            };
+            let slowest = front.engine.bodies.upload_deadline(self.first, WHOLE, self.writer.received());
+            let more =
+                match timeout_at(slowest.min(self.due), link.read_body_chunk(&mut self.body, &mut piece))
+                    .await
+                {
+                    None => return Came::Ended(self.writer.end(BodyEnd::TooSlow)),
+                    Some(Err(WireError::BodyTooLarge)) => {
+                        return Came::Ended(self.writer.end(BodyEnd::TooLong));
+                    }
+                    Some(Err(_)) => return Came::Ended(self.writer.end(BodyEnd::ClientBroke)),
+                    Some(Ok(more)) => more,
+                };
             if !more {
-                link.settle();
+                link.finish_exchange();
                 self.writer.finish().await;
                 return Came::Whole;
             }
-            for part in piece.chunks(BLOCK) {
+            for part in piece.chunks(BLOCK_BYTES) {
                 let before = Instant::now();
                 // A client that leaves shows at no read while its body waits for room.
                 let left = async {
-                    link.hung_up().await;
-                    Err(End::ClientBroke)
+                    link.peer_closed().await;
+                    Err(BodyEnd::ClientBroke)
                 };
                 if let Err(end) = or(self.writer.push(part), left).await {
                     return Came::Ended(self.writer.end(end));
@@ -85,7 +91,7 @@
                 // What the node itself made it wait is not the client's slowness.
                 self.first += before.elapsed();
             }
-            if self.writer.came() >= BLOCK as u64 {
+            if self.writer.received() >= BLOCK_BYTES as u64 {
                 front.engine.tasks.turn().await;
             }
         }
@@ -94,21 +100,25 @@
 
 /// What a client is told by the protocol alone whose body has ended so; `None`: nothing, its link is closed. What the
 /// node could not keep is no matter of the protocol: that goes to the module, which refuses it.
-pub fn answer(end: End) -> Option<Response> {
+pub fn answer(end: BodyEnd) -> Option<Response> {
     match end {
-        End::TooLong => Some(Response::fault(413, "the body is too large")),
-        End::TooSlow => Some(Response::fault(408, "the request came too slowly")),
-        End::ClientBroke | End::Refused | End::NeverBegun => None,
-        End::InMemory | End::InFile | End::Streamed => None,
-        End::DiskFull | End::DiskFailed | End::DiskSlow | End::BudgetGone => None,
+        BodyEnd::TooLong => Some(Response::fault(413, "the body is too large")),
+        BodyEnd::TooSlow => Some(Response::fault(408, "the request came too slowly")),
+        BodyEnd::ClientBroke | BodyEnd::Refused | BodyEnd::NeverBegun => None,
+        BodyEnd::InMemory | BodyEnd::InFile | BodyEnd::Streamed => None,
+        BodyEnd::DiskFull | BodyEnd::DiskFailed | BodyEnd::DiskSlow | BodyEnd::BudgetGone => None,
     }
 }
 
 /// Whether the body could not be kept and such are refused.
-pub fn refused(end: End) -> bool {
+pub fn refused(end: BodyEnd) -> bool {
     match end {
-        End::DiskFull | End::DiskFailed | End::DiskSlow | End::BudgetGone => true,
-        End::InMemory | End::InFile | End::Streamed => false,
-        End::ClientBroke | End::TooLong | End::TooSlow | End::Refused | End::NeverBegun => false,
+        BodyEnd::DiskFull | BodyEnd::DiskFailed | BodyEnd::DiskSlow | BodyEnd::BudgetGone => true,
+        BodyEnd::InMemory | BodyEnd::InFile | BodyEnd::Streamed => false,
+        BodyEnd::ClientBroke
+        | BodyEnd::TooLong
+        | BodyEnd::TooSlow
+        | BodyEnd::Refused
+        | BodyEnd::NeverBegun => false,
     }
 }
--- a/crates/frontend-http1/src/lib.rs
+++ b/crates/frontend-http1/src/lib.rs
@@ -7,12 +7,12 @@
 //! use sorrelhaven_config::Config;
 //! use sorrelhaven_engine::Engine;
 //! use sorrelhaven_frontend_http1::{Front, Queue, accept, listen};
-//! use sorrelhaven_lifecycle::Standing;
+//! use sorrelhaven_lifecycle::LifecycleHandle;
 //! use std::rc::Rc;
 //!
 //! let config = Config::load(|name| std::env::var(name).ok())?;
 //! let engine = Engine::new(&config, None);
-//! let front = Front::new(engine.clone(), &config, Rc::<Standing>::default());
+//! let front = Front::new(engine.clone(), &config, Rc::<LifecycleHandle>::default());
 //! let listener = listen(config.listen)?;
 //! engine.tasks.spawn(accept(front, listener, Queue::Own, std::future::pending()));
 //! async_io::block_on(engine.tasks.run());
@@ -20,9 +20,9 @@
 //! ```
 
 mod accept;
+mod connection;
 mod front;
 mod intake;
-mod link;
 mod read;
 mod response;
 
--- a/crates/frontend-http1/src/read.rs
+++ b/crates/frontend-http1/src/read.rs
@@ -2,11 +2,11 @@
 
 use crate::front::Front;
 use crate::response::Response;
-use sorrelhaven_body_store::Spool;
+use sorrelhaven_body_store::RequestBody;
 use sorrelhaven_dispatcher::Micros;
 use sorrelhaven_engine::{BodyPermit, Job, RequestPayload};
 use sorrelhaven_lifecycle::Lifecycle;
-use sorrelhaven_wire::{Body, EndProbe, Fault, Head, Link, Start};
+use sorrelhaven_wire::{Body, Connection, Head, PeerProbe, StartLine, WireError};
 use std::rc::Rc;
 
 /// The answer must reach the client before it gives up: the way there and back comes off its time.
@@ -58,7 +58,7 @@
     }
 
     /// The job with its body, all of it or what has come so far.
-    pub fn job(self, body: Spool, sendable: bool, place: Option<BodyPermit>, client: EndProbe) -> Job {
+    pub fn job(self, body: RequestBody, sendable: bool, place: Option<BodyPermit>, client: PeerProbe) -> Job {
         let Draft { class, due, hint, width, resent, key, id, method, target, headers, .. } = self;
         let parcel = RequestPayload { id, method, target, headers, body };
         Job {
@@ -77,8 +77,8 @@
 }
 
 /// Reads one request's head.
-pub async fn read(front: &Front, link: &mut Link) -> Result<Read, Fault> {
-    let head = link.head(Head::request).await?;
+pub async fn read(front: &Front, link: &mut Connection) -> Result<Read, WireError> {
+    let head = link.read_head(Head::parse_request).await?;
     let came = front.engine.dispatcher_loop.clock.now();
     let body = head.body()?;
     let expects =
@@ -88,12 +88,12 @@
 
 /// Reads a request by the protocol.
 fn parse(front: &Front, head: &Head, came: Micros) -> Result<Draft, Response> {
-    let Start::Request { method, target } = &head.start else {
+    let StartLine::Request { method, target } = &head.start else {
         return Err(Response::fault(400, "not a request"));
     };
     match (target.split('?').next().unwrap_or_default(), method.as_str()) {
         ("/health/ready", "GET") => {
-            return Err(Response::new(if front.standing.look(Lifecycle::ready) { 200 } else { 503 }));
+            return Err(Response::new(if front.lifecycle.read(Lifecycle::ready) { 200 } else { 503 }));
         }
         ("/health/ready", _) => return Err(Response { allow: Some("GET"), ..Response::new(405) }),
         ("/api", "POST") => {}
@@ -135,7 +135,7 @@
         hint,
         width,
         resent: head.get("Client-Retry") == Some("1"),
-        key: head.get("Affinity-Key").map_or(0, sorrelhaven_config::key),
+        key: head.get("Affinity-Key").map_or(0, sorrelhaven_config::stable_hash),
         id,
         method: method.clone(),
         target: target.clone(),
@@ -153,7 +153,7 @@
     (micros.is_finite() && micros >= 0.0).then(|| micros.min(LONGEST) as Micros)
 }
 
-/// The slots a job takes, as `slots=` in the further figures; 1 where they do not say.
+/// The slots a job takes, as `slots=` in the further metrics; 1 where they do not say.
 fn width(info: &str) -> Option<f64> {
     for figure in info.split(',').filter(|f| !f.trim().is_empty()) {
         let (name, value) = figure.split_once('=')?;
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -3,9 +3,9 @@
 //! Two processes may hold the one socket at the same time: what is queued on it goes to whichever accepts first, and
 //! whatever is set on it holds for both. So nothing is set here, and it is never shut down.
 
-mod seats;
+mod process_registry;
 
-pub use seats::Seats;
+pub use process_registry::ProcessRegistry;
 
 use rustix::fd::{BorrowedFd, RawFd};
 use rustix::io::{Errno, fcntl_dupfd_cloexec};
--- a/crates/lifecycle/src/standing.rs
+++ b/crates/lifecycle/src/handle.rs
@@ -1,20 +1,20 @@
 //! The lifecycle as one thread shares it.
 
-use crate::{Call, Lifecycle, Reply};
+use crate::{Command, CommandReply, Lifecycle};
 use event_listener::{Event, EventListener};
 use std::cell::RefCell;
 use std::time::Instant;
 
 /// The lifecycle of this node, with notice of its changes.
 #[derive(Default)]
-pub struct Standing {
+pub struct LifecycleHandle {
     lifecycle: RefCell<Lifecycle>,
     changed: Event,
 }
 
-impl Standing {
+impl LifecycleHandle {
     /// What `look` finds.
-    pub fn look<T>(&self, look: impl FnOnce(&Lifecycle) -> T) -> T {
+    pub fn read<T>(&self, look: impl FnOnce(&Lifecycle) -> T) -> T {
         look(&self.lifecycle.borrow())
     }
 
@@ -31,14 +31,14 @@
     }
 
     /// Does what the operators call for.
-    pub fn call(&self, call: Call, now: Instant) -> Reply {
+    pub fn call(&self, call: Command, now: Instant) -> CommandReply {
         let reply = self.lifecycle.borrow_mut().call(call, now);
         self.changed.notify(usize::MAX);
         reply
     }
 
     /// The next change; whoever looks after asking for it misses none.
-    pub fn change(&self) -> EventListener {
+    pub fn changed(&self) -> EventListener {
         self.changed.listen()
     }
 }
