--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -4,22 +4,22 @@
 //! at which they came, and each has an answer in every state.
 //!
 //! ```
-//! use sorrelhaven_lifecycle::{Call, Lifecycle, Phase, Reply};
+//! use sorrelhaven_lifecycle::{Command, Lifecycle, Phase, CommandReply};
 //! use std::time::Instant;
 //!
 //! let now = Instant::now();
 //! let mut node = Lifecycle::default();
-//! assert_eq!(node.call(Call::Ready, now), Reply::No("starting"));
+//! assert_eq!(node.call(Command::Ready, now), CommandReply::Failure("starting"));
 //! node.loaded(now);
-//! assert_eq!(node.call(Call::Ready, now), Reply::Yes("serving"));
-//! assert_eq!(node.call(Call::Drain, now), Reply::Yes("drained"));
+//! assert_eq!(node.call(Command::Ready, now), CommandReply::Success("serving"));
+//! assert_eq!(node.call(Command::Drain, now), CommandReply::Success("drained"));
 //! assert_eq!(node.phase(), Phase::Drained { since: now });
-//! assert_eq!(node.call(Call::Resume, now), Reply::Yes("serving"));
+//! assert_eq!(node.call(Command::Resume, now), CommandReply::Success("serving"));
 //! ```
 
-mod standing;
+mod handle;
 
-pub use standing::Standing;
+pub use handle::LifecycleHandle;
 
 use std::time::{Duration, Instant};
 
@@ -73,7 +73,7 @@
 
 /// What the operators call for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum Command {
     /// Whether the node wants clients.
     Ready,
     /// Empty the node.
@@ -84,11 +84,11 @@
 
 /// The answer to a call, with what holds from now on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reply {
+pub enum CommandReply {
     /// It is so.
-    Yes(&'static str),
+    Success(&'static str),
     /// It is not so.
-    No(&'static str),
+    Failure(&'static str),
 }
 
 /// The state of one node.
@@ -126,26 +126,30 @@
     }
 
     /// Does what the operators call for, and says what holds.
-    pub fn call(&mut self, call: Call, now: Instant) -> Reply {
+    pub fn call(&mut self, call: Command, now: Instant) -> CommandReply {
         let (phase, reply) = match (call, self.0) {
-            (Call::Ready, phase @ Phase::Starting { .. }) => (phase, Reply::No("starting")),
-            (Call::Ready, Phase::Serving) => (Phase::Serving, Reply::Yes("serving")),
-            (Call::Ready, phase @ Phase::Drained { .. }) => (phase, Reply::No("drained")),
-            (Call::Ready, phase @ Phase::Stopping { .. }) => (phase, Reply::No("stopping")),
-            (Call::Drain, Phase::Starting { .. }) => {
-                (Phase::Starting { drain: true }, Reply::Yes("starting, to be drained once up"))
+            (Command::Ready, phase @ Phase::Starting { .. }) => (phase, CommandReply::Failure("starting")),
+            (Command::Ready, Phase::Serving) => (Phase::Serving, CommandReply::Success("serving")),
+            (Command::Ready, phase @ Phase::Drained { .. }) => (phase, CommandReply::Failure("drained")),
+            (Command::Ready, phase @ Phase::Stopping { .. }) => (phase, CommandReply::Failure("stopping")),
+            (Command::Drain, Phase::Starting { .. }) => {
+                (Phase::Starting { drain: true }, CommandReply::Success("starting, to be drained once up"))
             }
-            (Call::Drain, Phase::Serving) => (Phase::Drained { since: now }, Reply::Yes("drained")),
-            (Call::Drain, phase @ Phase::Drained { .. }) => (phase, Reply::Yes("drained already")),
-            (Call::Drain, phase @ Phase::Stopping { .. }) => {
-                (phase, Reply::Yes("stopping, it empties for good"))
+            (Command::Drain, Phase::Serving) => {
+                (Phase::Drained { since: now }, CommandReply::Success("drained"))
             }
-            (Call::Resume, Phase::Starting { .. }) => {
-                (Phase::Starting { drain: false }, Reply::Yes("starting, to serve once up"))
+            (Command::Drain, phase @ Phase::Drained { .. }) => {
+                (phase, CommandReply::Success("drained already"))
             }
-            (Call::Resume, Phase::Serving) => (Phase::Serving, Reply::Yes("serving already")),
-            (Call::Resume, Phase::Drained { .. }) => (Phase::Serving, Reply::Yes("serving")),
-            (Call::Resume, phase @ Phase::Stopping { .. }) => (phase, Reply::No("stopping")),
+            (Command::Drain, phase @ Phase::Stopping { .. }) => {
+                (phase, CommandReply::Success("stopping, it empties for good"))
+            }
+            (Command::Resume, Phase::Starting { .. }) => {
+                (Phase::Starting { drain: false }, CommandReply::Success("starting, to serve once up"))
+            }
+            (Command::Resume, Phase::Serving) => (Phase::Serving, CommandReply::Success("serving already")),
+            (Command::Resume, Phase::Drained { .. }) => (Phase::Serving, CommandReply::Success("serving")),
+            (Command::Resume, phase @ Phase::Stopping { .. }) => (phase, CommandReply::Failure("stopping")),
         };
         self.0 = phase;
         reply
--- a/crates/lifecycle/tests/table.rs
+++ b/crates/lifecycle/tests/table.rs
@@ -1,8 +1,8 @@
 //! Every call and signal in every state, and any of them in any order.
 
 use proptest::prelude::*;
-use sorrelhaven_lifecycle::{Call, Lifecycle, Phase, Reply};
-use sorrelhaven_test_support::check;
+use sorrelhaven_lifecycle::{Command, CommandReply, Lifecycle, Phase};
+use sorrelhaven_test_support::check_cases;
 use std::time::{Duration, Instant};
 
 const LONGEST: Duration = Duration::from_secs(6);
@@ -14,7 +14,7 @@
         steps.iter().for_each(|step| step(&mut node, now));
         node
     };
-    let drain: fn(&mut Lifecycle, Instant) = |node, now| _ = node.call(Call::Drain, now);
+    let drain: fn(&mut Lifecycle, Instant) = |node, now| _ = node.call(Command::Drain, now);
     vec![
         ("starting", made(&[])),
         ("starting, drain asked", made(&[drain])),
@@ -32,7 +32,7 @@
     let (drained, stopping) = (Phase::Drained { since: then }, Phase::Stopping { since: then });
     let table = [
         (
-            Call::Ready,
+            Command::Ready,
             [
                 (false, starting(false)),
                 (false, starting(true)),
@@ -42,7 +42,7 @@
             ],
         ),
         (
-            Call::Drain,
+            Command::Drain,
             [
                 (true, starting(true)),
                 (true, starting(true)),
@@ -52,7 +52,7 @@
             ],
         ),
         (
-            Call::Resume,
+            Command::Resume,
             [
                 (true, starting(false)),
                 (true, starting(false)),
@@ -65,7 +65,7 @@
     for (call, cells) in table {
         for ((name, mut node), (yes, phase)) in states(then).into_iter().zip(cells) {
             let reply = node.call(call, now);
-            assert_eq!(matches!(reply, Reply::Yes(_)), yes, "{call:?} while {name}: {reply:?}");
+            assert_eq!(matches!(reply, CommandReply::Success(_)), yes, "{call:?} while {name}: {reply:?}");
             assert_eq!(node.phase(), phase, "{call:?} while {name}");
         }
     }
@@ -75,11 +75,11 @@
 fn a_drain_asked_for_before_the_node_is_up_holds_from_then_on() {
     let now = Instant::now();
     let mut node = Lifecycle::default();
-    node.call(Call::Drain, now);
+    node.call(Command::Drain, now);
     let up = now + Duration::from_secs(5);
     node.loaded(up);
     assert_eq!(node.phase(), Phase::Drained { since: up }, "its links count from when they could come");
-    node.call(Call::Resume, up);
+    node.call(Command::Resume, up);
     assert!(
         node.ready() && !node.empties() && node.idle_until().is_none() && node.whole_by(LONGEST).is_none()
     );
@@ -92,12 +92,12 @@
     let now = Instant::now();
     let mut node = Lifecycle::default();
     node.loaded(now);
-    node.call(Call::Drain, now);
+    node.call(Command::Drain, now);
     let (idle, whole) = (node.idle_until().expect("a time"), node.whole_by(LONGEST).expect("a time"));
     assert!(idle - now >= Duration::from_millis(500), "{:?}", idle - now);
     assert!(idle < whole && whole - now < Duration::from_secs(2), "{:?}", whole - now);
     // Another drain does not put it off, nor does a SIGTERM in its midst.
-    node.call(Call::Drain, now + Duration::from_secs(1));
+    node.call(Command::Drain, now + Duration::from_secs(1));
     assert_eq!(node.idle_until(), Some(idle));
     node.stop(now + Duration::from_millis(100));
     assert!(node.idle_until().expect("a time") < idle);
@@ -106,7 +106,7 @@
 /// In any order: ready is said only by one that serves, stopping is for good, and emptying is not ready.
 #[test]
 fn any_order_of_calls_keeps_to_the_table() {
-    check(256, prop::collection::vec(0usize..5, 0..24), |steps| {
+    check_cases(256, prop::collection::vec(0usize..5, 0..24), |steps| {
         let start = Instant::now();
         let (mut node, mut up, mut drained, mut stopped) = (Lifecycle::default(), false, false, false);
         for (i, step) in steps.into_iter().enumerate() {
@@ -114,10 +114,10 @@
             match step {
                 0 => (node.loaded(now), up = true).1,
                 1 => (node.stop(now), stopped = true).1,
-                2 => _ = node.call(Call::Drain, now),
-                3 => _ = node.call(Call::Resume, now),
+                2 => _ = node.call(Command::Drain, now),
+                3 => _ = node.call(Command::Resume, now),
                 _ => {
-                    let yes = matches!(node.call(Call::Ready, now), Reply::Yes(_));
+                    let yes = matches!(node.call(Command::Ready, now), CommandReply::Success(_));
                     prop_assert_eq!(yes, node.ready());
                 }
             }
@@ -159,6 +159,6 @@
     // A second signal puts nothing off, nor does a drain.
     let answer = node.answer_by(at(900), LONGEST);
     node.stop(at(500));
-    node.call(Call::Drain, at(600));
+    node.call(Command::Drain, at(600));
     assert_eq!(node.answer_by(at(900), LONGEST), answer);
 }
--- a/crates/membership/examples/table.rs
+++ b/crates/membership/examples/table.rs
@@ -7,7 +7,7 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 use common::*;
-use sorrelhaven_membership::{Micros, Standing};
+use sorrelhaven_membership::{MemberState, Micros};
 use std::fmt::Write;
 
 const DEATHS: usize = 5;
@@ -29,7 +29,7 @@
         while !waiting.is_empty() && world.now < killed + 20 * S {
             world.run(world.now + 50 * MS);
             waiting.retain(|&m| {
-                let knows = world.view(m, n) == Some(Standing::Dead);
+                let knows = world.view(m, n) == Some(MemberState::Dead);
                 times.extend(knows.then(|| (world.now - killed) / MS));
                 !knows
             });
--- a/crates/membership/src/id.rs
+++ b/crates/membership/src/id.rs
@@ -10,7 +10,7 @@
     /// The node's name, the same in all its lives.
     pub name: String,
     /// Which life: greater than all before it. A start time, so that the next one is.
-    pub life: u64,
+    pub incarnation: u64,
     /// Where it listens.
     pub address: SocketAddr,
 }
@@ -18,7 +18,7 @@
 impl Id {
     /// A life of the node of this name at this address.
     pub fn new(name: &str, life: u64, address: SocketAddr) -> Id {
-        Id { name: name.to_string(), life, address }
+        Id { name: name.to_string(), incarnation: life, address }
     }
 }
 
@@ -27,7 +27,7 @@
 
     /// A member that was declared dead though it lives goes on as its own next life.
     fn renew(&self) -> Option<Id> {
-        Some(Id { life: self.life + 1, ..self.clone() })
+        Some(Id { incarnation: self.incarnation + 1, ..self.clone() })
     }
 
     fn addr(&self) -> SocketAddr {
@@ -36,6 +36,6 @@
 
     /// Of two at one address the later life is the one that lives.
     fn win_addr_conflict(&self, adversary: &Id) -> bool {
-        (self.life, &self.name) > (adversary.life, &adversary.name)
+        (self.incarnation, &self.name) > (adversary.incarnation, &adversary.name)
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -5,7 +5,7 @@
 //! go in, datagrams come out; [`run`] has it do so on a socket. `docs/membership.md` says what an operator needs.
 //!
 //! ```
-//! use sorrelhaven_membership::{Id, Membership, Settings, Standing};
+//! use sorrelhaven_membership::{Id, Membership, Settings, MemberState};
 //!
 //! let settings = |seeds| Settings { seeds, ..Settings::new(b"a key that all members share".to_vec()) };
 //! let at = |port| std::net::SocketAddr::from(([127, 0, 0, 1], port));
@@ -22,7 +22,7 @@
 //!         b.datagram(now, &datagram);
 //!     }
 //! }
-//! assert!(a.table().iter().all(|row| row.standing == Standing::Alive));
+//! assert!(a.table().iter().all(|row| row.standing == MemberState::Alive));
 //! ```
 
 mod id;
@@ -33,8 +33,8 @@
 
 pub use id::Id;
 pub use seal::{DATAGRAM_MOST, Unsealed};
-pub use state::{Figures, Membership, Settings};
-pub use table::{Row, Standing};
+pub use state::{Membership, Metrics, Settings};
+pub use table::{Member, MemberState};
 pub use udp::{run, send, time};
 
 /// A point in time or a length of it, in microseconds.
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -117,14 +117,14 @@
 mod tests {
     use super::*;
     use proptest::prelude::*;
-    use sorrelhaven_test_support::check;
+    use sorrelhaven_test_support::check_cases;
     use std::collections::BTreeSet;
 
     const KEY: &[u8] = b"a key of the tests alone";
 
     #[test]
     fn what_was_forged_cut_or_lengthened_is_dropped() {
-        check(
+        check_cases(
             300,
             (prop::collection::vec(any::<u8>(), 1..200), any::<prop::sample::Index>(), 1..=255u8),
             |case| {
@@ -150,7 +150,7 @@
 
     #[test]
     fn any_bytes_are_dropped_and_nothing_breaks() {
-        check(2_000, prop::collection::vec(any::<u8>(), 0..1_600), |bytes| {
+        check_cases(2_000, prop::collection::vec(any::<u8>(), 0..1_600), |bytes| {
             prop_assert!(Seal::new(KEY, 8).open(&bytes).is_err());
             Ok(())
         });
@@ -159,7 +159,7 @@
     /// Against a set of all numbers that have come: none is taken twice, none within the window is turned away.
     #[test]
     fn a_datagram_is_taken_once_in_whatever_order() {
-        check(300, prop::collection::vec((0..3u64, 1..200u64), 1..300), |numbers| {
+        check_cases(300, prop::collection::vec((0..3u64, 1..200u64), 1..300), |numbers| {
             let mut seal = Seal::new(KEY, 8);
             let mut taken: BTreeSet<(u64, u64)> = BTreeSet::new();
             for (life, number) in numbers {
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -1,7 +1,7 @@
 //! The state machine: datagrams and the time in, datagrams out.
 
 use crate::seal::{MESSAGE_MOST, Seal};
-use crate::{Id, Micros, Row, Standing, Unsealed};
+use crate::{Id, Member, MemberState, Micros, Unsealed};
 use foca::{BroadcastHandler, Config, Foca, Invalidates, Notification, PeriodicParams, PostcardCodec};
 use foca::{Runtime, State, Timer};
 use rand::SeedableRng;
@@ -90,7 +90,7 @@
 
 /// What a member has counted since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Metrics {
     /// Probes made.
     pub probes: u64,
     /// Members that this one came to suspect, by itself or by what it was told.
@@ -106,13 +106,13 @@
     /// Bytes of those.
     pub bytes: u64,
     /// Datagrams dropped: too short, too long, or of another version.
-    pub misshapen: u64,
+    pub malformed: u64,
     /// Datagrams dropped: not sealed with the key.
-    pub forged: u64,
+    pub unauthenticated: u64,
     /// Datagrams dropped: they had come before.
     pub replayed: u64,
     /// Datagrams with the right seal that made no sense.
-    pub senseless: u64,
+    pub undecodable: u64,
 }
 
 /// A member's own farewell, spread beside the protocol, which knows no difference between the dead and the gone.
@@ -158,7 +158,7 @@
 
 /// How a farewell names its member.
 fn farewell(id: &Id) -> Vec<u8> {
-    let mut out = id.life.to_be_bytes().to_vec();
+    let mut out = id.incarnation.to_be_bytes().to_vec();
     out.extend_from_slice(format!("{} {}", id.address, id.name).as_bytes());
     out
 }
@@ -198,14 +198,14 @@
     join_at: Micros,
     seed: usize,
     table_at: Micros,
-    table: BTreeMap<SocketAddr, Row>,
+    table: BTreeMap<SocketAddr, Member>,
     health: u32,
     recover_at: Micros,
     ping: Option<(SocketAddr, Vec<u8>)>,
     leap: u64,
     ghost_until: Micros,
     out: Vec<(SocketAddr, Vec<u8>)>,
-    figures: Figures,
+    metrics: Metrics,
     gone: bool,
 }
 
@@ -218,7 +218,7 @@
     /// A member that knows nobody yet. `seed` is for random numbers, new with each start.
     pub fn new(id: Id, settings: Settings, seed: u64, now: Micros) -> Membership {
         let name = id.name.bytes().fold(seed, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
-        let draw = (name ^ id.life.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let draw = (name ^ id.incarnation.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let rng = SmallRng::seed_from_u64(draw);
         let seal = Seal::new(&settings.key, draw);
         let left = Rc::<RefCell<BTreeSet<Vec<u8>>>>::default();
@@ -243,7 +243,7 @@
             leap: 1,
             ghost_until: now,
             out: Vec::new(),
-            figures: Figures::default(),
+            metrics: Metrics::default(),
             gone: false,
         };
         member.follow(now);
@@ -263,9 +263,9 @@
         }
         let message = match self.seal.open(datagram) {
             Ok(message) => message,
-            Err(Unsealed::Misshapen) => return self.figures.misshapen += 1,
-            Err(Unsealed::Forged) => return self.figures.forged += 1,
-            Err(Unsealed::Replayed) => return self.figures.replayed += 1,
+            Err(Unsealed::Misshapen) => return self.metrics.malformed += 1,
+            Err(Unsealed::Forged) => return self.metrics.unauthenticated += 1,
+            Err(Unsealed::Replayed) => return self.metrics.replayed += 1,
         };
         self.protocol(now, |foca, wanted| foca.handle_data(message, wanted));
     }
@@ -281,7 +281,7 @@
                     continue;
                 }
                 let probe = matches!(timer, Timer::ProbeRandomMember(_));
-                self.figures.probes += u64::from(probe && self.foca.num_members() > 0);
+                self.metrics.probes += u64::from(probe && self.foca.num_members() > 0);
                 // Where it is not answered in time a probe goes out once more beside those through others: at a fifth
                 // lost, one in three goes unanswered for no fault of the one that is probed.
                 let again =
@@ -323,18 +323,18 @@
     }
 
     /// All members, this one included, by address: at each the latest life.
-    pub fn table(&self) -> Vec<Row> {
+    pub fn table(&self) -> Vec<Member> {
         self.table.values().cloned().collect()
     }
 
     /// What is held of the member at an address, in its latest life.
-    pub fn row(&self, address: SocketAddr) -> Option<&Row> {
+    pub fn row(&self, address: SocketAddr) -> Option<&Member> {
         self.table.get(&address)
     }
 
     /// What has been counted.
-    pub fn figures(&self) -> Figures {
-        self.figures
+    pub fn metrics(&self) -> Metrics {
+        self.metrics
     }
 
     /// Whether a suspect has spoken up since. `foca` then keeps it alive here, but tells it all the same that it is
@@ -353,7 +353,7 @@
         let due = self.timers.first_key_value().map_or(now, |(&(at, _), _)| at);
         let late = now - due;
         if late > period {
-            self.figures.pauses += 1;
+            self.metrics.pauses += 1;
             self.health = HEALTH_MOST;
             self.recover_at = now + period;
             let timers = std::mem::take(&mut self.timers);
@@ -391,7 +391,7 @@
         event: impl FnOnce(&mut Protocol, &mut Wanted) -> Result<(), foca::Error>,
     ) {
         let mut wanted = Wanted::default();
-        self.figures.senseless += u64::from(event(&mut self.foca, &mut wanted).is_err());
+        self.metrics.undecodable += u64::from(event(&mut self.foca, &mut wanted).is_err());
         if wanted.declared_dead > 0 {
             self.outlive(now, &mut wanted);
         }
@@ -405,13 +405,13 @@
         self.ghost_until = now + GHOST_PERIODS * micros(self.settings.probe_period);
         let id = self.foca.identity().clone();
         if self.leap > 1 {
-            let later = Id { life: id.life.saturating_add(self.leap), ..id };
-            self.figures.senseless += u64::from(self.foca.change_identity(later, wanted).is_err());
+            let later = Id { incarnation: id.incarnation.saturating_add(self.leap), ..id };
+            self.metrics.undecodable += u64::from(self.foca.change_identity(later, wanted).is_err());
         }
     }
 
     fn take(&mut self, now: Micros, wanted: Wanted) {
-        self.figures.declared_dead += wanted.declared_dead;
+        self.metrics.declared_dead += wanted.declared_dead;
         let probed = wanted.timers.iter().find_map(|(timer, _)| match timer {
             Timer::SendIndirectProbe { probed_id, .. } => Some(probed_id.address),
             _ => None,
@@ -421,14 +421,14 @@
         }
         for (to, message) in wanted.sends {
             let datagram = self.seal.seal(&message);
-            self.figures.sent += 1;
-            self.figures.bytes += datagram.len() as u64;
+            self.metrics.sent += 1;
+            self.metrics.bytes += datagram.len() as u64;
             self.out.push((to, datagram));
         }
         for (timer, after) in wanted.timers {
             let mut after = micros(after);
             if matches!(timer, Timer::ChangeSuspectToDown { .. }) {
-                self.figures.suspicions += 1;
+                self.metrics.suspicions += 1;
                 after *= Micros::from(1 + self.health);
             }
             self.number += 1;
@@ -439,30 +439,32 @@
     /// Brings the table up to what the protocol holds.
     fn follow(&mut self, now: Micros) {
         self.table_at = now + TABLE_EVERY;
-        let own = (self.foca.identity(), Standing::Alive);
+        let own = (self.foca.identity(), MemberState::Alive);
         let left = self.left.borrow();
         let others = self.foca.iter_membership_state().map(|member| {
             let standing = match member.state() {
-                State::Alive => Standing::Alive,
-                State::Suspect => Standing::Suspect,
-                State::Down if left.contains(&farewell(member.id())) => Standing::Left,
-                State::Down => Standing::Dead,
+                State::Alive => MemberState::Alive,
+                State::Suspect => MemberState::Suspect,
+                State::Down if left.contains(&farewell(member.id())) => MemberState::Left,
+                State::Down => MemberState::Dead,
             };
             (member.id(), standing)
         });
         for (id, standing) in others.chain([own]) {
             let known = self.table.get(&id.address);
             // A ghost of a life that is over changes nothing.
-            if known.is_some_and(|row| row.id.life > id.life || row.id == *id && row.standing == standing) {
+            if known.is_some_and(|row| {
+                row.id.incarnation > id.incarnation || row.id == *id && row.state == standing
+            }) {
                 continue;
             }
-            let suspected = known.is_some_and(|row| row.standing == Standing::Suspect && row.id == *id);
-            self.figures.refuted += u64::from(suspected && standing == Standing::Alive);
-            self.table.insert(id.address, Row { id: id.clone(), standing, since: now });
+            let suspected = known.is_some_and(|row| row.state == MemberState::Suspect && row.id == *id);
+            self.metrics.refuted += u64::from(suspected && standing == MemberState::Alive);
+            self.table.insert(id.address, Member { id: id.clone(), state: standing, since: now });
         }
         // The dead are forgotten when the protocol has.
         let forget = micros(self.settings.forget);
-        self.table.retain(|_, row| row.standing < Standing::Dead || now - row.since < forget);
+        self.table.retain(|_, row| row.state < MemberState::Dead || now - row.since < forget);
     }
 }
 
@@ -471,7 +473,7 @@
     use super::*;
 
     /// A pair that talk, where what one says comes to the other spoilt and sealed again, so that it gets past the seal.
-    fn spoilt(rng: &mut fastrand::Rng, steps: usize) -> Figures {
+    fn spoilt(rng: &mut fastrand::Rng, steps: usize) -> Metrics {
         let at = |port| SocketAddr::from(([127, 0, 0, 1], port));
         let settings = |seeds| Settings { seeds, ..Settings::new(b"a key of the tests alone".to_vec()) };
         let mut a = Membership::new(Id::new("a", 1, at(1)), settings(vec![at(2)]), rng.u64(..), 0);
@@ -501,13 +503,13 @@
             }
         }
         assert!(b.table().len() <= 1 + steps * 64, "what it holds is bounded by what it was told");
-        b.figures()
+        b.metrics()
     }
 
     #[test]
     fn messages_that_are_sealed_and_make_no_sense_break_nothing() {
         let mut rng = fastrand::Rng::with_seed(9);
-        let senseless: u64 = (0..60).map(|_| spoilt(&mut rng, 40).senseless).sum();
+        let senseless: u64 = (0..60).map(|_| spoilt(&mut rng, 40).undecodable).sum();
         assert!(senseless > 500, "{senseless} were told from sense");
     }
 
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -5,7 +5,7 @@
 
 /// What is held of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum MemberState {
     /// It answers, or someone says so.
     Alive,
     /// It did not answer; it has a while to say that it lives.
@@ -16,24 +16,24 @@
     Left,
 }
 
-impl fmt::Display for Standing {
+impl fmt::Display for MemberState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Standing::Alive => "alive",
-            Standing::Suspect => "suspect",
-            Standing::Dead => "dead",
-            Standing::Left => "left",
+            MemberState::Alive => "alive",
+            MemberState::Suspect => "suspect",
+            MemberState::Dead => "dead",
+            MemberState::Left => "left",
         })
     }
 }
 
 /// One member.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Row {
+pub struct Member {
     /// Who.
     pub id: Id,
     /// What is held of it.
-    pub standing: Standing,
+    pub state: MemberState,
     /// Since when, on this node's clock.
     pub since: Micros,
 }
--- a/crates/membership/tests/cases.rs
+++ b/crates/membership/tests/cases.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use sorrelhaven_membership::{Id, Membership, Settings, Standing};
+use sorrelhaven_membership::{Id, MemberState, Membership, Settings};
 
 #[test]
 fn sixty_find_each_other_and_a_death_is_known_in_four_seconds() {
@@ -11,10 +11,10 @@
     world.run(found + 5 * S);
     world.kill(37);
     let killed = world.now;
-    let known = world.until(killed + 8 * S, |w| w.all_hold(37, Standing::Dead)) - killed;
+    let known = world.until(killed + 8 * S, |w| w.all_hold(37, MemberState::Dead)) - killed;
     println!("all known after {} ms, the death after {} ms", found / MS, known / MS);
     world.run(world.now + 10 * S);
-    assert!(world.all_hold(37, Standing::Dead), "it does not come back");
+    assert!(world.all_hold(37, MemberState::Dead), "it does not come back");
     assert!(world.whole());
     assert_eq!(world.sum(|f| f.declared_dead), 0);
     assert!(known < 4 * S, "{} ms", known / MS);
@@ -31,13 +31,16 @@
     world.sleep(2, 8 * S);
     let slept = world.now;
     world.run(slept + 7 * S);
-    assert!([0, 1, 3, 4].iter().all(|&n| world.view(n, 2) == Some(Standing::Dead)), "it is taken for dead");
+    assert!(
+        [0, 1, 3, 4].iter().all(|&n| world.view(n, 2) == Some(MemberState::Dead)),
+        "it is taken for dead"
+    );
     // It was the one asleep: it comes back as its next life, and holds nobody else for dead at any time.
     let back = world.until(slept + 20 * S, World::whole);
     println!("back {} ms after its waking", (back - slept - 8 * S) / MS);
-    assert!(world.members[2].id().life > 1_000);
+    assert!(world.members[2].id().incarnation > 1_000);
     for n in [0, 1, 3, 4] {
-        assert_eq!(world.members[n].figures().declared_dead, 0, "n{n} was declared dead by the sleeper");
+        assert_eq!(world.members[n].metrics().declared_dead, 0, "n{n} was declared dead by the sleeper");
     }
 }
 
@@ -70,7 +73,7 @@
     assert_eq!(world.sum(|f| f.declared_dead), 0);
     world.loss = Box::new(|from, to| if from == 3 || to == 3 { 1.0 } else { 0.0 });
     let cut = world.now;
-    world.until(cut + 10 * S, |w| [0, 1, 2, 4].iter().all(|&n| w.view(n, 3) == Some(Standing::Dead)));
+    world.until(cut + 10 * S, |w| [0, 1, 2, 4].iter().all(|&n| w.view(n, 3) == Some(MemberState::Dead)));
     world.run(world.now + 10 * S);
     world.loss = Box::new(|_, _| 0.0);
     let healed = world.now;
@@ -86,7 +89,7 @@
     world.run(world.now + 15 * S);
     assert_eq!(
         [world.view(0, 1), world.view(0, 3), world.view(3, 4), world.view(3, 0)].map(Option::unwrap),
-        [Standing::Alive, Standing::Dead, Standing::Alive, Standing::Dead]
+        [MemberState::Alive, MemberState::Dead, MemberState::Alive, MemberState::Dead]
     );
     world.loss = Box::new(|_, _| 0.0);
     let healed = world.now;
@@ -108,7 +111,8 @@
         world.run(world.now + 100 * MS);
         for n in 0..5 {
             let rows = world.members[n].table();
-            let lives: Vec<u64> = rows.iter().filter(|r| r.id.name == "n4").map(|r| r.id.life).collect();
+            let lives: Vec<u64> =
+                rows.iter().filter(|r| r.id.name == "n4").map(|r| r.id.incarnation).collect();
             assert!(lives.len() == 1 && lives[0] >= 2_000, "n{n} holds {lives:?}");
         }
     }
@@ -128,10 +132,10 @@
         let at = world.now;
         let whole = world.until(at + 30 * S, World::whole) - at;
         println!("ghost dead {ghost_is_dead}: one of them after {} ms", whole / MS);
-        assert!(world.members[4].id().life > 1 << 51);
+        assert!(world.members[4].id().incarnation > 1 << 51);
         world.run(world.now + 20 * S);
         assert!(world.whole(), "and it stays");
-        assert!((0..4).all(|n| world.members[n].figures().declared_dead == 0));
+        assert!((0..4).all(|n| world.members[n].metrics().declared_dead == 0));
     }
 }
 
@@ -142,8 +146,8 @@
     world.leave(5);
     world.kill(6);
     let at = world.now;
-    world.until(at + 10 * S, |w| w.all_hold(5, Standing::Left) && w.all_hold(6, Standing::Dead));
-    assert_eq!(world.sum(|f| f.misshapen + f.forged + f.replayed), 0);
+    world.until(at + 10 * S, |w| w.all_hold(5, MemberState::Left) && w.all_hold(6, MemberState::Dead));
+    assert_eq!(world.sum(|f| f.malformed + f.unauthenticated + f.replayed), 0);
 }
 
 /// The first of a group has no seeds. It must not be awake all the time: it would leave its node no time for jobs.
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Members on a simulated clock, and the net between them.
 #![allow(dead_code)]
 
-use sorrelhaven_membership::{Figures, Id, Membership, Micros, Settings, Standing};
+use sorrelhaven_membership::{Id, MemberState, Membership, Metrics, Micros, Settings};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
@@ -144,12 +144,12 @@
     }
 
     /// What one holds of another.
-    pub fn view(&self, n: usize, of: usize) -> Option<Standing> {
-        self.members[n].row(address(of)).map(|row| row.standing)
+    pub fn view(&self, n: usize, of: usize) -> Option<MemberState> {
+        self.members[n].row(address(of)).map(|row| row.state)
     }
 
     /// Whether all that run hold this of one.
-    pub fn all_hold(&self, of: usize, standing: Standing) -> bool {
+    pub fn all_hold(&self, of: usize, standing: MemberState) -> bool {
         self.running().all(|n| n == of || self.view(n, of) == Some(standing))
     }
 
@@ -163,7 +163,7 @@
         let alive = |n: usize, id: &Id| {
             self.members[n]
                 .row(id.address)
-                .is_some_and(|row| row.id == *id && row.standing == Standing::Alive)
+                .is_some_and(|row| row.id == *id && row.state == MemberState::Alive)
         };
         self.running().all(|n| ids.iter().all(|id| alive(n, id)))
     }
@@ -177,8 +177,8 @@
         self.now
     }
 
-    pub fn sum(&self, figure: impl Fn(&Figures) -> u64) -> u64 {
-        self.members.iter().map(|m| figure(&m.figures())).sum()
+    pub fn sum(&self, figure: impl Fn(&Metrics) -> u64) -> u64 {
+        self.members.iter().map(|m| figure(&m.metrics())).sum()
     }
 }
 
--- a/crates/node/benches/bodies.rs
+++ b/crates/node/benches/bodies.rs
@@ -6,9 +6,11 @@
 //! - peak resident memory with 64 clients that send 8 MB at once;
 //! - small jobs' 99th percentile beside such a surge and without.
 
-use sorrelhaven_body_store::{Bodies, Directory};
-use sorrelhaven_config::{Bodies as Settings, BodyFiles, BodyMemory};
-use sorrelhaven_test_support::{Act, Ask, Boxes, Program, Scratch, boxes_file};
+use sorrelhaven_body_store::{BodyEnd, BodyStore, Directory};
+use sorrelhaven_config::{BodyFiles, BodyMemory, BodySettings};
+use sorrelhaven_test_support::{
+    FakeWorkers, Program, ScratchDir, TestRequest, WorkerBehavior, workers_config,
+};
 use std::fs::File;
 use std::io::Write;
 use std::process::Command;
@@ -22,7 +24,7 @@
 const MEMORY: usize = 32 * MIB;
 
 fn main() {
-    let scratch = Scratch::new("bench");
+    let scratch = ScratchDir::new("bench");
     std::fs::create_dir(scratch.at("spool")).expect("a directory");
     println!("8 MB bodies, 8 clients, 96 bodies each step");
     println!("{:<28} {:>10}", "step", "MB/s");
@@ -34,8 +36,8 @@
     surge(&scratch);
 }
 
-fn start(scratch: &Scratch, boxes: &Boxes, [each, total, file]: [usize; 3]) -> Program {
-    let config = scratch.write("node.json", &boxes_file(&boxes.addresses));
+fn start(scratch: &ScratchDir, boxes: &FakeWorkers, [each, total, file]: [usize; 3]) -> Program {
+    let config = scratch.write("node.json", &workers_config(&boxes.addresses));
     let operator = scratch.write(
         "operator.json",
         &format!(
@@ -48,15 +50,15 @@
     Program::start(Command::new(env!("CARGO_BIN_EXE_sorrelhaven")), &config, Some(&operator))
 }
 
-fn ask(id: &str, body: Vec<u8>) -> Ask {
-    let mut ask = Ask::new(id, "renewal-check", body);
+fn ask(id: &str, body: Vec<u8>) -> TestRequest {
+    let mut ask = TestRequest::new(id, "renewal-check", body);
     (ask.patience, ask.hint) = (Duration::from_secs(5), Some(20_000));
     ask
 }
 
 /// MB/s of so many bodies by so many clients.
-fn through(scratch: &Scratch, bounds: [usize; 3], clients: usize, bodies: u64) -> f64 {
-    let boxes = Boxes::new(32);
+fn through(scratch: &ScratchDir, bounds: [usize; 3], clients: usize, bodies: u64) -> f64 {
+    let boxes = FakeWorkers::new(32);
     let node = start(scratch, &boxes, bounds);
     let next = AtomicU64::new(0);
     let served = AtomicU64::new(0);
@@ -83,7 +85,7 @@
 }
 
 /// Bodies into files, 8 at once, against a plain sequential write of the same bytes; three rounds, the middle one.
-fn files(scratch: &Scratch) {
+fn files(scratch: &ScratchDir) {
     let count = 64;
     let block = vec![7; 64 * 1024];
     let mut rounds: Vec<(f64, f64)> = (0..3)
@@ -109,8 +111,8 @@
     println!("{:<28} {:>10.2}  (aim: 0.60)", "the second over the first", spooled / plain);
 }
 
-fn spooled(scratch: &Scratch, count: usize, block: &[u8]) -> f64 {
-    let settings = Settings {
+fn spooled(scratch: &ScratchDir, count: usize, block: &[u8]) -> f64 {
+    let settings = BodySettings {
         largest_bytes: 16 * MIB as u64,
         memory: BodyMemory { each_bytes: MIB as u64, total_bytes: MEMORY as u64 },
         files: BodyFiles {
@@ -119,10 +121,10 @@
             total_bytes: 1 << 31,
             leave_free_bytes: 0,
         },
-        ..Settings::default()
+        ..BodySettings::default()
     };
     let directory = Directory::open(&scratch.at("spool"), "bench").expect("a directory");
-    let bodies = Bodies::new(&settings, 1, Some(Arc::new(directory)), || Some(Box::new(())));
+    let bodies = BodyStore::new(&settings, 1, Some(Arc::new(directory)), || Some(Box::new(())));
     let executor = async_executor::LocalExecutor::new();
     let begun = Instant::now();
     async_io::block_on(executor.run(async {
@@ -135,9 +137,9 @@
                         for _ in 0..BODY / block.len() {
                             writer.push(block).await.expect("it is kept");
                         }
-                        let spool = writer.spool();
+                        let spool = writer.body();
                         writer.finish().await;
-                        assert_eq!(spool.end(), Some(sorrelhaven_body_store::End::InFile));
+                        assert_eq!(spool.end(), Some(BodyEnd::InFile));
                     }
                 })
             })
@@ -150,7 +152,7 @@
 }
 
 /// Small jobs of 20 ms alone, and beside 64 clients that send 8 MB at once.
-fn surge(scratch: &Scratch) {
+fn surge(scratch: &ScratchDir) {
     println!(
         "\nsmall jobs of 20 ms by 8 clients; the surge: 64 clients that send 8 MB at once, over and over"
     );
@@ -161,8 +163,8 @@
         ("beside bodies in files", 64, [1, 32, 16]),
         ("beside bodies not kept", 64, [1, 32, 1]),
     ] {
-        let boxes = Boxes::new(96);
-        boxes.usual(Act::Takes(20));
+        let boxes = FakeWorkers::new(96);
+        boxes.usual(WorkerBehavior::Takes(20));
         let node = start(scratch, &boxes, bounds.map(|b| b * MIB));
         let stop = AtomicBool::new(false);
         let next = AtomicU64::new(0);
--- a/crates/node/benches/scrape.rs
+++ b/crates/node/benches/scrape.rs
@@ -3,7 +3,9 @@
 //!
 //!     cargo bench -p sorrelhaven --bench scrape
 
-use sorrelhaven_test_support::{Act, Ask, Boxes, Program, Scratch, boxes_file};
+use sorrelhaven_test_support::{
+    FakeWorkers, Program, ScratchDir, TestRequest, WorkerBehavior, workers_config,
+};
 use std::net::TcpStream;
 use std::process::Command;
 use std::sync::Mutex;
@@ -49,12 +51,12 @@
 }
 
 fn run(executors: usize) {
-    let boxes = Boxes::new(10);
-    boxes.usual(Act::Takes(2));
+    let boxes = FakeWorkers::new(10);
+    boxes.usual(WorkerBehavior::Takes(2));
     // Each box stands for many executors: the list, and what the node knows, is as long as it says.
     let addresses: Vec<_> = boxes.addresses.iter().copied().cycle().take(executors).collect();
-    let scratch = Scratch::new("scrape");
-    let config = scratch.write("node.json", &boxes_file(&addresses));
+    let scratch = ScratchDir::new("scrape");
+    let config = scratch.write("node.json", &workers_config(&addresses));
     let mut command = Command::new(env!("CARGO_BIN_EXE_sorrelhaven"));
     command.env("RELAY_OPS", "127.0.0.1:0").env("RUST_LOG", "info,module=warn");
     let node = Program::start(command, &config, None);
@@ -71,7 +73,8 @@
                     if stop.load(Ordering::Relaxed) {
                         return;
                     }
-                    let mut ask = Ask::new(&format!("q-{client}-{n}"), "renewal-check", vec![b'x'; 200]);
+                    let mut ask =
+                        TestRequest::new(&format!("q-{client}-{n}"), "renewal-check", vec![b'x'; 200]);
                     ask.hint = Some(2_000);
                     let now = phase.load(Ordering::Relaxed);
                     let reply = ask.send_on(&mut stream).expect("an answer");
--- a/crates/node/src/check.rs
+++ b/crates/node/src/check.rs
@@ -1,11 +1,11 @@
 //! `sorrelhaven check`: both files read, and what holds said on one line.
 
-use sorrelhaven_config::{Bodies, Config, Unkept};
+use sorrelhaven_config::{BodySettings, Config, Unkept};
 use std::fmt::Write;
 
 /// A line for people of what a node with this configuration would do.
 pub fn summary(config: &Config) -> String {
-    let Bodies { largest_bytes, memory, files, unkept, .. } = &config.operator.bodies;
+    let BodySettings { largest_bytes, memory, files, unkept, .. } = &config.operator.bodies;
     let mut line = format!(
         "{} listens on {}; {} classes, {} tenants, {} boxes known; bodies of at most {}",
         config.name,
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -17,8 +17,8 @@
 use sorrelhaven_config::{Config, Operator};
 use sorrelhaven_engine::Engine;
 use sorrelhaven_frontend_http1::{self as front, Front, Queue};
-use sorrelhaven_handover::Seats;
-use sorrelhaven_lifecycle::{Lifecycle, Phase, Standing};
+use sorrelhaven_handover::ProcessRegistry;
+use sorrelhaven_lifecycle::{Lifecycle, LifecycleHandle, Phase};
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpListener};
 use std::process::ExitCode;
@@ -127,7 +127,7 @@
     let (listen, discovery, seq) = (config.listen, config.discovery, config.known.seq);
     let disk = disk(&config)?;
     let engine = Engine::new(&config, disk);
-    let standing = Rc::<Standing>::default();
+    let standing = Rc::<LifecycleHandle>::default();
     let front = Front::new(engine.clone(), &config, standing.clone());
     let peers = Others::start(&config)?.map(Rc::new);
     // The operators are answered from here on.
@@ -143,8 +143,8 @@
     // Where another process may serve the same clients, both are one node to the limits.
     let seats = match queue {
         Queue::Own => None,
-        Queue::Shared => Seats::take(&std::env::temp_dir(), &config.name)
-            .inspect_err(|error| warn!(%error, "other processes of this node can't be counted"))
+        Queue::Shared => ProcessRegistry::take(&std::env::temp_dir(), &config.name)
+            .inspect_err(|error| warn!(%error, "cannot count the other processes of this node"))
             .ok(),
     };
     let tasks = engine.tasks.clone();
@@ -194,7 +194,7 @@
 fn disk(config: &Config) -> Result<Option<Arc<dyn Disk>>, String> {
     let Some(directory) = directory(config)? else { return Ok(None) };
     let swept = directory.sweep().map_err(|e| format!("{DIRECTORY}: it can't be listed: {e}"))?;
-    info!(swept, "bodies may be kept in files");
+    info!(swept, "body directory opened");
     if directory.is_full() {
         warn!("{DIRECTORY}: it is full; files are used once there is room");
     }
@@ -205,9 +205,9 @@
 struct Node {
     engine: Rc<Engine>,
     front: Rc<Front>,
-    standing: Rc<Standing>,
+    standing: Rc<LifecycleHandle>,
     format: LogFormat,
-    /// DescriptorBudget that all processes of this node may hold.
+    /// Descriptors that all processes of this node may hold.
     sockets: Cell<usize>,
     /// The other processes of this node that live.
     others: Cell<usize>,
@@ -217,17 +217,17 @@
     /// Prints the counters, on one line.
     fn count(&self) {
         let Node { engine, front, .. } = self;
-        let figures = engine.counters.figures().into_iter().chain(front.counters.figures());
-        let figures = figures.chain(engine.bodies.figures());
+        let metrics = engine.counters.metrics().into_iter().chain(front.counters.metrics());
+        let metrics = metrics.chain(engine.bodies.metrics());
         match self.format {
             LogFormat::Text => {
-                let figures: Vec<String> = figures.map(|(name, count)| format!("{name}={count}")).collect();
-                eprintln!("sorrelhaven: {}", figures.join(" "));
+                let metrics: Vec<String> = metrics.map(|(name, count)| format!("{name}={count}")).collect();
+                eprintln!("sorrelhaven: {}", metrics.join(" "));
             }
             LogFormat::Json => {
-                let figures = figures.map(|(name, count)| (name.to_string(), count.into()));
-                let figures: serde_json::Map<String, serde_json::Value> = figures.collect();
-                eprintln!("{}", serde_json::json!({ "counters": figures }));
+                let metrics = metrics.map(|(name, count)| (name.to_string(), count.into()));
+                let metrics: serde_json::Map<String, serde_json::Value> = metrics.collect();
+                eprintln!("{}", serde_json::json!({ "counters": metrics }));
             }
         }
     }
@@ -239,11 +239,11 @@
     }
 
     /// Counts the other processes of this node, for ever.
-    async fn count_others(&self, seats: Seats) {
+    async fn count_others(&self, seats: ProcessRegistry) {
         loop {
             let others = seats.others();
             if self.others.replace(others) != others {
-                info!(others, "other processes of this node");
+                info!(others, "process count changed");
                 self.divide();
             }
             Timer::after(OTHERS_LOOK).await;
@@ -263,7 +263,7 @@
                 Signal::Report => self.count(),
                 Signal::Reload => self.reload(&mut config, &env, &moves),
                 Signal::Stop => {
-                    info!("closing");
+                    info!("shutdown requested");
                     self.standing.stop(Instant::now());
                 }
             }
@@ -274,18 +274,18 @@
     fn reload(&self, config: &mut Config, env: &impl Fn(&str) -> Option<String>, moves: &Sender<SocketAddr>) {
         let (next, waiting) = match config.reloaded(env) {
             Ok(read) => read,
-            Err(error) => return warn!(%error, "the configuration stays as it was"),
+            Err(error) => return warn!(%error, "reload rejected, configuration unchanged"),
         };
         let (old, new) = (&config.operator.bodies, &next.operator.bodies);
         if old != new {
             // Also the directory is taken over as a whole or not at all.
             match disk(&next) {
                 Ok(disk) => self.engine.bodies.configure(new, disk),
-                Err(error) => return warn!(error, "the configuration stays as it was"),
+                Err(error) => return warn!(error, "reload rejected, configuration unchanged"),
             }
         }
         if config.operator.membership != next.operator.membership {
-            warn!("membership has changed in the operators' file and waits for a restart");
+            warn!("membership settings changed, restart required");
         }
         self.sockets.set(next.sockets);
         self.divide();
@@ -294,9 +294,9 @@
             let _ = moves.try_send(next.discovery);
         }
         *config = next;
-        info!(discovery = %config.discovery, sockets = config.sockets, "the configuration was read again");
+        info!(discovery = %config.discovery, sockets = config.sockets, "configuration reloaded");
         if !waiting.is_empty() {
-            warn!(keys = waiting.join(", "), "these have changed and wait for a restart");
+            warn!(keys = waiting.join(", "), "settings changed, restart required");
         }
     }
 
@@ -317,6 +317,6 @@
             (Phase::Starting { .. } | Phase::Serving | Phase::Drained { .. }, _) => None,
         };
         self.front.reached(enough).await;
-        info!(?queue, "stopping");
+        info!(?queue, "stopped accepting connections");
     }
 }
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -7,7 +7,7 @@
 use async_io::{Async, Timer};
 use futures_lite::AsyncReadExt;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1, SIGXFSZ};
-use sorrelhaven_wire::by;
+use sorrelhaven_wire::timeout_at;
 use std::io;
 use std::os::unix::net::UnixStream;
 use std::sync::Arc;
@@ -63,7 +63,7 @@
                 return *signal;
             }
             let mut bytes = [0; WAKES];
-            if let Some(Err(_)) = by(Instant::now() + LOOK, self.wakes.read(&mut bytes)).await {
+            if let Some(Err(_)) = timeout_at(Instant::now() + LOOK, self.wakes.read(&mut bytes)).await {
                 // Without a byte to wait for, the flags are looked at now and then.
                 Timer::after(LOOK).await;
             }
--- a/crates/node/tests/bodies.rs
+++ b/crates/node/tests/bodies.rs
@@ -1,6 +1,9 @@
 //! Bodies through the program: what each step means, byte for byte, and what a disk, a client or a signal may do.
 
-use sorrelhaven_test_support::{Act, Ask, Boxes, Program, Reply, Scratch, boxes_file, sum, text};
+use sorrelhaven_test_support::{
+    FakeWorkers, Program, ScratchDir, TestRequest, TestResponse, WorkerBehavior, checksum, sample_bytes,
+    workers_config,
+};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::process::Command;
@@ -13,8 +16,8 @@
 
 /// An installation: boxes, a directory and an operators' file.
 struct Site {
-    scratch: Scratch,
-    boxes: Boxes,
+    scratch: ScratchDir,
+    boxes: FakeWorkers,
 }
 
 /// Bounds in bytes: one in memory, all in memory, one in a file, all in files.
@@ -24,9 +27,9 @@
 
 impl Site {
     fn new(name: &str, boxes: usize) -> Site {
-        let site = Site { scratch: Scratch::new(name), boxes: Boxes::new(boxes) };
+        let site = Site { scratch: ScratchDir::new(name), boxes: FakeWorkers::new(boxes) };
         std::fs::create_dir(site.scratch.at("spool")).expect("a directory");
-        site.scratch.write("node.json", &boxes_file(&site.boxes.addresses));
+        site.scratch.write("node.json", &workers_config(&site.boxes.addresses));
         site
     }
 
@@ -59,7 +62,7 @@
 }
 
 fn result(body: &[u8]) -> String {
-    format!("{} {:x}", body.len(), sum(body))
+    format!("{} {:x}", body.len(), checksum(body))
 }
 
 const EFFECTS: [(&str, &str); 3] =
@@ -69,14 +72,14 @@
     ("file", 100 * KIB, "body_in_file"),
     ("not kept", 400 * KIB, "body_streamed"),
 ];
-const ENDINGS: [(&str, Act); 7] = [
-    ("done", Act::Done),
-    ("failed", Act::Failed),
-    ("lost", Act::Lost),
-    ("turned away", Act::Returned),
-    ("broke before the last byte", Act::BreaksBefore),
-    ("broke after the last byte", Act::BreaksAfter),
-    ("silent", Act::Silent),
+const ENDINGS: [(&str, WorkerBehavior); 7] = [
+    ("done", WorkerBehavior::Done),
+    ("failed", WorkerBehavior::Failed),
+    ("lost", WorkerBehavior::Lost),
+    ("turned away", WorkerBehavior::Returned),
+    ("broke before the last byte", WorkerBehavior::BreaksBefore),
+    ("broke after the last byte", WorkerBehavior::BreaksAfter),
+    ("silent", WorkerBehavior::Silent),
 ];
 
 /// The page's table: the names on top, and each row's name with its cells.
@@ -113,7 +116,8 @@
         }
     }
     // A silent box is waited for up to the client's limit, and that is measured with nothing else going on.
-    let (silent, rest): (Vec<Cell>, Vec<Cell>) = cells.into_iter().partition(|c| c.4 == Act::Silent);
+    let (silent, rest): (Vec<Cell>, Vec<Cell>) =
+        cells.into_iter().partition(|c| c.4 == WorkerBehavior::Silent);
     let work = Mutex::new(rest.into_iter());
     let next = || work.lock().unwrap_or_else(PoisonError::into_inner).next();
     thread::scope(|scope| {
@@ -132,17 +136,17 @@
 const SLACK: Duration = Duration::from_millis(50);
 
 /// A cell: its name, the class, the body's length, where it ends, what the box does, and what the page says.
-type Cell = (String, &'static str, usize, &'static str, Act, String);
+type Cell = (String, &'static str, usize, &'static str, WorkerBehavior, String);
 
 fn check((name, class, length, end, act, cell): Cell) {
     assert_eq!(walk(class, length, end, act), cell, "{name}");
 }
 
 /// Has the first attempt end so, and says what came of it in the table's words.
-fn walk(class: &str, length: usize, end: &str, act: Act) -> String {
+fn walk(class: &str, length: usize, end: &str, act: WorkerBehavior) -> String {
     let site = Site::new("cell", 2);
     let mut length = length;
-    if act == Act::BreaksBefore {
+    if act == WorkerBehavior::BreaksBefore {
         // What the system's buffers take is written at once: to break before that takes longer bodies.
         length = [6 * MIB, 12 * MIB, 24 * MIB][STEPS.iter().position(|s| s.2 == end).expect("a step")];
         site.operator([8 * MIB, 64 * MIB, 16 * MIB, 64 * MIB], 40 * MIB, "stream");
@@ -151,20 +155,21 @@
     }
     let mut node = site.start();
     site.boxes.script(&[act]);
-    let body = text(length, 7);
-    let mut ask = Ask::new("q-1", class, body.clone());
-    if act == Act::Silent {
+    let body = sample_bytes(length, 7);
+    let mut ask = TestRequest::new("q-1", class, body.clone());
+    if act == WorkerBehavior::Silent {
         ask.patience = Duration::from_millis(700);
     }
     let reply = ask.send(&node.address).expect("an answer");
-    let longest = if act == Act::Silent { ask.patience + SLACK } else { Duration::from_millis(700) };
+    let longest =
+        if act == WorkerBehavior::Silent { ask.patience + SLACK } else { Duration::from_millis(700) };
     assert!(reply.took < longest, "{class} {act:?}: {:?}", reply.took);
     let runs = site.boxes.runs_of("q-1");
-    assert!(runs.iter().all(|r| (r.length, r.sum) == (length, sum(&body))), "a run of half a body");
+    assert!(runs.iter().all(|r| (r.length, r.sum) == (length, checksum(&body))), "a run of half a body");
     assert_eq!(reply.status == 200, reply.body == result(&body));
     assert_eq!(reply.status == 503, reply.retry_after == Some(2.0));
     // Where the answer came before the last of the body, its end is told as that.
-    let ends: u64 = [end, "body_refused"].iter().map(|name| node.figure(name)).sum();
+    let ends: u64 = [end, "body_request_concluded"].iter().map(|name| node.figure(name)).sum();
     assert_eq!(ends, 1, "it was kept elsewhere");
     node.end();
     format!("{}, {} run{}", reply.status, runs.len(), if runs.len() == 1 { "" } else { "s" })
@@ -177,10 +182,10 @@
     let site = Site::new("again", 2);
     site.operator([64 * KIB, 8 * MIB, 16 * MIB, 64 * MIB], 16 * MIB, "stream");
     let mut node = site.start();
-    site.boxes.script(&[Act::BreaksAfter]);
-    let body = text(8 * MIB, 3);
+    site.boxes.script(&[WorkerBehavior::BreaksAfter]);
+    let body = sample_bytes(8 * MIB, 3);
     for chunked in [false, true] {
-        let mut ask = Ask::new(if chunked { "q-2" } else { "q-1" }, "licence-issue", body.clone());
+        let mut ask = TestRequest::new(if chunked { "q-2" } else { "q-1" }, "licence-issue", body.clone());
         ask.chunked = chunked;
         let reply = ask.send(&node.address).expect("an answer");
         assert_eq!((reply.status, reply.body), (200, result(&body)));
@@ -201,30 +206,30 @@
 fn a_payment_that_is_not_kept_has_one_run_and_one_plain_answer() {
     let _alone = alone();
     let cases = [
-        (Act::Done, "ok", 200),
-        (Act::Failed, "error", 502),
-        (Act::Garbage, "error", 502),
-        (Act::OtherId, "error", 502),
-        (Act::Huge, "error", 502),
-        (Act::Returned, "full", 503),
-        (Act::ReturnedEarly, "full", 503),
-        (Act::Unusable, "unusable", 502),
-        (Act::Lost, "reset", 502),
-        (Act::BreaksAfter, "reset", 502),
-        (Act::Cuts, "reset", 502),
-        (Act::BreaksBefore, "connect_failed", 503),
-        (Act::ReadsNothing, "connect_failed", 503),
-        (Act::Silent, "timeout", 502),
+        (WorkerBehavior::Done, "ok", 200),
+        (WorkerBehavior::Failed, "error", 502),
+        (WorkerBehavior::Garbage, "error", 502),
+        (WorkerBehavior::OtherId, "error", 502),
+        (WorkerBehavior::Huge, "error", 502),
+        (WorkerBehavior::Returned, "worker_rejected", 503),
+        (WorkerBehavior::ReturnedEarly, "worker_rejected", 503),
+        (WorkerBehavior::Unusable, "invalid_request", 502),
+        (WorkerBehavior::Lost, "reset", 502),
+        (WorkerBehavior::BreaksAfter, "reset", 502),
+        (WorkerBehavior::Cuts, "reset", 502),
+        (WorkerBehavior::BreaksBefore, "connect_failed", 503),
+        (WorkerBehavior::ReadsNothing, "connect_failed", 503),
+        (WorkerBehavior::Silent, "timeout", 502),
     ];
     // More than the system's buffers take, so that what breaks in the middle is known to.
-    let body = text(12 * MIB, 7);
+    let body = sample_bytes(12 * MIB, 7);
     for (act, outcome, status) in cases {
         let site = Site::new("payment", 2);
         site.operator([16 * KIB, 8 * MIB, 16 * KIB, 8 * MIB], 40 * MIB, "stream");
         let mut node = site.start();
         site.boxes.script(&[act]);
-        let mut ask = Ask::new("q-1", "fee-charge", body.clone());
-        let waits = matches!(act, Act::Silent | Act::ReadsNothing);
+        let mut ask = TestRequest::new("q-1", "fee-charge", body.clone());
+        let waits = matches!(act, WorkerBehavior::Silent | WorkerBehavior::ReadsNothing);
         ask.patience = Duration::from_millis(if waits { 1_500 } else { 8_000 });
         let reply = ask.send(&node.address).expect("an answer");
         assert_eq!(reply.status, status, "{act:?}");
@@ -232,7 +237,7 @@
             reply.took < ask.patience + SLACK && (waits || reply.took < Duration::from_secs(2)),
             "{act:?}"
         );
-        assert_eq!((node.figure("sent"), node.figure(outcome)), (1, 1), "{act:?}: {outcome}");
+        assert_eq!((node.figure("attempts"), node.figure(outcome)), (1, 1), "{act:?}: {outcome}");
         let runs = site.boxes.runs_of("q-1").len();
         assert!(runs <= 1 && (status != 503 || runs == 0), "{act:?}: {runs} runs");
     }
@@ -245,11 +250,11 @@
     let site = Site::new("early", 2);
     site.operator([MIB, 8 * MIB, 16 * MIB, 64 * MIB], 16 * MIB, "stream");
     let mut node = site.start();
-    site.boxes.script(&[Act::ReturnedEarly]);
-    let body = text(12 * MIB, 1);
-    let reply = Ask::new("q-1", "fee-charge", body.clone()).send(&node.address).expect("an answer");
+    site.boxes.script(&[WorkerBehavior::ReturnedEarly]);
+    let body = sample_bytes(12 * MIB, 1);
+    let reply = TestRequest::new("q-1", "fee-charge", body.clone()).send(&node.address).expect("an answer");
     assert_eq!((reply.status, reply.body), (200, result(&body)));
-    assert_eq!((node.figure("full"), node.figure("connect_failed")), (1, 0));
+    assert_eq!((node.figure("worker_rejected"), node.figure("connect_failed")), (1, 0));
     assert_eq!(site.boxes.runs_of("q-1").len(), 1);
 }
 
@@ -259,12 +264,12 @@
     let _alone = alone();
     let site = Site::new("elsewhere", 1);
     let closed = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
-    site.scratch.write("node.json", &boxes_file(&[closed, site.boxes.addresses[0]]));
+    site.scratch.write("node.json", &workers_config(&[closed, site.boxes.addresses[0]]));
     site.operator(BOUNDS, MIB, "stream");
     let node = site.start();
     for i in 0..12 {
-        let body = text(400 * KIB, i);
-        let mut ask = Ask::new(&format!("q-{i}"), "fee-charge", body.clone());
+        let body = sample_bytes(400 * KIB, i);
+        let mut ask = TestRequest::new(&format!("q-{i}"), "fee-charge", body.clone());
         ask.chunked = i % 2 == 1;
         let reply = ask.send(&node.address).expect("an answer");
         assert_eq!((reply.status, reply.body), (200, result(&body)), "request {i}");
@@ -282,7 +287,7 @@
     for (length, status) in [(100 * KIB, 200), (250 * KIB, 503)] {
         for chunked in [false, true] {
             let id = format!("q-{length}-{chunked}");
-            let mut ask = Ask::new(&id, "fee-charge", text(length, 1));
+            let mut ask = TestRequest::new(&id, "fee-charge", sample_bytes(length, 1));
             ask.chunked = chunked;
             let reply = ask.send(&node.address).expect("an answer");
             assert_eq!(reply.status, status, "{id}");
@@ -291,7 +296,7 @@
             assert_eq!(site.boxes.runs_of(&id).len(), usize::from(status == 200), "{id}");
         }
     }
-    assert_eq!((node.figure("body_budget_gone"), node.figure("throttled")), (2, 2));
+    assert_eq!((node.figure("body_budget_exhausted"), node.figure("rejected")), (2, 2));
 }
 
 /// A body that is too long is known by its head, and by its chunks as soon as they are too many.
@@ -302,17 +307,18 @@
     site.operator(BOUNDS, MIB, "stream");
     let mut node = site.start();
     let mut stream = TcpStream::connect(&node.address).expect("it listens");
-    let head = Ask::new("q-1", "fee-charge", Vec::new()).head().replace("Length: 0", "Length: 1048577");
+    let head =
+        TestRequest::new("q-1", "fee-charge", Vec::new()).head().replace("Length: 0", "Length: 1048577");
     stream.write_all(head.as_bytes()).expect("it reads");
-    let reply = Reply::read(&mut stream, Instant::now()).expect("an answer");
+    let reply = TestResponse::read(&mut stream, Instant::now()).expect("an answer");
     assert_eq!(reply.status, 413);
-    let mut ask = Ask::new("q-2", "fee-charge", text(2 * MIB, 1));
+    let mut ask = TestRequest::new("q-2", "fee-charge", sample_bytes(2 * MIB, 1));
     ask.chunked = true;
     // The answer may be lost to the reset that what is left unread makes; a run may not be.
     assert!(ask.send(&node.address).is_ok_and(|r| r.status == 413));
     thread::sleep(Duration::from_millis(50));
     assert_eq!(site.boxes.runs(), []);
-    assert_eq!(node.figure("body_too_long"), 2);
+    assert_eq!(node.figure("body_too_large"), 2);
 }
 
 /// `Expect: 100-continue`: told to send where the body is taken; what is refused or too long is told without it.
@@ -323,8 +329,8 @@
     site.operator(BOUNDS, MIB, "stream");
     let mut node = site.start();
     for length in [4 * KIB, 100 * KIB, 400 * KIB] {
-        let body = text(length, 5);
-        let mut ask = Ask::new(&format!("q-{length}"), "fee-charge", body.clone());
+        let body = sample_bytes(length, 5);
+        let mut ask = TestRequest::new(&format!("q-{length}"), "fee-charge", body.clone());
         ask.expects = true;
         let reply = ask.send(&node.address).expect("an answer");
         assert_eq!((reply.status, reply.body), (200, result(&body)), "{length}");
@@ -338,9 +344,9 @@
             .replace("\"total_bytes\":67108864", "\"total_bytes\":262144"),
     );
     node.signal("HUP");
-    node.line("was read again");
+    node.line("configuration reloaded");
     for (length, status) in [(2 * MIB, 413), (250 * KIB, 503)] {
-        let mut ask = Ask::new("q-long", "fee-charge", text(length, 5));
+        let mut ask = TestRequest::new("q-long", "fee-charge", sample_bytes(length, 5));
         ask.expects = true;
         assert_eq!(ask.send(&node.address).expect("an answer").status, status);
     }
@@ -356,7 +362,7 @@
     let mut node = site.start();
     let mut clients = Vec::new();
     for (i, length) in [10 * KIB, 200 * KIB, 600 * KIB, 600 * KIB].into_iter().enumerate() {
-        let mut ask = Ask::new(&format!("q-{i}"), "fee-charge", text(length, 1));
+        let mut ask = TestRequest::new(&format!("q-{i}"), "fee-charge", sample_bytes(length, 1));
         ask.chunked = i == 3;
         let mut stream = TcpStream::connect(&node.address).expect("it listens");
         stream.write_all(ask.head().as_bytes()).expect("it reads");
@@ -367,16 +373,20 @@
         clients.push(stream);
     }
     let until = Instant::now() + Duration::from_secs(5);
-    while node.figure("file_bytes") < 100 * KIB as u64 || node.figure("sent") < 2 || site.boxes.begun() < 2 {
+    while node.figure("file_bytes") < 100 * KIB as u64
+        || node.figure("attempts") < 2
+        || site.boxes.begun() < 2
+    {
         assert!(Instant::now() < until, "the bodies have not come");
     }
     drop(clients);
-    while site.boxes.broken() < 2 || node.figure("body_client_broke") < 4 {
+    while site.boxes.broken() < 2 || node.figure("body_client_disconnected") < 4 {
         assert!(Instant::now() < until, "{} broken", site.boxes.broken());
     }
     assert_eq!((node.figure("memory_bytes"), node.figure("file_bytes")), (0, 0));
     assert_eq!(site.boxes.runs(), [], "no box had one whole");
-    let reply = Ask::new("q-9", "fee-charge", text(9, 1)).send(&node.address).expect("an answer");
+    let reply =
+        TestRequest::new("q-9", "fee-charge", sample_bytes(9, 1)).send(&node.address).expect("an answer");
     assert_eq!(reply.status, 200);
 }
 
@@ -392,7 +402,7 @@
     let mut slow: Vec<TcpStream> = (0..500)
         .map(|i| {
             let length = [20 * KIB, 200 * KIB, 8 * MIB][i % 3];
-            let head = Ask::new(&format!("slow-{i}"), "licence-issue", Vec::new()).head();
+            let head = TestRequest::new(&format!("slow-{i}"), "licence-issue", Vec::new()).head();
             let mut stream = TcpStream::connect(&node.address).expect("it listens");
             let head = head.replace("Length: 0", &format!("Length: {length}"));
             stream.write_all((head + "x").as_bytes()).expect("it reads");
@@ -401,8 +411,8 @@
         .collect();
     let mut usual = 0;
     while begun.elapsed() < Duration::from_millis(1_800) {
-        let body = text(2 * KIB, usual);
-        let reply = Ask::new(&format!("q-{usual}"), "fee-charge", body.clone())
+        let body = sample_bytes(2 * KIB, usual);
+        let reply = TestRequest::new(&format!("q-{usual}"), "fee-charge", body.clone())
             .send(&node.address)
             .expect("an answer");
         assert_eq!((reply.status, reply.body), (200, result(&body)), "usual client {usual}");
@@ -436,15 +446,15 @@
     let site = Site::new("signals", 2);
     site.operator([MIB, 16 * MIB, 8 * MIB, 128 * MIB], 8 * MIB, "stream");
     let mut node = site.start();
-    site.boxes.usual(Act::Held);
+    site.boxes.usual(WorkerBehavior::StalledListener);
     let asks = (0..22).map(|i| {
-        let body = text(if i < 8 { 3 * MIB } else { 900 * KIB }, i);
+        let body = sample_bytes(if i < 8 { 3 * MIB } else { 900 * KIB }, i);
         let expected = result(&body);
-        (Ask::new(&format!("q-{i}"), "licence-issue", body), expected)
+        (TestRequest::new(&format!("q-{i}"), "licence-issue", body), expected)
     });
     let mut asks = asks.collect::<Vec<_>>().into_iter();
     let address = node.address.clone();
-    let client = |(ask, expected): (Ask, String)| {
+    let client = |(ask, expected): (TestRequest, String)| {
         let address = address.clone();
         thread::spawn(move || (ask.send(&address).expect("an answer"), expected))
     };
@@ -463,18 +473,18 @@
     }
     site.scratch.write("operator.json", r#"{"bodies":{"unkept":"drop"}}"#);
     node.signal("HUP");
-    assert!(node.line("stays as it was").contains("bodies.unkept: unknown variant"));
+    assert!(node.line("configuration unchanged").contains("bodies.unkept: unknown variant"));
     assert!(node.figure("memory_bytes") > 0);
     // These come while the budgets shrink.
     clients.extend(asks.map(client));
     site.operator([64 * KIB, MIB, 8 * MIB, 128 * MIB], 8 * MIB, "stream");
     node.signal("HUP");
-    node.line("was read again");
+    node.line("configuration reloaded");
     while node.figure("memory_bytes") > MIB as u64 {
         assert!(Instant::now() < until, "what is in memory does not step down");
     }
-    assert!(node.figure("bodies_moved") >= 4);
-    while node.figure("written") < 22 {
+    assert!(node.figure("bodies_spilled") >= 4);
+    while node.figure("requests_sent") < 22 {
         assert!(Instant::now() < until, "those that came during the change are not whole");
     }
     node.signal("TERM");
@@ -504,8 +514,8 @@
         .map(|i| {
             let address = address.clone();
             thread::spawn(move || {
-                let body = text(if i % 2 == 0 { 4 * MIB } else { 2 * KIB }, i);
-                let reply = Ask::new(&format!("q-{i}"), "fee-charge", body.clone()).send(&address);
+                let body = sample_bytes(if i % 2 == 0 { 4 * MIB } else { 2 * KIB }, i);
+                let reply = TestRequest::new(&format!("q-{i}"), "fee-charge", body.clone()).send(&address);
                 (reply.expect("an answer"), result(&body))
             })
         })
@@ -514,7 +524,7 @@
         let (reply, expected) = client.join().expect("a client");
         assert_eq!((reply.status, reply.body), (200, expected));
     }
-    assert!(node.figure("unkept_disk_full") >= 1);
+    assert!(node.figure("not_stored_disk_full") >= 1);
     assert!(site.boxes.runs().iter().all(|r| site.boxes.runs_of(&r.id).len() == 1));
 }
 
@@ -533,10 +543,10 @@
     let warned =
         node.early().iter().any(|l| l.contains("WARN") && l.contains("bodies.files.directory: it is full"));
     assert!(warned, "{:?}", node.early());
-    let body = text(100 * KIB, 1);
-    let reply = Ask::new("q-1", "fee-charge", body.clone()).send(&node.address).expect("an answer");
+    let body = sample_bytes(100 * KIB, 1);
+    let reply = TestRequest::new("q-1", "fee-charge", body.clone()).send(&node.address).expect("an answer");
     assert_eq!((reply.status, reply.body), (200, result(&body)));
-    assert_eq!((node.figure("body_streamed"), node.figure("unkept_disk_full")), (1, 1));
+    assert_eq!((node.figure("body_streamed"), node.figure("not_stored_disk_full")), (1, 1));
 }
 
 /// A directory that can't be used ends the start with one line that names the key, and a reload changes nothing.
@@ -568,9 +578,11 @@
             assert!(said.contains("bodies.files.directory: ") && said.contains(what), "{said}");
         }
         running.signal("HUP");
-        let line = running.line("stays as it was");
+        let line = running.line("configuration unchanged");
         assert!(line.contains("bodies.files.directory: ") && line.contains(what), "{line}");
     }
-    let reply = Ask::new("q-1", "fee-charge", text(100 * KIB, 1)).send(&running.address).expect("an answer");
+    let reply = TestRequest::new("q-1", "fee-charge", sample_bytes(100 * KIB, 1))
+        .send(&running.address)
+        .expect("an answer");
     assert_eq!((reply.status, running.figure("body_in_file")), (200, 1), "the old directory is in use");
 }
--- a/crates/node/tests/command.rs
+++ b/crates/node/tests/command.rs
@@ -99,5 +99,5 @@
     }
     assert!(child.wait().expect("it ends").success());
     assert!(lines.iter().any(|l| l["message"] == "ready" && l["name"] == "n0" && l["level"] == "INFO"));
-    assert_eq!(lines.last().expect("a line")["counters"]["taken"], 0);
+    assert_eq!(lines.last().expect("a line")["counters"]["admitted"], 0);
 }
--- a/crates/node/tests/crash.rs
+++ b/crates/node/tests/crash.rs
@@ -3,7 +3,9 @@
 //!
 //! `SORRELHAVEN_KILLS` sets how often it is killed (12 where it is not set); the points come from a fixed seed.
 
-use sorrelhaven_test_support::{Ask, Boxes, Checker, ONCE, Program, Scratch, boxes_file};
+use sorrelhaven_test_support::{
+    AT_MOST_ONCE_CLASS, Checker, FakeWorkers, Program, ScratchDir, TestRequest, workers_config,
+};
 use std::process::Command;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -21,10 +23,10 @@
 #[test]
 fn a_killed_node_leaves_nothing_that_looks_whole_and_runs_nothing_twice() {
     let kills = std::env::var("SORRELHAVEN_KILLS").ok().and_then(|k| k.parse().ok()).unwrap_or(KILLS);
-    let scratch = Scratch::new("crash");
-    let boxes = Boxes::new(4);
+    let scratch = ScratchDir::new("crash");
+    let boxes = FakeWorkers::new(4);
     std::fs::create_dir(scratch.at("spool")).expect("a directory");
-    let config = scratch.write("node.json", &boxes_file(&boxes.addresses));
+    let config = scratch.write("node.json", &workers_config(&boxes.addresses));
     let operator = scratch.write(
         "operator.json",
         &format!(
@@ -55,7 +57,7 @@
                 thread::spawn(move || {
                     while !stop.load(Ordering::Relaxed) {
                         let n = next.fetch_add(1, Ordering::Relaxed);
-                        let ask = Ask::new(&format!("pay-{n}"), ONCE, body(n));
+                        let ask = TestRequest::new(&format!("pay-{n}"), AT_MOST_ONCE_CLASS, body(n));
                         checker.asked(&ask);
                         match ask.send(&address) {
                             Ok(reply) => checker.answered(&ask.id, reply.status),
--- a/crates/node/tests/faults.rs
+++ b/crates/node/tests/faults.rs
@@ -1,7 +1,8 @@
 //! System calls that fail as Linux documents, and wall clocks that are wrong: no request is lost for either.
 
 use sorrelhaven_test_support::{
-    Act, Ask, Boxes, Checker, FaultPlan, ONCE, Program, Scratch, boxes_file, injected,
+    AT_MOST_ONCE_CLASS, Checker, FakeWorkers, FaultPlan, Program, ScratchDir, TestRequest, WorkerBehavior,
+    injected_faults, workers_config,
 };
 use std::net::TcpStream;
 use std::process::Command;
@@ -13,13 +14,13 @@
 /// A node under the shim, before two or more executors.
 struct Node {
     program: Program,
-    executors: Boxes,
-    scratch: Scratch,
+    executors: FakeWorkers,
+    scratch: ScratchDir,
 }
 
 impl Node {
-    fn start(name: &str, plan: &FaultPlan, executors: Boxes, config: &str) -> Node {
-        let scratch = Scratch::new(name);
+    fn start(name: &str, plan: &FaultPlan, executors: FakeWorkers, config: &str) -> Node {
+        let scratch = ScratchDir::new(name);
         let mut command = Command::new(env!("CARGO_BIN_EXE_sorrelhaven"));
         plan.preload(&mut command, &scratch);
         let program = Program::start(command, &scratch.write("node.json", config), None);
@@ -27,8 +28,8 @@
     }
 
     fn healthy(name: &str, plan: &FaultPlan) -> Node {
-        let executors = Boxes::new(2);
-        let config = boxes_file(&executors.addresses);
+        let executors = FakeWorkers::new(2);
+        let config = workers_config(&executors.addresses);
         Node::start(name, plan, executors, &config)
     }
 
@@ -45,7 +46,7 @@
                     if number >= requests {
                         return unserved;
                     }
-                    let ask = Ask::new(&format!("pay-{number}"), ONCE, vec![b'x'; 300]);
+                    let ask = TestRequest::new(&format!("pay-{number}"), AT_MOST_ONCE_CLASS, vec![b'x'; 300]);
                     checker.asked(&ask);
                     let paid = TcpStream::connect(&address).and_then(|mut connection| {
                         thread::sleep(pause);
@@ -68,11 +69,14 @@
         (checker, unserved)
     }
 
-    /// Ends the node; every fault of the plan must have been injected, and no rule broken.
+    /// Ends the node; every fault of the plan must have been injected_faults, and no rule broken.
     fn end(self, checker: &Checker) {
         self.program.end();
-        let injected = injected(&self.scratch);
-        assert!(injected.values().all(|&count| count > 0), "not all calls were reached: {injected:?}");
+        let injected_faults = injected_faults(&self.scratch);
+        assert!(
+            injected_faults.values().all(|&count| count > 0),
+            "not all calls were reached: {injected_faults:?}"
+        );
         assert_eq!(checker.faults(&self.executors.runs()), [""; 0]);
     }
 }
@@ -110,10 +114,10 @@
 
 /// What four executors were sent, of which the last has just started, by a node whose wall clock is off.
 fn sent_to_the_cold_one(off_ms: i64) -> usize {
-    let executors = Boxes::new(4);
-    executors.usual(Act::Takes(10));
+    let executors = FakeWorkers::new(4);
+    executors.usual(WorkerBehavior::Takes(10));
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time").as_millis();
-    let config = boxes_file(&executors.addresses);
+    let config = workers_config(&executors.addresses);
     let young = format!("{}\",\"health\"", executors.addresses[3]);
     let config =
         config.replace(&young, &format!("{}\",\"born_ms\":{now},\"health\"", executors.addresses[3]));
@@ -155,6 +159,6 @@
     let told = Instant::now();
     let log = node.program.end();
     assert!(told.elapsed() < Duration::from_secs(5), "it ended {:?} after SIGTERM", told.elapsed());
-    assert_eq!(log.matches("the configuration was read again").count(), 3, "{log}");
-    assert_eq!(log.matches(" taken=").count(), 4, "three times as asked, and the last line: {log}");
+    assert_eq!(log.matches("configuration reloaded").count(), 3, "{log}");
+    assert_eq!(log.matches(" admitted=").count(), 4, "three times as asked, and the last line: {log}");
 }
--- a/crates/node/tests/large_fleet.rs
+++ b/crates/node/tests/large_fleet.rs
@@ -2,7 +2,8 @@
 //! and the executors do.
 
 use sorrelhaven_test_support::{
-    Act, Ask, Boxes, CpuShare, OPEN, Program, Scratch, piece, processor_time, target,
+    CHUNKED_RESPONSE_HEAD, CpuShare, FakeWorkers, Program, ScratchDir, TestRequest, WorkerBehavior, chunk,
+    processor_time, read_request_target,
 };
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -92,14 +93,14 @@
 }
 
 fn serve(mut stream: TcpStream, said: &Mutex<Vec<String>>) {
-    target(&mut stream);
-    let (mut text, mut told, mut last) = (OPEN.to_string(), 0, Instant::now());
+    read_request_target(&mut stream);
+    let (mut text, mut told, mut last) = (CHUNKED_RESPONSE_HEAD.to_string(), 0, Instant::now());
     loop {
         let pieces = said.lock().unwrap_or_else(PoisonError::into_inner)[told..].to_vec();
         told += pieces.len();
-        pieces.iter().for_each(|list| text += &piece(list));
+        pieces.iter().for_each(|list| text += &chunk(list));
         if text.is_empty() && last.elapsed() > KEEP_ALIVE {
-            text = piece("\n");
+            text = chunk("\n");
         }
         if !text.is_empty() {
             if stream.write_all(text.as_bytes()).is_err() {
@@ -123,7 +124,7 @@
 /// Sends one request on a connection of its own, and waits for the answer.
 fn ask(number: usize, address: &str, heard: &Heard) {
     let class = ["licence-issue", "fee-charge"][number % 2];
-    let mut ask = Ask::new(&format!("q-{number}"), class, vec![b'x'; 200]);
+    let mut ask = TestRequest::new(&format!("q-{number}"), class, vec![b'x'; 200]);
     ask.patience = Duration::from_secs(5);
     ask.hint = Some(40_000);
     // One request in seven is about the same object, one in ten about another.
@@ -145,7 +146,7 @@
 }
 
 /// What differs from run to run.
-struct Run {
+struct ExecutedRequest {
     executors: usize,
     /// The node's share of a core; `None`: all that it wants.
     share: Option<f64>,
@@ -161,11 +162,11 @@
 }
 
 /// Plays [`LASTS`]: within [`TROUBLE`] most executors hang and a release replaces half of the list.
-fn play(run: &Run) -> Seen {
-    let boxes = Boxes::new(SERVERS);
-    boxes.usual(Act::Takes(40));
+fn play(run: &ExecutedRequest) -> Seen {
+    let boxes = FakeWorkers::new(SERVERS);
+    boxes.usual(WorkerBehavior::Takes(40));
     let discovery = Discovery::new();
-    let scratch = Scratch::new("large");
+    let scratch = ScratchDir::new("large");
     let all: Vec<_> = (0..run.executors).map(|n| entry(n, &boxes.addresses, "in_service")).collect();
     let file = scratch.write("node.json", &config(discovery.address, &list(1, true, &all)));
     let mut command = Command::new(env!("CARGO_BIN_EXE_sorrelhaven"));
@@ -181,7 +182,7 @@
     };
     let wait = |at: Duration| thread::sleep((begun + at).saturating_duration_since(Instant::now()));
     wait(TROUBLE[0]);
-    (0..HANGING).for_each(|server| boxes.usual_at(server, Some(Act::SilentThenReset(5_300))));
+    (0..HANGING).for_each(|server| boxes.usual_at(server, Some(WorkerBehavior::SilentThenReset(5_300))));
     let gap = (TROUBLE[1] - TROUBLE[0]) / PIECES as u32;
     for piece in 0..PIECES {
         discovery.say(&replaced(piece, run.executors, &boxes.addresses));
@@ -220,7 +221,7 @@
 fn usual_need() -> Duration {
     static NEED: OnceLock<Duration> = OnceLock::new();
     *NEED.get_or_init(|| {
-        let seen = play(&Run { executors: USUAL, share: None });
+        let seen = play(&ExecutedRequest { executors: USUAL, share: None });
         assert_eq!(seen.heard.lost.load(Ordering::Relaxed), 0, "{seen:?}");
         seen.used
     })
@@ -230,7 +231,7 @@
 #[test]
 fn thousands_of_executors_cost_no_more_processor_time_than_allowed() {
     let usual = usual_need();
-    let seen = play(&Run { executors: EXECUTORS, share: None });
+    let seen = play(&ExecutedRequest { executors: EXECUTORS, share: None });
     let allowed = usual.mul_f64(1.4) + Duration::from_millis(20) + Duration::from_millis(30).mul_f64(3.2);
     println!("{usual:?} with {USUAL} executors, {:?} with {EXECUTORS}, {allowed:?} allowed", seen.used);
     assert!(seen.used <= allowed, "{:?} used, {allowed:?} allowed: {}", seen.used, seen.counters);
@@ -241,7 +242,7 @@
 #[test]
 fn with_thousands_of_executors_each_request_is_answered_in_time_on_a_small_share_of_a_core() {
     let share = (usual_need().div_duration_f64(LASTS) * SHARE_OF_NEED).min(0.9);
-    let seen = play(&Run { executors: EXECUTORS, share: Some(share) });
+    let seen = play(&ExecutedRequest { executors: EXECUTORS, share: Some(share) });
     let heard = &seen.heard;
     println!("share {share:.3}: {heard:?}, {}", seen.counters);
     assert_eq!(heard.lost.load(Ordering::Relaxed), 0, "no answer in time on a share of {share:.3}: {seen:?}");
--- a/crates/node/tests/many.rs
+++ b/crates/node/tests/many.rs
@@ -1,6 +1,9 @@
 //! A node among a thousand, with a thousand executors in its list, within the least memory and descriptors.
 
-use sorrelhaven_test_support::{Ask, Boxes, OPEN, Program, Refusing, Scratch, say, target};
+use sorrelhaven_test_support::{
+    CHUNKED_RESPONSE_HEAD, FakeWorkers, Program, RefusingPort, ScratchDir, TestRequest, read_request_target,
+    send_chunk,
+};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::Command;
@@ -57,8 +60,8 @@
 /// Takes one ask of the node and opens the answer to it.
 fn opened(agent: &TcpListener) -> TcpStream {
     let mut stream = agent.accept().expect("the node asks").0;
-    target(&mut stream);
-    stream.write_all(OPEN.as_bytes()).expect("the node reads");
+    read_request_target(&mut stream);
+    stream.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).expect("the node reads");
     stream
 }
 
@@ -73,9 +76,9 @@
 /// leave, then all are back. Jobs are answered through all of it.
 #[test]
 fn a_node_among_1024_with_1025_executors_keeps_to_32_mb_and_256_descriptors() {
-    let boxes = Boxes::new(8).addresses;
+    let boxes = FakeWorkers::new(8).addresses;
     let agent = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let scratch = Scratch::new("many");
+    let scratch = ScratchDir::new("many");
     let file = scratch.write("node.json", &config(&boxes, agent.local_addr().expect("its address")));
     let mut command = Command::new("sh");
     // Its log is read at the end only, so it must not hold a line for each list.
@@ -85,8 +88,10 @@
     let node = Program::start(command, &file, None);
     let asks = |from: usize, to: usize| {
         for n in from..to {
-            let ask =
-                Ask { hint: Some(20_000), ..Ask::new(&format!("q-{n}"), "fee-charge", b"body".to_vec()) };
+            let ask = TestRequest {
+                hint: Some(20_000),
+                ..TestRequest::new(&format!("q-{n}"), "fee-charge", b"body".to_vec())
+            };
             let reply = ask.send(&node.address).expect("an answer");
             assert_eq!(reply.status, 200, "{n}: {}", reply.body);
         }
@@ -94,13 +99,13 @@
     asks(0, 100);
     let mut watch = opened(&agent);
     let hosts = |health: &str| -> Vec<String> { (0..EXECUTORS).map(|n| host(n, &boxes, health)).collect() };
-    say(&mut watch, &indented(&list(2, true, &hosts("in_service"))));
+    send_chunk(&mut watch, &indented(&list(2, true, &hosts("in_service"))));
     let mut seq = 2;
     for (first, health, skipped) in [(1, "terminating", EXECUTORS - 1), (0, "in_service", 0)] {
         for host in &hosts(health)[first..] {
             seq += 1;
             let change = list(seq, false, std::slice::from_ref(host));
-            say(&mut watch, &if seq % 3 == 0 { indented(&change) } else { change + "\n" });
+            send_chunk(&mut watch, &if seq % 3 == 0 { indented(&change) } else { change + "\n" });
         }
         while node.shown("node_skipped_executors") != skipped as u64 {
             thread::yield_now();
@@ -111,9 +116,9 @@
     // A list with one wrong entry is named, changes nothing, and the whole one is asked for.
     let mut wrong = hosts("terminating");
     wrong[700] = wrong[700].replace("terminating", "asleep");
-    say(&mut watch, &indented(&list(seq + 1, true, &wrong)));
+    send_chunk(&mut watch, &indented(&list(seq + 1, true, &wrong)));
     let mut fetched = opened(&agent);
-    say(&mut fetched, &indented(&list(seq + 2, true, &hosts("in_service"))));
+    send_chunk(&mut fetched, &indented(&list(seq + 2, true, &hosts("in_service"))));
     asks(0, 100);
     assert_eq!(node.shown("node_skipped_executors"), 0);
     let open = std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).expect("it lives").count();
@@ -130,10 +135,10 @@
 /// once, served or refused unrun, until the node has learned who is there; then all are served. The true list ends it.
 #[test]
 fn a_known_list_that_is_mostly_gone_is_answered_from_and_put_right() {
-    let boxes = Boxes::new(4);
+    let boxes = FakeWorkers::new(4);
     let agent = TcpListener::bind("127.0.0.1:0").expect("a port");
     // Ports that are held and not listened at refuse every link, and nobody else can have them meanwhile.
-    let gone: Vec<_> = (0..16).map(|_| Refusing::new().expect("a port")).collect();
+    let gone: Vec<_> = (0..16).map(|_| RefusingPort::new().expect("a port")).collect();
     let live = boxes.addresses.iter().copied();
     let known: Vec<SocketAddr> = gone.iter().map(|g| g.address).chain(live).collect();
     let entry = |(n, dial): (usize, &SocketAddr)| {
@@ -148,14 +153,14 @@
         agent.local_addr().expect("its address"),
         list(1, true, &hosts)
     );
-    let scratch = Scratch::new("stale");
+    let scratch = ScratchDir::new("stale");
     let command = Command::new(env!("CARGO_BIN_EXE_sorrelhaven"));
     let mut node = Program::start(command, &scratch.write("node.json", &config), None);
     let mut watch = opened(&agent);
     let address = node.address.clone();
     let served = |from: usize, to: usize| {
         let statuses = (from..to).map(|n| {
-            let ask = Ask::new(&format!("q-{n}"), "fee", b"body".to_vec());
+            let ask = TestRequest::new(&format!("q-{n}"), "fee", b"body".to_vec());
             let reply = ask.send(&address).expect("an answer");
             assert!([200, 503].contains(&reply.status), "{n}: {}", reply.status);
             // What is refused never ran.
@@ -170,8 +175,8 @@
     println!("{learning} of the first 30 served, {learned} of the next, {failed} links refused");
     assert!(learning >= 15 && learned == 30, "{learning} of the first 30 served, {learned} of the next");
     assert!((1..=64).contains(&failed), "{failed} links refused");
-    say(&mut watch, &(list(2, true, &hosts[16..]) + "\n"));
-    node.line("hosts=4");
+    send_chunk(&mut watch, &(list(2, true, &hosts[16..]) + "\n"));
+    node.line("workers=4");
     assert_eq!(
         (served(60, 90), node.figure("connect_failed")),
         (30, failed),
--- a/crates/node/tests/members.rs
+++ b/crates/node/tests/members.rs
@@ -1,6 +1,6 @@
 //! Five processes of the program that know each other, and what lies between them.
 
-use sorrelhaven_test_support::{Between, Faults, Program, Scratch};
+use sorrelhaven_test_support::{FaultProxy, Faults, Program, ScratchDir};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -12,17 +12,17 @@
 
 /// The processes, each behind its address of the stand-in.
 struct Group {
-    between: Between,
-    scratch: Scratch,
+    between: FaultProxy,
+    scratch: ScratchDir,
     nodes: Vec<Option<Program>>,
     listens: RefCell<BTreeMap<usize, SocketAddr>>,
 }
 
 impl Group {
     fn new(name: &str, seed: u64) -> Group {
-        let between = Between::with_one_address_each(COUNT, seed).expect("addresses");
+        let between = FaultProxy::with_one_address_each(COUNT, seed).expect("addresses");
         let mut group =
-            Group { between, scratch: Scratch::new(name), nodes: Vec::new(), listens: RefCell::default() };
+            Group { between, scratch: ScratchDir::new(name), nodes: Vec::new(), listens: RefCell::default() };
         group.scratch.write("key", "a key of the tests alone\n");
         for n in 0..COUNT {
             let node = group.start(n);
--- a/crates/node/tests/operations.rs
+++ b/crates/node/tests/operations.rs
@@ -1,6 +1,8 @@
 //! What the staff do with a node that runs: call, look, drain it and take clients again.
 
-use sorrelhaven_test_support::{Act, Ask, Boxes, Program, Scratch, boxes_file};
+use sorrelhaven_test_support::{
+    FakeWorkers, Program, ScratchDir, TestRequest, WorkerBehavior, workers_config,
+};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::process::Command;
@@ -8,15 +10,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-fn start(boxes: &Boxes, name: &str) -> (Program, Scratch) {
-    let scratch = Scratch::new(name);
+fn start(boxes: &FakeWorkers, name: &str) -> (Program, ScratchDir) {
+    let scratch = ScratchDir::new(name);
     let mut command = Command::new(env!("CARGO_BIN_EXE_sorrelhaven"));
     command.env("RELAY_OPS", "127.0.0.1:0");
-    (Program::start(command, &scratch.write("node.json", &boxes_file(&boxes.addresses)), None), scratch)
+    (Program::start(command, &scratch.write("node.json", &workers_config(&boxes.addresses)), None), scratch)
 }
 
-fn ask(id: &str) -> Ask {
-    Ask::new(id, "fee-charge", b"body".to_vec())
+fn ask(id: &str) -> TestRequest {
+    TestRequest::new(id, "fee-charge", b"body".to_vec())
 }
 
 fn connect(node: &Program) -> TcpStream {
@@ -43,8 +45,8 @@
 /// long job lives on; and `resume` is heard at once.
 #[test]
 fn a_drain_empties_every_kind_of_link_and_resume_takes_clients_again() {
-    let boxes = Boxes::new(1);
-    boxes.script(&[Act::Done, Act::Takes(4_500)]);
+    let boxes = FakeWorkers::new(1);
+    boxes.script(&[WorkerBehavior::Done, WorkerBehavior::Takes(4_500)]);
     let (node, _scratch) = start(&boxes, "drain");
     assert_eq!(node.call("ready"), "SUCCESS serving\n");
     assert!(health(&node).starts_with("HTTP/1.1 200 "));
@@ -98,7 +100,7 @@
 /// A request that is begun and does not come on is not waited for until its job would count as late.
 #[test]
 fn a_request_that_stalls_ends_with_the_drain() {
-    let boxes = Boxes::new(1);
+    let boxes = FakeWorkers::new(1);
     let (node, _scratch) = start(&boxes, "stall");
     let mut served = connect(&node);
     assert_eq!(ask("first").send_on(&mut served).expect("an answer").status, 200);
@@ -121,8 +123,8 @@
 /// Signals in the midst of a drain: a reload does not end it, SIGTERM ends the node and all that was taken is answered.
 #[test]
 fn a_drain_lives_through_a_reload_and_a_term_signal_ends_it() {
-    let boxes = Boxes::new(1);
-    boxes.script(&[Act::Takes(1_500)]);
+    let boxes = FakeWorkers::new(1);
+    boxes.script(&[WorkerBehavior::Takes(1_500)]);
     let (mut node, _scratch) = start(&boxes, "drain-term");
     let address = node.address.clone();
     let long = thread::spawn(move || ask("long").send(&address).expect("an answer"));
@@ -131,10 +133,10 @@
     }
     node.call("drain");
     node.signal("HUP");
-    node.line("the configuration was read again");
+    node.line("configuration reloaded");
     assert_eq!(node.call("ready"), "FAILURE drained\n");
     node.signal("TERM");
-    node.line("closing");
+    node.line("shutdown requested");
     assert_eq!(node.call("resume"), "FAILURE stopping\n");
     assert_eq!(node.call("drain"), "SUCCESS stopping, it empties for good\n");
     assert_eq!(node.call("ready"), "FAILURE stopping\n");
@@ -155,8 +157,8 @@
 /// answered while the crowd still has its time.
 #[test]
 fn a_crowd_of_silent_callers_does_not_keep_an_operator_waiting() {
-    let boxes = Boxes::new(2);
-    boxes.usual(Act::Takes(2));
+    let boxes = FakeWorkers::new(2);
+    boxes.usual(WorkerBehavior::Takes(2));
     let (node, _scratch) = start(&boxes, "crowd");
     let (stop, sent) = (AtomicBool::new(false), AtomicU64::new(0));
     thread::scope(|scope| {
@@ -186,11 +188,11 @@
             })
             .collect();
         let begun = Instant::now();
-        let figures = node.call("show-stat");
+        let metrics = node.call("show-stat");
         let took = begun.elapsed();
         assert!(
-            figures.contains("node_passed{category=\"fee-charge\"}") && figures.ends_with("\nEOT\n"),
-            "{figures}"
+            metrics.contains("node_passed{category=\"fee-charge\"}") && metrics.ends_with("\nEOT\n"),
+            "{metrics}"
         );
         assert!(took < Duration::from_secs(1), "{took:?}");
         drop((crowd, ends));
@@ -202,7 +204,7 @@
 /// Lines in pieces, no call, no line, no end, no text, and a caller that never reads: each has its answer or its end.
 #[test]
 fn every_odd_caller_has_its_answer_or_its_end() {
-    let boxes = Boxes::new(1);
+    let boxes = FakeWorkers::new(1);
     let (node, _scratch) = start(&boxes, "odd-callers");
     let call = || TcpStream::connect(&node.ops).expect("it listens");
     let mut pieces = call();
@@ -244,7 +246,7 @@
 /// A descriptor that is none to listen on, an address that is none: the start ends with a line that names the key.
 #[test]
 fn a_faulty_address_or_descriptor_is_named() {
-    let scratch = Scratch::new("ops-faults");
+    let scratch = ScratchDir::new("ops-faults");
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let taken = taken.local_addr().expect("its address").to_string();
     let cases = [
@@ -254,7 +256,7 @@
         ("RELAY_FD", "987", "RELAY_FD: descriptor 987 is not open"),
         ("RELAY_FD", "0", "RELAY_FD: descriptor 0 is not one that a program is handed"),
     ];
-    let config = scratch.write("node.json", &boxes_file(&["127.0.0.1:1".parse().expect("an address")]));
+    let config = scratch.write("node.json", &workers_config(&["127.0.0.1:1".parse().expect("an address")]));
     for (name, value, fault) in cases {
         let mut command = Command::new(env!("CARGO_BIN_EXE_sorrelhaven"));
         command.env_remove("RELAY_OPS").env_remove("RELAY_FD").env("RUST_LOG", "off");
--- a/crates/node/tests/program.rs
+++ b/crates/node/tests/program.rs
@@ -1,6 +1,6 @@
 //! The program as it is started: its configuration, its answers, its signals and its exit.
 
-use sorrelhaven_test_support::{Program, Scratch};
+use sorrelhaven_test_support::{Program, ScratchDir};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::ops::{Deref, DerefMut};
@@ -21,7 +21,7 @@
 /// A program of the test's own, with its file where a reload finds it.
 struct Running {
     program: Program,
-    scratch: Scratch,
+    scratch: ScratchDir,
 }
 
 impl Running {
@@ -30,7 +30,7 @@
     }
 
     fn begin(command: Command, config: &str, name: &str) -> Running {
-        let scratch = Scratch::new(name);
+        let scratch = ScratchDir::new(name);
         let program = Program::start(command, &scratch.write("node.json", config), None);
         Running { program, scratch }
     }
@@ -94,7 +94,7 @@
         ("no json".to_string(), "RELAY_CONFIG: "),
     ];
     for (i, (text, message)) in cases.iter().enumerate() {
-        let scratch = Scratch::new(&format!("bad{i}"));
+        let scratch = ScratchDir::new(&format!("bad{i}"));
         let mut command = Command::new(env!("CARGO_BIN_EXE_sorrelhaven"));
         let output = command.env("RELAY_CONFIG", scratch.write("node.json", text)).output().expect("it ends");
         let log = String::from_utf8_lossy(&output.stderr).to_string();
@@ -121,12 +121,12 @@
     let started = chunk(r#"{"id":"q-1","state":"started"}"#);
     job.write_all((HEAD.to_string() + &started).as_bytes()).expect("the node reads");
     node.signal("USR1");
-    let counters = node.line("taken=");
-    assert!(counters.contains("taken=1 served=0") && counters.contains("sent=1 ok=0"), "{counters}");
+    let counters = node.line("admitted=");
+    assert!(counters.contains("admitted=1 served=0") && counters.contains("attempts=1 ok=0"), "{counters}");
 
     let mut idle = TcpStream::connect(&node.address).expect("it listens");
     node.signal("TERM");
-    node.line("closing");
+    node.line("shutdown requested");
     idle.write_all(b"GET /nowhere HTTP/1.1\r\n\r\n").expect("an idle link still serves");
     assert!(read(&mut idle, "\r\n\r\n").starts_with("HTTP/1.1 404 "));
     assert_eq!(read(&mut idle, "never"), "", "the idle link ends");
@@ -134,8 +134,8 @@
     job.write_all((done + "0\r\n\r\n").as_bytes()).expect("the node reads");
     let answer = read(&mut client, "\r\n\r\nfine");
     assert!(answer.starts_with("HTTP/1.1 200 OK\r\n") && answer.contains("Connection: close"), "{answer}");
-    let counters = node.line("taken=");
-    assert!(counters.contains("taken=1 served=1") && counters.contains("sent=1 ok=1"), "{counters}");
+    let counters = node.line("admitted=");
+    assert!(counters.contains("admitted=1 served=1") && counters.contains("attempts=1 ok=1"), "{counters}");
     assert!(node.child.wait().expect("it ends").success());
 }
 
@@ -155,12 +155,12 @@
 
     node.scratch.write("node.json", &text.replace("at_most_once", "often"));
     node.signal("HUP");
-    let fault = node.line("stays as it was");
+    let fault = node.line("configuration unchanged");
     assert!(fault.contains("settings.grades[1].effect: unknown effect"), "{fault}");
     let moved = text.replace(&old_address, &new_address).replace("\"1f\"", "\"2f\"");
     node.scratch.write("node.json", &moved);
     node.signal("HUP");
-    assert!(node.line("wait for a restart").contains("seed"));
+    assert!(node.line("restart required").contains("seed"));
     // Another agent may count its versions in another way, so it is asked for all that it has.
     let (mut moved, _) = new.accept().expect("the node asks the new agent");
     assert!(read(&mut moved, "\r\n\r\n").starts_with("GET /registry/instances HTTP/1.1\r\n"));
@@ -175,7 +175,7 @@
     read(&mut job, "body");
     node.signal("HUP");
     node.signal("TERM");
-    node.line("closing");
+    node.line("shutdown requested");
     job.write_all(done.as_bytes()).expect("the node reads");
     assert!(read(&mut client, "\r\n\r\nfine").starts_with("HTTP/1.1 200 OK\r\n"));
     assert!(node.child.wait().expect("it ends").success());
@@ -222,8 +222,8 @@
     drop(client);
     assert_eq!(read(&mut job, "never"), "", "the node ends the link");
     node.signal("USR1");
-    let counters = node.line("taken=");
-    assert!(counters.contains("lapsed=1") && counters.contains("cancelled=1"), "{counters}");
+    let counters = node.line("admitted=");
+    assert!(counters.contains("client_gone=1") && counters.contains("cancelled=1"), "{counters}");
 }
 
 /// An id that is open must not reach an executor twice: it would be turned away there, or mixed up.
@@ -318,6 +318,6 @@
     shell.args(["-c", "ulimit -n 40; exec \"$0\"", env!("CARGO_BIN_EXE_sorrelhaven")]);
     let mut node = Running::begin(shell, &config("127.0.0.1:1", "at_most_once"), "emfile");
     let _crowd = crowd(&node, 80);
-    node.line("cannot accept");
+    node.line("accept failed");
     assert!(ready(&node).starts_with("HTTP/1.1 200 "));
 }
--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -1,6 +1,9 @@
 //! Two processes of the program on one listening socket that neither of them owns.
 
-use sorrelhaven_test_support::{Act, Ask, Boxes, Checker, ONCE, Program, Scratch, boxes_file};
+use sorrelhaven_test_support::{
+    AT_MOST_ONCE_CLASS, Checker, FakeWorkers, Program, ScratchDir, TestRequest, WorkerBehavior,
+    workers_config,
+};
 use std::net::{TcpListener, TcpStream};
 use std::os::fd::OwnedFd;
 use std::path::PathBuf;
@@ -14,17 +17,17 @@
 /// What the platform holds: the listening socket, the file and the one directory for passing files.
 struct Platform {
     listener: TcpListener,
-    boxes: Boxes,
-    scratch: Scratch,
+    boxes: FakeWorkers,
+    scratch: ScratchDir,
     config: PathBuf,
 }
 
 impl Platform {
     fn new(name: &str) -> Platform {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let (boxes, scratch) = (Boxes::new(3), Scratch::new(name));
-        boxes.usual(Act::Takes(3));
-        let config = scratch.write("node.json", &boxes_file(&boxes.addresses));
+        let (boxes, scratch) = (FakeWorkers::new(3), ScratchDir::new(name));
+        boxes.usual(WorkerBehavior::Takes(3));
+        let config = scratch.write("node.json", &workers_config(&boxes.addresses));
         Platform { listener, boxes, scratch, config }
     }
 
@@ -75,7 +78,8 @@
                     if stop.load(Ordering::Relaxed) {
                         break;
                     }
-                    let ask = Ask::new(&format!("pay-{client}-{n}"), ONCE, b"body".to_vec());
+                    let ask =
+                        TestRequest::new(&format!("pay-{client}-{n}"), AT_MOST_ONCE_CLASS, b"body".to_vec());
                     checker.asked(&ask);
                     let mut reply = ask.send_on(&mut stream);
                     if reply.is_err() {
@@ -112,7 +116,7 @@
     }
 
     /// Ends it: payments asked, those served, and requests that were sent again. No rule may be broken.
-    fn end(self, boxes: &Boxes) -> (usize, usize, u64) {
+    fn end(self, boxes: &FakeWorkers) -> (usize, usize, u64) {
         self.stop.store(true, Ordering::Relaxed);
         let again = self.clients.into_iter().map(|c| c.join().expect("a client")).sum();
         assert_eq!(self.checker.faults(&boxes.runs()), [""; 0]);
@@ -191,8 +195,8 @@
 fn two_processes_together_keep_to_the_descriptors_of_one() {
     const LIMIT: usize = 160;
     let platform = Platform::new("descriptors");
-    let text =
-        boxes_file(&platform.boxes.addresses).replace("\"sockets\":1024", &format!("\"sockets\":{LIMIT}"));
+    let text = workers_config(&platform.boxes.addresses)
+        .replace("\"sockets\":1024", &format!("\"sockets\":{LIMIT}"));
     platform.scratch.write("node.json", &text);
     let held = |node: &Program| {
         std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).map_or(0, |entries| entries.count())
@@ -204,14 +208,16 @@
     };
     let mut clients = crowd(200);
     // One that has been served proves that the crowd before it was accepted, or gave way.
-    let served = Ask::new("after", ONCE, b"body".to_vec()).send(&address.to_string()).expect("an answer");
+    let served = TestRequest::new("after", AT_MOST_ONCE_CLASS, b"body".to_vec())
+        .send(&address.to_string())
+        .expect("an answer");
     assert_eq!(served.status, 200);
     assert!(held(&old) > LIMIT / 2, "a node alone uses what it may: {}", held(&old));
     let new = platform.start();
-    old.line("other processes of this node");
+    old.line("process count changed");
     for round in 0..6 {
         clients.extend(crowd(50));
-        let ask = Ask::new(&format!("beside-{round}"), ONCE, b"body".to_vec());
+        let ask = TestRequest::new(&format!("beside-{round}"), AT_MOST_ONCE_CLASS, b"body".to_vec());
         assert_eq!(ask.send(&address.to_string()).expect("an answer").status, 200);
         let (a, b) = (held(&old), held(&new));
         assert!(a + b <= LIMIT, "round {round}: {a} and {b} of {LIMIT}");
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -202,7 +202,7 @@
                 work_hint: m.cost,
                 slots: m.width.unwrap_or(1.0),
                 is_retry: m.resent,
-                affinity_key: m.object.map_or(0, |word| sorrelhaven_config::key(&word)),
+                affinity_key: m.object.map_or(0, |word| sorrelhaven_config::stable_hash(&word)),
                 body_sendable: true,
             }),
             Message::Notice { call, worker, kind, amount, attempt } => {
@@ -284,7 +284,7 @@
     };
     let entry = WorkerEntry {
         worker: WorkerId(0),
-        name_hash: config::key(&row.worker),
+        name_hash: config::stable_hash(&row.worker),
         lifecycle,
         started_at: row.born,
         kind: row.machine,
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::Place;
 use fastrand::Rng;
-use sorrelhaven_test_support::{Ask, Checker};
+use sorrelhaven_test_support::{Checker, TestRequest};
 use std::io::{ErrorKind, Write};
 use std::net::TcpStream;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -35,7 +35,7 @@
         thread::sleep(Duration::from_millis(rng.u64(0..30)));
         let id = format!("r-{number}-{request}");
         let length = [30, 30, 30, 3_000, 65_536][rng.usize(0..5)];
-        let mut ask = Ask::new(&id, CLASSES[rng.usize(0..CLASSES.len())], vec![b'x'; length]);
+        let mut ask = TestRequest::new(&id, CLASSES[rng.usize(0..CLASSES.len())], vec![b'x'; length]);
         ask.patience = Duration::from_millis([40, 300, 1_000, 2_500][rng.usize(0..4)]);
         ask.hint = Some(5_000);
         // A fifth of the requests are about one object.
@@ -49,7 +49,7 @@
 }
 
 /// Asks and waits for the answer; gives the connection back where it can be used again.
-fn asks(place: &Place, shared: &Shared, ask: &Ask, resting: Option<TcpStream>) -> Option<TcpStream> {
+fn asks(place: &Place, shared: &Shared, ask: &TestRequest, resting: Option<TcpStream>) -> Option<TcpStream> {
     shared.checker.asked(ask);
     let was_resting = resting.is_some();
     let (begun, life) = (Instant::now(), place.life());
@@ -85,7 +85,7 @@
 fn resend(
     place: &Place,
     shared: &Shared,
-    ask: &Ask,
+    ask: &TestRequest,
     mut stream: TcpStream,
     begun: Instant,
 ) -> Option<TcpStream> {
@@ -105,7 +105,7 @@
 }
 
 /// Asks, and closes before the answer.
-fn leaves(place: &Place, shared: &Shared, ask: &Ask, rng: &mut Rng) {
+fn leaves(place: &Place, shared: &Shared, ask: &TestRequest, rng: &mut Rng) {
     shared.checker.asked(ask);
     let Ok(mut stream) = TcpStream::connect(place.life().address) else { return };
     let mut bytes = ask.head().into_bytes();
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,6 +1,6 @@
 //! A fake discovery: watches on one list of any length, which may fall silent or be closed.
 
-use sorrelhaven_test_support::{OPEN, piece};
+use sorrelhaven_test_support::{CHUNKED_RESPONSE_HEAD, chunk};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -146,7 +146,7 @@
             head.push(byte[0]);
         }
         let (resets, mut told, mut last) = (self.state().resets, 0, Instant::now());
-        let mut text = OPEN.to_string();
+        let mut text = CHUNKED_RESPONSE_HEAD.to_string();
         loop {
             let state = self.state();
             if state.resets != resets {
@@ -154,10 +154,10 @@
             }
             let silent = Instant::now() < state.silent_until;
             if !silent && state.seq != told {
-                text += &piece(&list(&state, told));
+                text += &chunk(&list(&state, told));
                 told = state.seq;
             } else if !silent && last.elapsed() > KEEP_ALIVE {
-                text += &piece("\n");
+                text += &chunk("\n");
             }
             drop(state);
             if !text.is_empty() && !silent {
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -5,7 +5,9 @@
 use crate::plan::{Plan, Trouble};
 use crate::proxy::Proxy;
 use fastrand::Rng;
-use sorrelhaven_test_support::{Act, Boxes, Checker, FaultPlan, Program, Scratch, boxes_file};
+use sorrelhaven_test_support::{
+    Checker, FakeWorkers, FaultPlan, Program, ScratchDir, WorkerBehavior, workers_config,
+};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::Command;
@@ -95,15 +97,15 @@
     pub served: usize,
     /// Processes that were started.
     pub processes: usize,
-    /// Faults that the shim injected into processes that ended by themselves.
-    pub injected: u64,
+    /// Faults that the shim injected_faults into processes that ended by themselves.
+    pub injected_faults: u64,
 }
 
 /// The fleet while it runs.
 struct Fleet<'a> {
     program: &'a Path,
     plan: &'a Plan,
-    scratch: Scratch,
+    scratch: ScratchDir,
     places: Vec<Arc<Place>>,
     nodes: Vec<Option<Program>>,
     configs: Vec<String>,
@@ -152,7 +154,7 @@
         }));
     }
 
-    fn meet(&mut self, trouble: Trouble, executors: &Boxes, proxies: &[Proxy], discovery: &Discovery) {
+    fn meet(&mut self, trouble: Trouble, executors: &FakeWorkers, proxies: &[Proxy], discovery: &Discovery) {
         match trouble {
             Trouble::HeldUp(node, ms) => {
                 let Some(program) = &self.nodes[node] else { return };
@@ -184,8 +186,8 @@
 }
 
 /// An executor says nothing for so long to the requests that it takes, and resets their connections then.
-fn hang(executors: &Boxes, executor: usize, lasts: Duration) {
-    let silent = Act::SilentThenReset(lasts.as_millis() as u64);
+fn hang(executors: &FakeWorkers, executor: usize, lasts: Duration) {
+    let silent = WorkerBehavior::SilentThenReset(lasts.as_millis() as u64);
     executors.usual_at(executor, Some(silent));
     let executors = executors.clone();
     thread::spawn(move || {
@@ -197,7 +199,7 @@
 /// The settings of one node of the fleet.
 fn config(number: usize, nodes: usize, proxies: &[Proxy], discovery: SocketAddr) -> String {
     let addresses: Vec<SocketAddr> = proxies.iter().map(|proxy| proxy.address).collect();
-    boxes_file(&addresses)
+    workers_config(&addresses)
         .replace("127.0.0.1:1\"", &format!("{discovery}\""))
         .replace("\"balancers\":1", &format!("\"balancers\":{nodes},\"me\":{number}"))
         .replace("\"sockets\":1024", &format!("\"sockets\":{SOCKETS}"))
@@ -207,8 +209,8 @@
 /// Plays a plan with the program at this path, and judges it.
 pub fn run(program: &Path, plan: &Plan) -> Verdict {
     let size = plan.size;
-    let executors = Boxes::new(size.executors);
-    executors.usual(Act::Takes(5));
+    let executors = FakeWorkers::new(size.executors);
+    executors.usual(WorkerBehavior::Takes(5));
     let proxies: Vec<Proxy> = executors.addresses.iter().map(|address| Proxy::new(*address)).collect();
     let discovery =
         Discovery::new(&proxies.iter().map(|proxy| proxy.address).collect::<Vec<_>>(), size.entries);
@@ -216,7 +218,7 @@
     let mut fleet = Fleet {
         program,
         plan,
-        scratch: Scratch::new("soak"),
+        scratch: ScratchDir::new("soak"),
         places: (0..size.nodes).map(|_| Arc::default()).collect(),
         nodes: (0..size.nodes).map(|_| None).collect(),
         configs,
@@ -247,12 +249,12 @@
     verdict.faults.extend(shared.checker.faults(&executors.runs()));
     verdict.faults.append(&mut shared.lost.lock().unwrap_or_else(PoisonError::into_inner));
     (verdict.asked, verdict.served) = shared.checker.counts();
-    verdict.injected = injected(&fleet.scratch);
+    verdict.injected_faults = injected_faults(&fleet.scratch);
     verdict
 }
 
-/// All faults that the shim injected into processes that ended by themselves.
-fn injected(scratch: &Scratch) -> u64 {
+/// All faults that the shim injected_faults into processes that ended by themselves.
+fn injected_faults(scratch: &ScratchDir) -> u64 {
     let names = scratch.names(".").into_iter().filter(|name| name.starts_with("faults-"));
     let counts = names.map(|name| std::fs::read_to_string(scratch.at(&name)).unwrap_or_default());
     let of = |text: String| -> u64 {
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,7 +1,7 @@
 //! What happens in one soak, drawn from a seed.
 
 use fastrand::Rng;
-use sorrelhaven_test_support::Act;
+use sorrelhaven_test_support::WorkerBehavior;
 use std::fmt;
 use std::time::Duration;
 
@@ -68,7 +68,7 @@
     /// Discovery closes all its connections.
     DiscoveryResets,
     /// The next requests meet these acts of executors.
-    Script([Act; 6]),
+    Script([WorkerBehavior; 6]),
 }
 
 /// What a node's process meets from its system.
@@ -108,19 +108,19 @@
     "poll:EINTR:5;setsockopt:ENOBUFS:10",
 ];
 
-const ACTS: [Act; 12] = [
-    Act::Done,
-    Act::Takes(40),
-    Act::Takes(150),
-    Act::Failed,
-    Act::Returned,
-    Act::ReturnedEarly,
-    Act::Lost,
-    Act::Cuts,
-    Act::Garbage,
-    Act::OtherId,
-    Act::BreaksBefore,
-    Act::BreaksAfter,
+const ACTS: [WorkerBehavior; 12] = [
+    WorkerBehavior::Done,
+    WorkerBehavior::Takes(40),
+    WorkerBehavior::Takes(150),
+    WorkerBehavior::Failed,
+    WorkerBehavior::Returned,
+    WorkerBehavior::ReturnedEarly,
+    WorkerBehavior::Lost,
+    WorkerBehavior::Cuts,
+    WorkerBehavior::Garbage,
+    WorkerBehavior::OtherId,
+    WorkerBehavior::BreaksBefore,
+    WorkerBehavior::BreaksAfter,
 ];
 
 impl Plan {
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,7 +1,7 @@
 //! A TCP proxy in front of one executor, whose connections can be delayed, stalled, cut one way or reset.
 
 use crate::plan::Link;
-use sorrelhaven_test_support::reset;
+use sorrelhaven_test_support::reset_connection;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -57,7 +57,7 @@
     fn carry(&self, client: TcpStream, server: TcpStream) {
         let (link, resets) = self.now();
         if link == Some(Link::Reset) {
-            return reset(client);
+            return reset_connection(client);
         }
         let pairs =
             [(client.try_clone(), server.try_clone(), false), (server.try_clone(), client.try_clone(), true)];
@@ -76,8 +76,8 @@
         loop {
             let (link, resets) = self.now();
             if resets != born {
-                reset(from);
-                return reset(to);
+                reset_connection(from);
+                return reset_connection(to);
             }
             if link == Some(Link::Stalled) {
                 thread::sleep(LOOK);
@@ -94,11 +94,11 @@
                         thread::sleep(Duration::from_millis(ms));
                     }
                     if to.write_all(&piece[..length]).is_err() {
-                        return reset(from);
+                        return reset_connection(from);
                     }
                 }
                 Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
-                Err(_) => return reset(to),
+                Err(_) => return reset_connection(to),
             }
         }
     }
--- a/crates/test-support/src/checker.rs
+++ b/crates/test-support/src/checker.rs
@@ -1,12 +1,12 @@
 //! The checker: what clients asked and heard, held against what the boxes ran.
 
-use crate::boxes::{Run, sum};
-use crate::client::Ask;
+use crate::client::TestRequest;
+use crate::fake_workers::{ExecutedRequest, checksum};
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 /// A class whose jobs must not run twice.
-pub const ONCE: &str = "fee-charge";
+pub const AT_MOST_ONCE_CLASS: &str = "fee-charge";
 
 #[derive(Debug)]
 struct Asked {
@@ -26,8 +26,8 @@
     }
 
     /// A client asks this; to be told before the first byte is sent.
-    pub fn asked(&self, ask: &Ask) {
-        let (once, length, sum) = (ask.class == ONCE, ask.body.len(), sum(&ask.body));
+    pub fn asked(&self, ask: &TestRequest) {
+        let (once, length, sum) = (ask.class == AT_MOST_ONCE_CLASS, ask.body.len(), checksum(&ask.body));
         self.asked_so_far().insert(ask.id.clone(), Asked { once, length, sum, answers: Vec::new() });
     }
 
@@ -46,7 +46,7 @@
 
     /// Each broken rule, a line each: a run of what no one asked, or of half a body; a payment that ran twice, or ran
     /// and was refused; a request with two answers, or served and not run.
-    pub fn faults(&self, runs: &[Run]) -> Vec<String> {
+    pub fn faults(&self, runs: &[ExecutedRequest]) -> Vec<String> {
         let asked = self.asked_so_far();
         let mut faults = Vec::new();
         let mut count: BTreeMap<&str, usize> = BTreeMap::new();
@@ -86,10 +86,15 @@
     /// A checker that finds nothing proves nothing: each rule, broken once.
     #[test]
     fn every_broken_rule_is_found() {
-        let run = |id: &str, body: &[u8]| Run { id: id.into(), at: 0, length: body.len(), sum: sum(body) };
-        let case = |answers: &[u16], runs: &[Run]| {
+        let run = |id: &str, body: &[u8]| ExecutedRequest {
+            id: id.into(),
+            at: 0,
+            length: body.len(),
+            sum: checksum(body),
+        };
+        let case = |answers: &[u16], runs: &[ExecutedRequest]| {
             let checker = Checker::default();
-            checker.asked(&Ask::new("q", ONCE, b"body".to_vec()));
+            checker.asked(&TestRequest::new("q", AT_MOST_ONCE_CLASS, b"body".to_vec()));
             answers.iter().for_each(|s| checker.answered("q", *s));
             checker.faults(runs)
         };
--- a/crates/test-support/src/open.rs
+++ b/crates/test-support/src/chunked.rs
@@ -4,10 +4,10 @@
 use std::net::TcpStream;
 
 /// The head of such an answer.
-pub const OPEN: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+pub const CHUNKED_RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// Reads one request and gives its target.
-pub fn target(stream: &mut TcpStream) -> String {
+pub fn read_request_target(stream: &mut TcpStream) -> String {
     let mut got = Vec::new();
     while !got.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
@@ -19,11 +19,11 @@
 }
 
 /// A piece of an open answer.
-pub fn piece(text: &str) -> String {
+pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
 /// Says something in an open answer.
-pub fn say(stream: &mut TcpStream, text: &str) {
-    stream.write_all(piece(text).as_bytes()).expect("the node reads");
+pub fn send_chunk(stream: &mut TcpStream, text: &str) {
+    stream.write_all(chunk(text).as_bytes()).expect("the node reads");
 }
--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -6,7 +6,7 @@
 
 /// A request of a client.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct TestRequest {
     /// Its id.
     pub id: String,
     /// Its class.
@@ -25,16 +25,16 @@
     pub expects: bool,
 }
 
-impl Ask {
+impl TestRequest {
     /// A request with its length told.
-    pub fn new(id: &str, class: &str, body: Vec<u8>) -> Ask {
+    pub fn new(id: &str, class: &str, body: Vec<u8>) -> TestRequest {
         let (id, class, patience) = (id.to_string(), class.to_string(), Duration::from_secs(5));
-        Ask { id, class, patience, hint: None, affinity: None, body, chunked: false, expects: false }
+        TestRequest { id, class, patience, hint: None, affinity: None, body, chunked: false, expects: false }
     }
 
     /// Its head.
     pub fn head(&self) -> String {
-        let Ask { id, class, patience, hint, affinity, body, chunked, expects } = self;
+        let TestRequest { id, class, patience, hint, affinity, body, chunked, expects } = self;
         let mut head =
             format!("POST /api HTTP/1.1\r\nHost: n\r\nRequest-Id: {id}\r\nRequest-Class: {class}\r\n");
         head += &format!("Request-Timeout: {}m\r\nIdempotency-Key: k-{id}\r\n", patience.as_millis());
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     /// Those of the connection, where no answer came.
-    pub fn send(&self, address: &str) -> io::Result<Reply> {
+    pub fn send(&self, address: &str) -> io::Result<TestResponse> {
         let mut stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
         self.send_on(&mut stream)
@@ -68,12 +68,12 @@
     ///
     /// # Errors
     /// Those of the connection, where no answer came.
-    pub fn send_on(&self, stream: &mut TcpStream) -> io::Result<Reply> {
+    pub fn send_on(&self, stream: &mut TcpStream) -> io::Result<TestResponse> {
         let begun = Instant::now();
         stream.set_read_timeout(Some(self.patience + Duration::from_secs(5)))?;
         stream.write_all(self.head().as_bytes())?;
         if self.expects {
-            let reply = Reply::read(stream, begun)?;
+            let reply = TestResponse::read(stream, begun)?;
             if reply.status != 100 {
                 return Ok(reply);
             }
@@ -82,7 +82,7 @@
         let mut writing = stream.try_clone()?;
         std::thread::scope(|scope| {
             let writer = scope.spawn(move || self.write_body(&mut writing));
-            let reply = Reply::read(stream, begun);
+            let reply = TestResponse::read(stream, begun);
             // What is left to write is for no one.
             if reply.is_err() || !writer.is_finished() {
                 let _ = stream.shutdown(std::net::Shutdown::Both);
@@ -107,7 +107,7 @@
 
 /// An answer.
 #[derive(Clone, Debug)]
-pub struct Reply {
+pub struct TestResponse {
     /// Its status.
     pub status: u16,
     /// When to come back, in seconds.
@@ -120,12 +120,12 @@
     pub took: Duration,
 }
 
-impl Reply {
+impl TestResponse {
     /// Reads one answer.
     ///
     /// # Errors
     /// Those of the connection, and `InvalidData` for what is no answer.
-    pub fn read(stream: &mut TcpStream, begun: Instant) -> io::Result<Reply> {
+    pub fn read(stream: &mut TcpStream, begun: Instant) -> io::Result<TestResponse> {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             let mut byte = [0];
@@ -141,6 +141,6 @@
         let retry_after = get("Retry-After:").and_then(|r| r.parse().ok());
         let body = String::from_utf8_lossy(&body).into_owned();
         let close = get("Connection:") == Some("close");
-        Ok(Reply { status, retry_after, close, body, took: begun.elapsed() })
+        Ok(TestResponse { status, retry_after, close, body, took: begun.elapsed() })
     }
 }
--- a/crates/test-support/src/disk.rs
+++ b/crates/test-support/src/fake_disk.rs
@@ -4,9 +4,9 @@
 use std::io;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 
-/// How a [`StandInDisk`] behaves.
+/// How a [`FakeDisk`] behaves.
 #[derive(Clone, Debug, Default)]
-pub struct Conduct {
+pub struct DiskFaults {
     /// The bytes that fit on it; a write that crosses them is cut there, as a real one may be.
     pub capacity: u64,
     /// Every write fails with EIO.
@@ -21,7 +21,7 @@
 
 #[derive(Default)]
 struct State {
-    conduct: Conduct,
+    conduct: DiskFaults,
     used: u64,
     writes: u64,
     files: usize,
@@ -29,13 +29,13 @@
 
 /// A disk in memory; clones are the same disk.
 #[derive(Clone)]
-pub struct StandInDisk(Arc<(Mutex<State>, Condvar)>);
+pub struct FakeDisk(Arc<(Mutex<State>, Condvar)>);
 
-impl StandInDisk {
+impl FakeDisk {
     /// A sound disk of so many bytes.
-    pub fn new(capacity: u64) -> StandInDisk {
-        let conduct = Conduct { capacity, ..Conduct::default() };
-        StandInDisk(Arc::new((Mutex::new(State { conduct, ..State::default() }), Condvar::new())))
+    pub fn new(capacity: u64) -> FakeDisk {
+        let conduct = DiskFaults { capacity, ..DiskFaults::default() };
+        FakeDisk(Arc::new((Mutex::new(State { conduct, ..State::default() }), Condvar::new())))
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -43,7 +43,7 @@
     }
 
     /// Changes how it behaves from now on; calls that hang look again.
-    pub fn set(&self, change: impl FnOnce(&mut Conduct)) {
+    pub fn set(&self, change: impl FnOnce(&mut DiskFaults)) {
         change(&mut self.state().conduct);
         self.0.1.notify_all();
     }
@@ -64,7 +64,7 @@
     }
 }
 
-impl Disk for StandInDisk {
+impl Disk for FakeDisk {
     fn create(&self) -> io::Result<Box<dyn DiskFile>> {
         self.state().files += 1;
         Ok(Box::new(StandInFile { disk: self.clone(), bytes: Mutex::default() }))
@@ -77,7 +77,7 @@
 }
 
 struct StandInFile {
-    disk: StandInDisk,
+    disk: FakeDisk,
     bytes: Mutex<Vec<u8>>,
 }
 
--- a/crates/test-support/src/boxes.rs
+++ b/crates/test-support/src/fake_workers.rs
@@ -1,6 +1,6 @@
 //! Issuing boxes that follow a script, and log what they ran.
 
-use crate::open::{OPEN, piece};
+use crate::chunked::{CHUNKED_RESPONSE_HEAD, chunk};
 use std::collections::{HashMap, VecDeque};
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,13 +10,13 @@
 
 /// What a box does with one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum WorkerBehavior {
     /// Runs it and gives its result, the length and checksum of the body.
     Done,
     /// Runs it for this many milliseconds, then as `Done`.
     Takes(u64),
-    /// Runs it, says that it has started, and ends it as `Done` once [`Boxes::release`] is called.
-    Held,
+    /// Runs it, says that it has started, and ends it as `Done` once [`FakeWorkers::release`] is called.
+    StalledListener,
     /// Runs it, and says that it failed.
     Failed,
     /// Answers 503 with `Not-Started: 1`, unrun.
@@ -49,31 +49,31 @@
 
 /// A request that a box had whole, and so ran unless it turned it away.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Run {
+pub struct ExecutedRequest {
     /// The request's id.
     pub id: String,
     /// The box's number.
     pub at: usize,
     /// The length of the body.
     pub length: usize,
-    /// The checksum of the body, by [`sum`].
+    /// The checksum of the body, by [`checksum`].
     pub sum: u64,
 }
 
 #[derive(Default)]
 struct Shared {
-    script: VecDeque<Act>,
-    usual: Option<Act>,
-    usual_at: HashMap<usize, Act>,
-    runs: Vec<Run>,
+    script: VecDeque<WorkerBehavior>,
+    usual: Option<WorkerBehavior>,
+    usual_at: HashMap<usize, WorkerBehavior>,
+    runs: Vec<ExecutedRequest>,
     begun: usize,
     broken: usize,
     released: bool,
 }
 
-/// Boxes that share one script and one log. They serve for as long as the process.
+/// FakeWorkers that share one script and one log. They serve for as long as the process.
 #[derive(Clone)]
-pub struct Boxes {
+pub struct FakeWorkers {
     shared: Arc<Mutex<Shared>>,
     release: Arc<Condvar>,
     /// Where they listen.
@@ -81,12 +81,12 @@
 }
 
 /// A checksum of bytes: FNV-1a.
-pub fn sum(bytes: &[u8]) -> u64 {
+pub fn checksum(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, |h, &b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
 
 /// Bytes that differ from place to place and from seed to seed.
-pub fn text(length: usize, seed: u64) -> Vec<u8> {
+pub fn sample_bytes(length: usize, seed: u64) -> Vec<u8> {
     let mut x = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     let mut next = || {
         x ^= x << 13;
@@ -97,13 +97,13 @@
     (0..length).map(|_| next()).collect()
 }
 
-impl Boxes {
+impl FakeWorkers {
     /// So many boxes on loopback.
-    pub fn new(count: usize) -> Boxes {
+    pub fn new(count: usize) -> FakeWorkers {
         let listeners: Vec<TcpListener> =
             (0..count).map(|_| TcpListener::bind("127.0.0.1:0").expect("a port")).collect();
         let addresses = listeners.iter().map(|l| l.local_addr().expect("its address")).collect();
-        let boxes = Boxes { shared: Arc::default(), release: Arc::default(), addresses };
+        let boxes = FakeWorkers { shared: Arc::default(), release: Arc::default(), addresses };
         for (at, listener) in listeners.into_iter().enumerate() {
             let boxes = boxes.clone();
             thread::spawn(move || {
@@ -120,18 +120,18 @@
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What is done with the next requests, whichever box they come to; then [`Act::Done`].
-    pub fn script(&self, acts: &[Act]) {
+    /// What is done with the next requests, whichever box they come to; then [`WorkerBehavior::Done`].
+    pub fn script(&self, acts: &[WorkerBehavior]) {
         self.shared().script = acts.iter().copied().collect();
     }
 
-    /// What is done with the requests beyond the script, instead of [`Act::Done`].
-    pub fn usual(&self, act: Act) {
+    /// What is done with the requests beyond the script, instead of [`WorkerBehavior::Done`].
+    pub fn usual(&self, act: WorkerBehavior) {
         self.shared().usual = Some(act);
     }
 
     /// What one box does with the requests beyond the script, from now on; `None`: what all do.
-    pub fn usual_at(&self, at: usize, act: Option<Act>) {
+    pub fn usual_at(&self, at: usize, act: Option<WorkerBehavior>) {
         let mut shared = self.shared();
         match act {
             Some(act) => shared.usual_at.insert(at, act),
@@ -139,25 +139,25 @@
         };
     }
 
-    /// Lets what is [`Act::Held`] end, now and from now on.
+    /// Lets what is [`WorkerBehavior::StalledListener`] end, now and from now on.
     pub fn release(&self) {
         self.shared().released = true;
         self.release.notify_all();
     }
 
-    /// Returns once [`Boxes::release`] was called.
+    /// Returns once [`FakeWorkers::release`] was called.
     fn held(&self) {
         let shared = self.release.wait_while(self.shared(), |s| !s.released);
         drop(shared.unwrap_or_else(PoisonError::into_inner));
     }
 
     /// What they ran so far.
-    pub fn runs(&self) -> Vec<Run> {
+    pub fn runs(&self) -> Vec<ExecutedRequest> {
         self.shared().runs.clone()
     }
 
     /// The runs of one request.
-    pub fn runs_of(&self, id: &str) -> Vec<Run> {
+    pub fn runs_of(&self, id: &str) -> Vec<ExecutedRequest> {
         self.shared().runs.iter().filter(|r| r.id == id).cloned().collect()
     }
 
@@ -181,19 +181,20 @@
             let act = {
                 let mut shared = self.shared();
                 shared.begun += 1;
-                let usual = shared.usual_at.get(&at).copied().or(shared.usual).unwrap_or(Act::Done);
+                let usual =
+                    shared.usual_at.get(&at).copied().or(shared.usual).unwrap_or(WorkerBehavior::Done);
                 shared.script.pop_front().unwrap_or(usual)
             };
             match act {
-                Act::BreaksBefore => {
+                WorkerBehavior::BreaksBefore => {
                     let _ = reader.read(&mut [0; 16]);
-                    return reset(stream);
+                    return reset_connection(stream);
                 }
-                Act::ReturnedEarly => {
+                WorkerBehavior::ReturnedEarly => {
                     let _ = (&stream).write_all(NOT_STARTED);
                     return;
                 }
-                Act::ReadsNothing => {
+                WorkerBehavior::ReadsNothing => {
                     // It ends when the other side does, which shows as soon as what it wrote was read.
                     while stream.peek(&mut [0]).is_ok_and(|n| n > 0) && !closed(&stream) {
                         thread::sleep(Duration::from_millis(10));
@@ -206,18 +207,19 @@
                 self.shared().broken += 1;
                 return;
             };
-            if !matches!(act, Act::Returned | Act::Unusable) {
-                let run = Run { id: head.id.clone(), at, length: body.len(), sum: sum(&body) };
+            if !matches!(act, WorkerBehavior::Returned | WorkerBehavior::Unusable) {
+                let run =
+                    ExecutedRequest { id: head.id.clone(), at, length: body.len(), sum: checksum(&body) };
                 self.shared().runs.push(run);
             }
             match act {
-                Act::BreaksAfter => return reset(stream),
-                Act::SilentThenReset(milliseconds) => {
+                WorkerBehavior::BreaksAfter => return reset_connection(stream),
+                WorkerBehavior::SilentThenReset(milliseconds) => {
                     let _ = stream.set_read_timeout(Some(Duration::from_millis(milliseconds)));
                     let _ = reader.read(&mut [0; 1]);
-                    return reset(stream);
+                    return reset_connection(stream);
                 }
-                Act::Silent => {
+                WorkerBehavior::Silent => {
                     while reader.read(&mut [0; 64]).is_ok_and(|n| n > 0) {}
                     return;
                 }
@@ -229,41 +231,41 @@
         }
     }
 
-    fn answer(&self, mut stream: &TcpStream, id: &str, act: Act, body: &[u8]) -> io::Result<()> {
-        if act == Act::Returned {
+    fn answer(&self, mut stream: &TcpStream, id: &str, act: WorkerBehavior, body: &[u8]) -> io::Result<()> {
+        if act == WorkerBehavior::Returned {
             return stream.write_all(NOT_STARTED);
         }
-        if act == Act::Unusable {
+        if act == WorkerBehavior::Unusable {
             return stream.write_all(b"HTTP/1.1 400 What\r\nContent-Length: 0\r\n\r\n");
         }
-        stream.write_all(OPEN.as_bytes())?;
+        stream.write_all(CHUNKED_RESPONSE_HEAD.as_bytes())?;
         let mut say = |news: &str| {
             let line = format!("{{\"id\":\"{id}\",\"from\":\"s\",{news}}}\n");
-            stream.write_all(piece(&line).as_bytes())
+            stream.write_all(chunk(&line).as_bytes())
         };
         say("\"state\":\"started\"")?;
         match act {
-            Act::Cuts => {}
-            Act::Garbage => stream.write_all(b"5\r\nwhat\n\r\n")?,
-            Act::Huge => {
+            WorkerBehavior::Cuts => {}
+            WorkerBehavior::Garbage => stream.write_all(b"5\r\nwhat\n\r\n")?,
+            WorkerBehavior::Huge => {
                 let line = vec![b'x'; 300_000];
                 stream.write_all(format!("{:x}\r\n", line.len()).as_bytes())?;
                 stream.write_all(&line)?;
                 stream.write_all(b"\r\n")?;
             }
-            Act::OtherId => {
+            WorkerBehavior::OtherId => {
                 let line = "{\"id\":\"another\",\"from\":\"s\",\"state\":\"done\",\"result\":\"1\"}\n";
-                stream.write_all(piece(line).as_bytes())?;
+                stream.write_all(chunk(line).as_bytes())?;
             }
-            Act::Failed => say("\"state\":\"failed\"")?,
-            Act::Lost => say("\"state\":\"lost\"")?,
+            WorkerBehavior::Failed => say("\"state\":\"failed\"")?,
+            WorkerBehavior::Lost => say("\"state\":\"lost\"")?,
             act => {
                 match act {
-                    Act::Takes(milliseconds) => thread::sleep(Duration::from_millis(milliseconds)),
-                    Act::Held => self.held(),
+                    WorkerBehavior::Takes(milliseconds) => thread::sleep(Duration::from_millis(milliseconds)),
+                    WorkerBehavior::StalledListener => self.held(),
                     _ => {}
                 }
-                say(&format!("\"state\":\"done\",\"result\":\"{} {:x}\"", body.len(), sum(body)))?;
+                say(&format!("\"state\":\"done\",\"result\":\"{} {:x}\"", body.len(), checksum(body)))?;
             }
         }
         stream.write_all(b"0\r\n\r\n")
@@ -280,7 +282,7 @@
 }
 
 /// Ends a connection with a reset: what has come and is not read makes it one.
-pub fn reset(stream: TcpStream) {
+pub fn reset_connection(stream: TcpStream) {
     let _ = stream.set_linger_zero();
     drop(stream);
 }
--- a/crates/test-support/src/between.rs
+++ b/crates/test-support/src/fault_proxy.rs
@@ -33,7 +33,7 @@
 
 /// What a direction has carried since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Carried {
+pub struct ProxyTraffic {
     /// Datagrams that came from the sender.
     pub came: u64,
     /// Copies written to the receiver.
@@ -46,7 +46,7 @@
 
 struct Direction {
     faults: Faults,
-    carried: Carried,
+    carried: ProxyTraffic,
     rng: fastrand::Rng,
 }
 
@@ -87,24 +87,24 @@
 }
 
 /// Stands between `count` processes, numbered from 0, until it is dropped.
-pub struct Between {
+pub struct FaultProxy {
     shared: Arc<Shared>,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Between {
+impl FaultProxy {
     /// Binds the addresses, on loopback at ports that the system picks. Equal seeds spoil alike.
-    pub fn new(count: usize, seed: u64) -> io::Result<Between> {
-        Between::make(count, seed, false)
+    pub fn new(count: usize, seed: u64) -> io::Result<FaultProxy> {
+        FaultProxy::make(count, seed, false)
     }
 
     /// The same where all reach a process at one address of it, which they tell each other. Who sent a datagram shows
     /// in where it came from, so each has to send from where it listens, and to be told by `listens` before it does.
-    pub fn with_one_address_each(count: usize, seed: u64) -> io::Result<Between> {
-        Between::make(count, seed, true)
+    pub fn with_one_address_each(count: usize, seed: u64) -> io::Result<FaultProxy> {
+        FaultProxy::make(count, seed, true)
     }
 
-    fn make(count: usize, seed: u64, one_address: bool) -> io::Result<Between> {
+    fn make(count: usize, seed: u64, one_address: bool) -> io::Result<FaultProxy> {
         let bind = |_| {
             let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
             socket.set_read_timeout(Some(LOOK))?;
@@ -114,7 +114,7 @@
         let sockets = (0..many).map(bind).collect::<io::Result<Vec<_>>>()?;
         let mut rng = fastrand::Rng::with_seed(seed);
         let direction =
-            |_| Direction { faults: Faults::default(), carried: Carried::default(), rng: rng.fork() };
+            |_| Direction { faults: Faults::default(), carried: ProxyTraffic::default(), rng: rng.fork() };
         let state = State {
             at: vec![None; count],
             directions: (0..count * count).map(direction).collect(),
@@ -139,7 +139,7 @@
             .collect();
         let deliver_for = shared.clone();
         threads.push(std::thread::spawn(move || deliver(&deliver_for)));
-        Ok(Between { shared, threads })
+        Ok(FaultProxy { shared, threads })
     }
 
     /// The address at which process `from` reaches process `to`.
@@ -171,12 +171,12 @@
     }
 
     /// What a direction has carried.
-    pub fn carried(&self, from: usize, to: usize) -> Carried {
+    pub fn carried(&self, from: usize, to: usize) -> ProxyTraffic {
         self.shared.state().directions[from * self.shared.count + to].carried
     }
 }
 
-impl Drop for Between {
+impl Drop for FaultProxy {
     fn drop(&mut self) {
         self.shared.over.store(true, Ordering::Release);
         self.shared.news.notify_all();
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,28 +1,30 @@
 //! Scripted peers and checkers of the rules, shared by the tests of all packages. Nothing in the product
 //! imports this. All peers bind to loopback addresses only, on ports that the system chooses.
 
-mod between;
-mod boxes;
 mod cases;
 mod checker;
+mod chunked;
 mod client;
-mod disk;
-mod held;
-mod open;
+mod fake_disk;
+mod fake_workers;
+mod fault_proxy;
 mod preload;
 mod program;
 mod settings;
 mod share;
+mod unreachable;
 
-pub use between::{Between, Carried, Faults};
-pub use boxes::{Act, Boxes, Run, reset, sum, text};
-pub use cases::check;
-pub use checker::{Checker, ONCE};
-pub use client::{Ask, Reply};
-pub use disk::{Conduct, StandInDisk};
-pub use held::{Held, Refusing};
-pub use open::{OPEN, piece, say, target};
-pub use preload::{FaultPlan, injected};
-pub use program::{Program, Scratch};
-pub use settings::{boxes_file, one_box};
+pub use cases::check_cases;
+pub use checker::{AT_MOST_ONCE_CLASS, Checker};
+pub use chunked::{CHUNKED_RESPONSE_HEAD, chunk, read_request_target, send_chunk};
+pub use client::{TestRequest, TestResponse};
+pub use fake_disk::{DiskFaults, FakeDisk};
+pub use fake_workers::{
+    ExecutedRequest, FakeWorkers, WorkerBehavior, checksum, reset_connection, sample_bytes,
+};
+pub use fault_proxy::{FaultProxy, Faults, ProxyTraffic};
+pub use preload::{FaultPlan, injected_faults};
+pub use program::{Program, ScratchDir};
+pub use settings::{single_worker_config, workers_config};
 pub use share::{CpuShare, processor_time};
+pub use unreachable::{RefusingPort, StalledListener};
--- a/crates/test-support/src/preload.rs
+++ b/crates/test-support/src/preload.rs
@@ -1,6 +1,6 @@
 //! The fault shim (`crates/fault-shim`) as tests preload it into the program.
 
-use crate::program::Scratch;
+use crate::program::ScratchDir;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::process::Command;
@@ -36,15 +36,15 @@
     }
 
     /// Preloads the shim into what `command` starts; the counts go to a file in `scratch`.
-    pub fn preload(&self, command: &mut Command, scratch: &Scratch) {
+    pub fn preload(&self, command: &mut Command, scratch: &ScratchDir) {
         command.env("LD_PRELOAD", library()).env("FAULT_COUNTS", scratch.at("faults"));
         command.env("FAULT_PLAN", &self.calls).env("FAULT_CLOCK", &self.clock);
         command.env("FAULT_SEED", self.seed.to_string());
     }
 }
 
-/// How often each fault was injected into a program that has ended, by call and error.
-pub fn injected(scratch: &Scratch) -> BTreeMap<String, u64> {
+/// How often each fault was injected_faults into a program that has ended, by call and error.
+pub fn injected_faults(scratch: &ScratchDir) -> BTreeMap<String, u64> {
     let text = std::fs::read_to_string(scratch.at("faults")).expect("the program has ended");
     let line = |line: &str| {
         let (name, count) = line.rsplit_once(' ').expect("a count");
--- a/crates/test-support/src/program.rs
+++ b/crates/test-support/src/program.rs
@@ -6,16 +6,16 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 /// A directory of a test's own, gone when dropped.
-pub struct Scratch(pub PathBuf);
+pub struct ScratchDir(pub PathBuf);
 
-impl Scratch {
+impl ScratchDir {
     /// A new one, whose name holds `name`.
-    pub fn new(name: &str) -> Scratch {
+    pub fn new(name: &str) -> ScratchDir {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("sorrelhaven-{}-{number}-{name}", std::process::id()));
         std::fs::create_dir_all(&path).expect("a directory");
-        Scratch(path.canonicalize().expect("it is there"))
+        ScratchDir(path.canonicalize().expect("it is there"))
     }
 
     /// A path in it.
@@ -39,7 +39,7 @@
     }
 }
 
-impl Drop for Scratch {
+impl Drop for ScratchDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -134,7 +134,7 @@
         answer
     }
 
-    /// One of the figures that it shows its operators, over all classes.
+    /// One of the metrics that it shows its operators, over all classes.
     pub fn shown(&self, name: &str) -> u64 {
         let text = self.call("show-stat");
         let of = |line: &str| {
@@ -153,7 +153,7 @@
     /// A figure of its counters now.
     pub fn figure(&mut self, name: &str) -> u64 {
         self.signal("USR1");
-        let line = self.line("taken=");
+        let line = self.line("admitted=");
         let found = line.split_whitespace().find_map(|f| f.strip_prefix(&format!("{name}=")));
         found.and_then(|f| f.parse().ok()).unwrap_or_else(|| panic!("no {name} in {line}"))
     }
--- a/crates/test-support/src/settings.rs
+++ b/crates/test-support/src/settings.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 /// A node's file that knows one box, `s-1` at `dial`, and one class, `fee`, of the given effect.
-pub fn one_box(dial: SocketAddr, effect: &str) -> String {
+pub fn single_worker_config(dial: SocketAddr, effect: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f",
             "limits":{{"sockets":256}},
@@ -15,7 +15,7 @@
 
 /// A node's file that knows these boxes and three classes: `renewal-check` (a repeat is harmless), `licence-issue`
 /// (keyed) and `fee-charge` (must not run twice).
-pub fn boxes_file(boxes: &[SocketAddr]) -> String {
+pub fn workers_config(boxes: &[SocketAddr]) -> String {
     let host = |(i, dial): (usize, &SocketAddr)| {
         format!(r#"{{"host":"s-{i}","dial":"{dial}","health":"in_service"}}"#)
     };
--- a/crates/test-support/src/held.rs
+++ b/crates/test-support/src/unreachable.rs
@@ -6,19 +6,19 @@
 use std::time::Duration;
 
 /// A listener whose queue is full: whoever connects waits, as on a network that drops the first packet.
-pub struct Held {
+pub struct StalledListener {
     listener: TcpListener,
     queue: Vec<TcpStream>,
     /// Where it listens.
     pub address: SocketAddr,
 }
 
-impl Held {
+impl StalledListener {
     /// A listener with a full queue.
     ///
     /// # Errors
     /// Those of the sockets.
-    pub fn new() -> io::Result<Held> {
+    pub fn new() -> io::Result<StalledListener> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         rustix::net::listen(&listener, 0)?;
         let address = listener.local_addr()?;
@@ -27,7 +27,7 @@
         while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(200)) {
             queue.push(stream);
         }
-        Ok(Held { listener, queue, address })
+        Ok(StalledListener { listener, queue, address })
     }
 
     /// Lets connections come up from now on: those that wait within the system's time for sending a packet again,
@@ -45,22 +45,22 @@
 }
 
 /// A port that is taken and at which nobody listens: whoever connects is refused, and nobody else gets it meanwhile.
-pub struct Refusing {
+pub struct RefusingPort {
     _socket: OwnedFd,
     /// Where nobody listens.
     pub address: SocketAddr,
 }
 
-impl Refusing {
+impl RefusingPort {
     /// A port that refuses all.
     ///
     /// # Errors
     /// Those of the sockets.
-    pub fn new() -> io::Result<Refusing> {
+    pub fn new() -> io::Result<RefusingPort> {
         use rustix::net::{AddressFamily, SocketType, bind, getsockname, socket};
         let socket = socket(AddressFamily::INET, SocketType::STREAM, None)?;
         bind(&socket, &SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))?;
         let address = SocketAddr::try_from(getsockname(&socket)?)?;
-        Ok(Refusing { _socket: socket, address })
+        Ok(RefusingPort { _socket: socket, address })
     }
 }
--- a/crates/test-support/tests/between.rs
+++ b/crates/test-support/tests/fault_proxy.rs
@@ -1,11 +1,11 @@
 //! The stand-in between processes does to datagrams what it was told, and the same with the same seed.
 
-use sorrelhaven_test_support::{Between, Faults};
+use sorrelhaven_test_support::{FaultProxy, Faults};
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
 
-fn pair(seed: u64) -> (Between, [UdpSocket; 2]) {
-    let between = Between::new(2, seed).expect("addresses");
+fn pair(seed: u64) -> (FaultProxy, [UdpSocket; 2]) {
+    let between = FaultProxy::new(2, seed).expect("addresses");
     let ends = [0, 1].map(|n| {
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
         socket.set_read_timeout(Some(Duration::from_millis(300))).expect("a bound");
@@ -16,7 +16,7 @@
 }
 
 /// Sends the numbers up to `count` from one end and gives those that arrive at the other, in their order.
-fn send(between: &Between, ends: &[UdpSocket; 2], from: usize, count: u8) -> Vec<u8> {
+fn send(between: &FaultProxy, ends: &[UdpSocket; 2], from: usize, count: u8) -> Vec<u8> {
     let to = between.address(from, 1 - from).expect("an address");
     (0..count).for_each(|n| _ = ends[from].send_to(&[n], to).expect("sent"));
     let mut buffer = [0; 8];
@@ -83,7 +83,7 @@
 
 #[test]
 fn what_comes_for_a_process_that_does_not_listen_yet_is_lost() {
-    let between = Between::new(2, 6).expect("addresses");
+    let between = FaultProxy::new(2, 6).expect("addresses");
     let sender = UdpSocket::bind("127.0.0.1:0").expect("a port");
     sender.send_to(&[1], between.address(0, 1).expect("an address")).expect("sent");
     let by = Instant::now() + Duration::from_secs(5);
--- a/crates/wire/src/body.rs
+++ b/crates/wire/src/body.rs
@@ -1,6 +1,6 @@
 //! Bodies as RFC 9112 frames them: a length, chunks, or all until the connection closes.
 
-use crate::fault::Fault;
+use crate::error::WireError;
 
 /// The most a chunk's size line or the trailer may hold, in bytes.
 const CHUNK_LINE_MOST: usize = 1024;
@@ -26,7 +26,7 @@
 
 impl Body {
     /// Moves what `input` holds of the body to `out` and returns how much of `input` it has used.
-    pub fn decode(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, Fault> {
+    pub fn decode(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, WireError> {
         let mut at = 0;
         loop {
             let rest = &input[at..];
@@ -53,10 +53,10 @@
                     }
                     Ok(httparse::Status::Complete((used, size))) => {
                         at += used;
-                        *self = Body::Chunk(usize::try_from(size).map_err(|_| Fault::BodyTooLarge)?);
+                        *self = Body::Chunk(usize::try_from(size).map_err(|_| WireError::BodyTooLarge)?);
                     }
                     Ok(httparse::Status::Partial) if rest.len() < CHUNK_LINE_MOST => return Ok(at),
-                    Ok(httparse::Status::Partial) | Err(_) => return Err(Fault::Malformed),
+                    Ok(httparse::Status::Partial) | Err(_) => return Err(WireError::Malformed),
                 },
                 Body::Chunk(left) => {
                     let take = left.min(rest.len());
@@ -70,7 +70,7 @@
                         *self = Body::Size;
                     }
                     [b'\r'] => return Ok(at),
-                    _ => return Err(Fault::Malformed),
+                    _ => return Err(WireError::Malformed),
                 },
                 Body::Trailer => match rest.iter().position(|&b| b == b'\n') {
                     Some(end) => {
@@ -80,7 +80,7 @@
                         }
                     }
                     None if rest.len() < CHUNK_LINE_MOST => return Ok(at),
-                    None => return Err(Fault::Malformed),
+                    None => return Err(WireError::Malformed),
                 },
             }
         }
--- a/crates/wire/src/connect.rs
+++ b/crates/wire/src/connect.rs
@@ -1,6 +1,6 @@
 //! Connections that are made, and sockets that are taken into the event loop.
 
-use crate::errno::{Call, Failure, classify, shortage_pause};
+use crate::errno::{SocketCall, SocketFailure, classify, shortage_pause};
 use async_io::Async;
 use rustix::io::Errno;
 use rustix::net::{AddressFamily, SocketFlags, SocketType, ipproto};
@@ -18,15 +18,17 @@
 /// Connects to `address`. A shortage of this machine is waited out for [`SHORTAGE_MOST`].
 ///
 /// # Errors
-/// Those of the last call; `classify` with [`Call::Connect`] tells whose fault it is.
+/// Those of the last call; `classify` with [`SocketCall::Connect`] tells whose fault it is.
 pub(crate) async fn connect(address: SocketAddr) -> io::Result<Socket> {
     let until = Instant::now() + SHORTAGE_MOST;
     loop {
         match connect_once(address).await {
-            Err(error) if Instant::now() < until => match classify(Call::Connect, &error) {
-                Failure::Interrupted => {}
-                Failure::Shortage => shortage_pause().await,
-                Failure::NotReady | Failure::DescriptorLimit | Failure::Connection => return Err(error),
+            Err(error) if Instant::now() < until => match classify(SocketCall::Connect, &error) {
+                SocketFailure::Interrupted => {}
+                SocketFailure::Shortage => shortage_pause().await,
+                SocketFailure::NotReady | SocketFailure::DescriptorLimit | SocketFailure::Connection => {
+                    return Err(error);
+                }
             },
             ended => return ended,
         }
@@ -57,10 +59,12 @@
     let (stream, until) = (Arc::new(stream), Instant::now() + SHORTAGE_MOST);
     loop {
         match Async::new_nonblocking(stream.clone()) {
-            Err(error) if Instant::now() < until => match classify(Call::Transfer, &error) {
-                Failure::Interrupted => {}
-                Failure::Shortage => shortage_pause().await,
-                Failure::NotReady | Failure::DescriptorLimit | Failure::Connection => return Err(error),
+            Err(error) if Instant::now() < until => match classify(SocketCall::Transfer, &error) {
+                SocketFailure::Interrupted => {}
+                SocketFailure::Shortage => shortage_pause().await,
+                SocketFailure::NotReady | SocketFailure::DescriptorLimit | SocketFailure::Connection => {
+                    return Err(error);
+                }
             },
             ended => return ended,
         }
--- a/crates/wire/src/errno.rs
+++ b/crates/wire/src/errno.rs
@@ -1,7 +1,7 @@
 //! What a failed system call on a socket says: the one place that reads error numbers.
 //!
 //! `docs/errnos.md` has the table of calls and errors that this follows. Whoever makes a call asks [`classify`] and acts
-//! on the [`Failure`]; no other file compares error numbers of sockets.
+//! on the [`SocketFailure`]; no other file compares error numbers of sockets.
 
 use async_io::Timer;
 use rustix::io::Errno;
@@ -13,7 +13,7 @@
 
 /// The calls whose errors mean different things.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum SocketCall {
     /// `accept4` on a listener.
     Accept,
     /// `socket`, `bind` and `listen` for a listener; an address that is taken is not a shortage.
@@ -26,7 +26,7 @@
 
 /// What a failed call says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum SocketFailure {
     /// A signal came in between: the call is to be made again at once.
     Interrupted,
     /// Nothing can be done at the moment: the call is to be made again when the socket is ready.
@@ -41,26 +41,30 @@
 }
 
 /// What this error of this call says.
-pub fn classify(call: Call, error: &io::Error) -> Failure {
+pub fn classify(call: SocketCall, error: &io::Error) -> SocketFailure {
     let Some(errno) = Errno::from_io_error(error) else {
         return match error.kind() {
-            io::ErrorKind::Interrupted => Failure::Interrupted,
-            io::ErrorKind::WouldBlock => Failure::NotReady,
-            _ => Failure::Connection,
+            io::ErrorKind::Interrupted => SocketFailure::Interrupted,
+            io::ErrorKind::WouldBlock => SocketFailure::NotReady,
+            _ => SocketFailure::Connection,
         };
     };
     match (call, errno) {
-        (_, Errno::INTR) => Failure::Interrupted,
-        (_, Errno::MFILE) => Failure::DescriptorLimit,
-        (_, Errno::NFILE | Errno::NOBUFS | Errno::NOMEM | Errno::NOSPC) => Failure::Shortage,
+        (_, Errno::INTR) => SocketFailure::Interrupted,
+        (_, Errno::MFILE) => SocketFailure::DescriptorLimit,
+        (_, Errno::NFILE | Errno::NOBUFS | Errno::NOMEM | Errno::NOSPC) => SocketFailure::Shortage,
         // A non-blocking connect has no "not ready" of its own: this is a lack of local ports.
-        (Call::Connect, Errno::AGAIN | Errno::ADDRNOTAVAIL | Errno::ADDRINUSE) => Failure::Shortage,
+        (SocketCall::Connect, Errno::AGAIN | Errno::ADDRNOTAVAIL | Errno::ADDRINUSE) => {
+            SocketFailure::Shortage
+        }
         // No way out of this machine, or none that its own rules allow: the same for every peer.
-        (Call::Connect, Errno::NETUNREACH | Errno::NETDOWN | Errno::PERM | Errno::ACCESS) => {
-            Failure::Shortage
+        (SocketCall::Connect, Errno::NETUNREACH | Errno::NETDOWN | Errno::PERM | Errno::ACCESS) => {
+            SocketFailure::Shortage
+        }
+        (SocketCall::Accept | SocketCall::Listen | SocketCall::Transfer, Errno::AGAIN) => {
+            SocketFailure::NotReady
         }
-        (Call::Accept | Call::Listen | Call::Transfer, Errno::AGAIN) => Failure::NotReady,
-        _ => Failure::Connection,
+        _ => SocketFailure::Connection,
     }
 }
 
--- a/crates/wire/src/fault.rs
+++ b/crates/wire/src/error.rs
@@ -2,7 +2,7 @@
 
 /// Why a message could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum WireError {
     /// The other side ended its sending.
     Closed,
     /// The connection broke.
--- a/crates/wire/src/head.rs
+++ b/crates/wire/src/head.rs
@@ -1,16 +1,16 @@
 //! Heads: the first line and the headers of a message.
 
 use crate::body::Body;
-use crate::fault::Fault;
+use crate::error::WireError;
 
 /// The most bytes a head may hold.
-pub const HEAD_MOST: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// The most header lines of a head.
 const HEADERS_MOST: usize = 64;
 
 /// The first line of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum StartLine {
     /// A request.
     Request {
         /// Its method.
@@ -19,31 +19,31 @@
         target: String,
     },
     /// An answer.
-    Answer {
+    Response {
         /// Its status.
         status: u16,
     },
 }
 
 /// A head and the bytes it took; `None` while it is incomplete.
-pub type Parsed = Result<Option<(Head, usize)>, Fault>;
+pub type Parsed = Result<Option<(Head, usize)>, WireError>;
 
 /// A message's head.
 #[derive(Clone, Debug)]
 pub struct Head {
     /// Its first line.
-    pub start: Start,
+    pub start: StartLine,
     headers: Vec<(String, String)>,
     minor: u8,
 }
 
 impl Head {
     /// Reads a request's head off the front of `bytes`; `None` while it is incomplete.
-    pub fn request(bytes: &[u8]) -> Parsed {
+    pub fn parse_request(bytes: &[u8]) -> Parsed {
         let mut lines = [httparse::EMPTY_HEADER; HEADERS_MOST];
         let mut parsed = httparse::Request::new(&mut lines);
         let status = parsed.parse(bytes);
-        let start = Start::Request {
+        let start = StartLine::Request {
             method: parsed.method.unwrap_or_default().to_string(),
             target: parsed.path.unwrap_or_default().to_string(),
         };
@@ -52,11 +52,11 @@
     }
 
     /// Reads an answer's head off the front of `bytes`; `None` while it is incomplete.
-    pub fn answer(bytes: &[u8]) -> Parsed {
+    pub fn parse_response(bytes: &[u8]) -> Parsed {
         let mut lines = [httparse::EMPTY_HEADER; HEADERS_MOST];
         let mut parsed = httparse::Response::new(&mut lines);
         let status = parsed.parse(bytes);
-        let start = Start::Answer { status: parsed.code.unwrap_or_default() };
+        let start = StartLine::Response { status: parsed.code.unwrap_or_default() };
         let minor = parsed.version.unwrap_or(1);
         Head::finish(bytes, status, start, minor, parsed.headers)
     }
@@ -64,20 +64,20 @@
     fn finish(
         bytes: &[u8],
         status: httparse::Result<usize>,
-        start: Start,
+        start: StartLine,
         minor: u8,
         lines: &[httparse::Header<'_>],
     ) -> Parsed {
         match status {
-            Ok(httparse::Status::Complete(used)) if used <= HEAD_MOST => {
+            Ok(httparse::Status::Complete(used)) if used <= MAX_HEAD_BYTES => {
                 let text = |h: &httparse::Header<'_>| {
                     (h.name.to_string(), String::from_utf8_lossy(h.value).trim().to_string())
                 };
                 Ok(Some((Head { start, headers: lines.iter().map(text).collect(), minor }, used)))
             }
-            Ok(httparse::Status::Partial) if bytes.len() < HEAD_MOST => Ok(None),
-            Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(Fault::HeadTooLarge),
-            Err(_) => Err(Fault::Malformed),
+            Ok(httparse::Status::Partial) if bytes.len() < MAX_HEAD_BYTES => Ok(None),
+            Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(WireError::HeadTooLarge),
+            Err(_) => Err(WireError::Malformed),
         }
     }
 
@@ -107,28 +107,30 @@
 
     /// How the body is framed. A message that gives two lengths is one that two readers may take apart
     /// differently, so it is malformed.
-    pub fn body(&self) -> Result<Body, Fault> {
+    pub fn body(&self) -> Result<Body, WireError> {
         let mut lengths = self.all("Content-Length");
         let mut codings = self.all("Transfer-Encoding");
         match (lengths.next(), codings.next()) {
-            (Some(_), Some(_)) => Err(Fault::Malformed),
+            (Some(_), Some(_)) => Err(WireError::Malformed),
             (Some(length), None) => {
                 let digits = !length.is_empty() && length.bytes().all(|b| b.is_ascii_digit());
                 if !digits || lengths.any(|other| other != length) {
-                    return Err(Fault::Malformed);
+                    return Err(WireError::Malformed);
                 }
-                Ok(Body::Length(length.parse().map_err(|_| Fault::BodyTooLarge)?))
+                Ok(Body::Length(length.parse().map_err(|_| WireError::BodyTooLarge)?))
             }
             (None, Some(coding)) => {
                 if coding.eq_ignore_ascii_case("chunked") && codings.next().is_none() && self.minor >= 1 {
                     Ok(Body::Size)
                 } else {
-                    Err(Fault::Malformed)
+                    Err(WireError::Malformed)
                 }
             }
             (None, None) => Ok(match self.start {
-                Start::Request { .. } | Start::Answer { status: 100..=199 | 204 | 304 } => Body::Length(0),
-                Start::Answer { .. } => Body::UntilClosed,
+                StartLine::Request { .. } | StartLine::Response { status: 100..=199 | 204 | 304 } => {
+                    Body::Length(0)
+                }
+                StartLine::Response { .. } => Body::UntilClosed,
             }),
         }
     }
--- a/crates/wire/src/objects.rs
+++ b/crates/wire/src/objects.rs
@@ -1,15 +1,15 @@
 //! A body read as JSON objects that follow each other, each on one line or on many.
 
 use crate::body::Body;
-use crate::fault::Fault;
-use crate::link::Link;
+use crate::connection::Connection;
+use crate::error::WireError;
 
 /// The most objects and arrays inside each other.
 const DEPTH_MOST: usize = 64;
 
 /// What has come of a body.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Came {
+pub enum JsonObjectEvent {
     /// An object, without the white space between its parts.
     Object(Vec<u8>),
     /// Something that completes no object: a blank line, or a part of one.
@@ -19,17 +19,17 @@
 }
 
 /// A body read as objects.
-pub struct Objects {
+pub struct JsonObjectReader {
     body: Body,
     input: Vec<u8>,
     used: usize,
     cutter: Cutter,
 }
 
-impl Objects {
-    /// Objects of at most `most` bytes each, the white space between their parts not counted.
-    pub fn new(body: Body, most: usize) -> Objects {
-        Objects { body, input: Vec::new(), used: 0, cutter: Cutter::new(most) }
+impl JsonObjectReader {
+    /// JsonObjectReader of at most `most` bytes each, the white space between their parts not counted.
+    pub fn new(body: Body, most: usize) -> JsonObjectReader {
+        JsonObjectReader { body, input: Vec::new(), used: 0, cutter: Cutter::new(most) }
     }
 
     /// Whether an object has begun and is not whole.
@@ -42,21 +42,21 @@
     /// # Errors
     /// What is no JSON object, or has a blank line inside: it was torn, and what follows is no part of it. One that is
     /// too large, and what can go wrong on the link.
-    pub async fn next(&mut self, link: &mut Link) -> Result<Came, Fault> {
+    pub async fn next(&mut self, link: &mut Connection) -> Result<JsonObjectEvent, WireError> {
         if self.used == self.input.len() {
             self.used = 0;
             self.input.clear();
-            if !link.more(&mut self.body, &mut self.input).await? {
-                return if self.cutter.inside() { Err(Fault::Closed) } else { Ok(Came::End) };
+            if !link.read_body_chunk(&mut self.body, &mut self.input).await? {
+                return if self.cutter.inside() { Err(WireError::Closed) } else { Ok(JsonObjectEvent::End) };
             }
         }
         while let Some(&byte) = self.input.get(self.used) {
             self.used += 1;
             if let Some(object) = self.cutter.push(byte)? {
-                return Ok(Came::Object(object));
+                return Ok(JsonObjectEvent::Object(object));
             }
         }
-        Ok(Came::Part)
+        Ok(JsonObjectEvent::Part)
     }
 }
 
@@ -87,11 +87,11 @@
     }
 
     /// Takes one byte; the object where that completes one.
-    fn push(&mut self, byte: u8) -> Result<Option<Vec<u8>>, Fault> {
+    fn push(&mut self, byte: u8) -> Result<Option<Vec<u8>>, WireError> {
         if let Some(escape) = self.string {
             // A string has no line ends: this one was torn.
             if byte < b' ' {
-                return Err(Fault::Malformed);
+                return Err(WireError::Malformed);
             }
             self.string = match (escape, byte) {
                 (Escape::No, b'"') => None,
@@ -101,7 +101,7 @@
             return self.keep(byte);
         }
         match byte {
-            b'\n' if self.inside() && self.blank => return Err(Fault::Malformed),
+            b'\n' if self.inside() && self.blank => return Err(WireError::Malformed),
             b' ' | b'\t' | b'\r' | b'\n' => {
                 self.gap = true;
                 self.blank |= byte == b'\n';
@@ -115,21 +115,21 @@
                     Some(_) => matches!(before, Some(b'[' | b',')),
                 };
                 if !fits || self.open.len() == DEPTH_MOST {
-                    return Err(Fault::Malformed);
+                    return Err(WireError::Malformed);
                 }
                 self.open.push(byte);
             }
             b'}' | b']' => {
                 let opened = if byte == b'}' { b'{' } else { b'[' };
                 if self.open.pop() != Some(opened) {
-                    return Err(Fault::Malformed);
+                    return Err(WireError::Malformed);
                 }
             }
-            _ if !self.inside() => return Err(Fault::Malformed),
+            _ if !self.inside() => return Err(WireError::Malformed),
             b'"' => self.string = Some(Escape::No),
             // Two words must not become one where the space between them goes.
             _ if self.gap && self.text.last().is_some_and(|&last| word(last)) && word(byte) => {
-                return Err(Fault::Malformed);
+                return Err(WireError::Malformed);
             }
             _ => {}
         }
@@ -137,9 +137,9 @@
         self.keep(byte)
     }
 
-    fn keep(&mut self, byte: u8) -> Result<Option<Vec<u8>>, Fault> {
+    fn keep(&mut self, byte: u8) -> Result<Option<Vec<u8>>, WireError> {
         if self.text.len() == self.most {
-            return Err(Fault::BodyTooLarge);
+            return Err(WireError::BodyTooLarge);
         }
         self.text.push(byte);
         Ok((!self.inside()).then(|| std::mem::take(&mut self.text)))
@@ -155,16 +155,16 @@
 mod tests {
     use super::*;
     use proptest::prelude::*;
-    use sorrelhaven_test_support::check;
+    use sorrelhaven_test_support::check_cases;
 
     /// The objects in a text, or the fault that ends them.
-    fn cut(text: &str, most: usize) -> Result<Vec<String>, Fault> {
+    fn cut(text: &str, most: usize) -> Result<Vec<String>, WireError> {
         let mut cutter = Cutter::new(most);
         let mut objects = Vec::new();
         for byte in text.bytes() {
             objects.extend(cutter.push(byte)?.map(|o| String::from_utf8(o).expect("text")));
         }
-        if cutter.inside() { Err(Fault::Closed) } else { Ok(objects) }
+        if cutter.inside() { Err(WireError::Closed) } else { Ok(objects) }
     }
 
     #[test]
@@ -180,13 +180,13 @@
         let torn =
             ["{\"seq\":6,\n\n", "{\"seq\":6,\n{\"seq\":7", "{\"name\":\"s-\n", "{\"a\":[1,2}", "}", "[", "7"];
         for text in torn {
-            assert_eq!(cut(text, 100), Err(Fault::Malformed), "{text:?}");
+            assert_eq!(cut(text, 100), Err(WireError::Malformed), "{text:?}");
         }
-        assert_eq!(cut("{\"a\":1 2}", 100), Err(Fault::Malformed));
-        assert_eq!(cut(&"{\"a\":[".repeat(40), 1000), Err(Fault::Malformed));
-        assert_eq!(cut("{\"a\":", 100), Err(Fault::Closed));
+        assert_eq!(cut("{\"a\":1 2}", 100), Err(WireError::Malformed));
+        assert_eq!(cut(&"{\"a\":[".repeat(40), 1000), Err(WireError::Malformed));
+        assert_eq!(cut("{\"a\":", 100), Err(WireError::Closed));
         assert_eq!(cut("{ \"a\" :\n 12 }", 8), Ok(vec!["{\"a\":12}".to_string()]));
-        assert_eq!(cut("{\"a\":123}", 8), Err(Fault::BodyTooLarge));
+        assert_eq!(cut("{\"a\":123}", 8), Err(WireError::BodyTooLarge));
     }
 
     /// Any JSON value of some depth.
@@ -208,7 +208,7 @@
 
     #[test]
     fn objects_are_the_same_however_they_are_laid_out() {
-        check(300, prop::collection::vec((value(), any::<bool>()), 0..6), |objects| {
+        check_cases(300, prop::collection::vec((value(), any::<bool>()), 0..6), |objects| {
             let mut text = String::new();
             let mut plain = Vec::new();
             for (value, indented) in objects {
--- a/crates/wire/tests/framing.rs
+++ b/crates/wire/tests/framing.rs
@@ -1,14 +1,14 @@
 //! Heads and bodies: cut anywhere, malformed, or plain nonsense.
 
 use proptest::prelude::*;
-use sorrelhaven_test_support::check;
-use sorrelhaven_wire::{Body, Fault, Head};
+use sorrelhaven_test_support::check_cases;
+use sorrelhaven_wire::{Body, Head, WireError};
 
 /// A body reads the same however the network cuts it, and ends exactly where it ends.
 #[test]
 fn a_chunked_body_reads_the_same_in_any_pieces() {
     let chunks = prop::collection::vec(prop::collection::vec(any::<u8>(), 1..40), 0..6);
-    check(256, (chunks, 1usize..9), |(chunks, step)| {
+    check_cases(256, (chunks, 1usize..9), |(chunks, step)| {
         let mut wire = Vec::new();
         for chunk in &chunks {
             wire.extend_from_slice(format!("{:x}\r\n", chunk.len()).as_bytes());
@@ -36,9 +36,9 @@
         prop::sample::select(vec!["GET ", "HTTP/1.1 200", "\r\n", "0", "ffffffffffffffff", ":", ";", "\0"]);
     let bytes =
         prop_oneof![odd.prop_map(|s| s.as_bytes().to_vec()), prop::collection::vec(any::<u8>(), 0..9)];
-    check(512, prop::collection::vec(bytes, 0..12), |pieces| {
+    check_cases(512, prop::collection::vec(bytes, 0..12), |pieces| {
         let bytes = pieces.concat();
-        let _ = (Head::request(&bytes), Head::answer(&bytes));
+        let _ = (Head::parse_request(&bytes), Head::parse_response(&bytes));
         for mut body in [Body::Size, Body::Chunk(3), Body::ChunkEnd, Body::Trailer, Body::Length(5)] {
             let used = body.decode(&bytes, &mut Vec::new());
             prop_assert!(used.is_err() || used.is_ok_and(|n| n <= bytes.len()));
@@ -59,7 +59,7 @@
         "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked",
     ] {
         let head = format!("POST /api HTTP/1.1\r\n{lengths}\r\n\r\n");
-        let (head, _) = Head::request(head.as_bytes()).expect("a head").expect("all of it");
-        assert_eq!(head.body().err(), Some(Fault::Malformed), "{lengths}");
+        let (head, _) = Head::parse_request(head.as_bytes()).expect("a head").expect("all of it");
+        assert_eq!(head.body().err(), Some(WireError::Malformed), "{lengths}");
     }
 }
