--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -138,15 +138,15 @@
     /// whole is answered 408.
     #[schemars(range(min = 1, max = 1_099_511_627_776u64))]
     pub slowest_bytes_per_s: u64,
-    /// BodySettings in memory.
+    /// Bodies in memory.
     pub memory: BodyMemory,
-    /// BodySettings in files.
+    /// Bodies in files.
     pub files: BodyFiles,
     /// What becomes of a request whose body can be kept nowhere.
     pub unkept: Unkept,
 }
 
-/// BodySettings in memory.
+/// Bodies in memory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct BodyMemory {
@@ -158,7 +158,7 @@
     pub total_bytes: u64,
 }
 
-/// BodySettings in files.
+/// Bodies in files.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct BodyFiles {
