--- a/crates/config/src/hosts.rs
+++ b/crates/config/src/hosts.rs
@@ -40,7 +40,7 @@
     #[serde(default = "one")]
     pub share: f64,
     /// Its last start, in Unix time; 0 when that is long ago.
-    #[serde(default)]
+    #[serde(default, rename = "born_ms")]
     pub started_ms: i64,
 }
 
@@ -55,7 +55,7 @@
     #[serde(default)]
     pub seq: u64,
     /// It replaces what was known.
-    #[serde(default)]
+    #[serde(default, rename = "whole")]
     pub complete: bool,
     /// Its entries.
     pub hosts: Vec<DiscoveryHost>,
