--- a/crates/body-store/src/lib.rs
+++ b/crates/body-store/src/lib.rs
@@ -15,7 +15,7 @@
 //! let bodies = BodyStore::new(&Default::default(), 1, None, || None);
 //! async_io::block_on(async {
 //!     let mut writer = bodies.begin(0, Some(4)).map_err(|(end, _)| end)?;
-//!     let spool = writer.spool();
+//!     let spool = writer.body();
 //!     writer.push(b"body").await?;
 //!     assert_eq!(writer.finish().await, BodyEnd::InMemory);
 //!     let (mut reader, mut out) = (spool.reader(), Vec::new());
