--- a/crates/node/tests/many.rs
+++ b/crates/node/tests/many.rs
@@ -83,7 +83,7 @@
     let mut command = Command::new("sh");
     // Its log is read at the end only, so it must not hold a line for each list.
     command.args(["-c", "ulimit -n 256; exec \"$0\"", env!("CARGO_BIN_EXE_sorrelhaven")]);
-    command.env("RUST_LOG", "info,sorrelhaven_engine::host_group=warn");
+    command.env("RUST_LOG", "info,sorrelhaven_engine::discovery_watch=warn");
     command.env("RELAY_OPS", "127.0.0.1:0");
     let node = Program::start(command, &file, None);
     let asks = |from: usize, to: usize| {
--- a/crates/node/tests/members.rs
+++ b/crates/node/tests/members.rs
@@ -51,7 +51,7 @@
         let platform = self.scratch.write(&format!("node{n}.json"), &platform);
         let mut command = Command::new(env!("CARGO_BIN_EXE_sorrelhaven"));
         command.env("RELAY_OPS", "127.0.0.1:0");
-        command.env("RUST_LOG", "info,sorrelhaven_engine::host_group=error");
+        command.env("RUST_LOG", "info,sorrelhaven_engine::discovery_watch=error");
         let node = Program::start(command, &platform, Some(&operator));
         // What it has sent until here came from nobody that the stand-in knows, and is lost.
         let line =
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -7,7 +7,7 @@
 //! use sorrelhaven_wire::{Body, Head};
 //!
 //! let text = b"POST /api HTTP/1.1\r\nContent-Length: 4\r\n\r\nbody";
-//! let (head, used) = Head::request(text)?.expect("the whole head is there");
+//! let (head, used) = Head::parse_request(text)?.expect("the whole head is there");
 //! let (mut body, mut out) = (head.body()?, Vec::new());
 //! body.decode(&text[used..], &mut out)?;
 //! assert_eq!((body, out.as_slice()), (Body::Done, b"body".as_slice()));
