--- a/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -3,10 +3,10 @@
 use crate::count::Count;
 use crate::invariants::Invariants;
 use crate::responsiveness::Responsiveness;
+use sorrelhaven_dispatcher::Outcome;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use stepusher::Outcome;
 
 /// A client that has left must not have its request sent on from so long after it left.
 pub const LATE: Duration = Duration::from_millis(100);
@@ -15,15 +15,15 @@
 #[derive(Default)]
 pub struct ClassCounters {
     /// Requests taken.
-    pub taken: Count,
+    pub admitted: Count,
     /// Answered with an executor's result.
     pub served: Count,
     /// Answered with a throttle.
-    pub throttled: Count,
+    pub rejected: Count,
     /// Answered as failed, or ended without an answer by the node's own fault.
     pub failed: Count,
     /// Clients that left before their answer.
-    pub lapsed: Count,
+    pub client_gone: Count,
 }
 
 /// All counts since the start. A request is taken, and later one of served, throttled, failed or lapsed; until then it
@@ -67,15 +67,15 @@
 
 /// How a request ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestEnd {
     /// With an executor's result.
     Served,
     /// With a throttle.
-    Throttled,
+    Rejected,
     /// As failed.
     Failed,
     /// Its client left.
-    Lapsed,
+    ClientGone,
 }
 
 impl Counters {
@@ -96,20 +96,20 @@
     }
 
     /// Counts a request that is taken.
-    pub fn took(&self, class: usize) {
+    pub fn request_admitted(&self, class: usize) {
         self.in_progress.set(self.in_progress.get() + 1);
-        self.classes.get(class).into_iter().for_each(|(_, c)| c.taken.add());
+        self.classes.get(class).into_iter().for_each(|(_, c)| c.admitted.add());
     }
 
     /// Counts how a request that was taken ends.
-    pub fn gave(&self, class: usize, end: End) {
+    pub fn request_concluded(&self, class: usize, end: RequestEnd) {
         self.in_progress.set(self.in_progress.get() - 1);
         let Some((_, counts)) = self.classes.get(class) else { return };
         match end {
-            End::Served => counts.served.add(),
-            End::Throttled => counts.throttled.add(),
-            End::Failed => counts.failed.add(),
-            End::Lapsed => counts.lapsed.add(),
+            RequestEnd::Served => counts.served.add(),
+            RequestEnd::Rejected => counts.rejected.add(),
+            RequestEnd::Failed => counts.failed.add(),
+            RequestEnd::ClientGone => counts.client_gone.add(),
         }
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// Counts an execution whose last byte was written just now, where its client `left` before.
-    pub fn wrote(&self, left: Option<Instant>) {
+    pub fn request_sent(&self, left: Option<Instant>) {
         self.written.add();
         if let Some(left) = left {
             self.sent_lapsed.add();
@@ -130,59 +130,68 @@
     }
 
     /// Counts how an execution ended.
-    pub fn ended(&self, outcome: Outcome) {
+    pub fn attempt_ended(&self, outcome: Outcome) {
         self.outcomes[place(outcome)].add();
     }
 }
 
-const OUTCOMES: [&str; 9] =
-    ["ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", "unusable"];
+const OUTCOMES: [&str; 9] = [
+    "ok",
+    "error",
+    "worker_rejected",
+    "timeout",
+    "connect_failed",
+    "reset",
+    "cancelled",
+    "not_sent",
+    "invalid_request",
+];
 
 fn place(outcome: Outcome) -> usize {
     match outcome {
         Outcome::Ok => 0,
         Outcome::Error => 1,
-        Outcome::Full => 2,
+        Outcome::Rejected => 2,
         Outcome::Timeout => 3,
         Outcome::ConnectFailed => 4,
         Outcome::Reset => 5,
         Outcome::Cancelled => 6,
-        Outcome::Moot => 7,
-        Outcome::Unusable => 8,
+        Outcome::NotSent => 7,
+        Outcome::InvalidRequest => 8,
     }
 }
 
 impl Counters {
     /// All counts with their names, in the order in which they are shown.
-    pub fn figures(&self) -> Vec<(&'static str, u64)> {
-        let mut figures = vec![
-            ("taken", self.total(|c| &c.taken)),
+    pub fn metrics(&self) -> Vec<(&'static str, u64)> {
+        let mut metrics = vec![
+            ("admitted", self.total(|c| &c.admitted)),
             ("served", self.total(|c| &c.served)),
-            ("throttled", self.total(|c| &c.throttled)),
+            ("rejected", self.total(|c| &c.rejected)),
             ("failed", self.total(|c| &c.failed)),
-            ("lapsed", self.total(|c| &c.lapsed)),
+            ("client_gone", self.total(|c| &c.client_gone)),
             ("in_progress", self.in_progress()),
-            ("sent", self.sent.get()),
+            ("attempts", self.sent.get()),
         ];
-        figures.extend(OUTCOMES.iter().zip(&self.outcomes).map(|(name, count)| (*name, count.get())));
-        figures.extend([
-            ("written", self.written.get()),
-            ("lapsed_waiting", self.lapsed_waiting.get()),
-            ("sent_lapsed", self.sent_lapsed.get()),
-            ("sent_lapsed_late", self.sent_lapsed_late.get()),
-            ("loads", self.loads.get()),
-            ("loads_unread", self.loads_unread.get()),
-            ("server_links", self.server_links.get()),
+        metrics.extend(OUTCOMES.iter().zip(&self.outcomes).map(|(name, count)| (*name, count.get())));
+        metrics.extend([
+            ("requests_sent", self.written.get()),
+            ("client_gone_waiting", self.lapsed_waiting.get()),
+            ("sent_after_client_gone", self.sent_lapsed.get()),
+            ("sent_late_after_client_gone", self.sent_lapsed_late.get()),
+            ("load_reports", self.loads.get()),
+            ("load_reports_malformed", self.loads_unread.get()),
+            ("upstream_connections", self.server_links.get()),
             ("probes", self.probes.get()),
-            ("lists", self.lists.get()),
-            ("watches_broken", self.watches_broken.get()),
+            ("worker_lists", self.lists.get()),
+            ("discovery_watches_failed", self.watches_broken.get()),
             ("invariant_violations", self.invariants.total()),
             ("answered_late", self.answered_late.get()),
-            ("answered_by_guard", self.answered_by_guard.get()),
+            ("answered_by_deadline_guard", self.answered_by_guard.get()),
             ("long_steps", self.responsiveness.long_steps.get()),
             ("longest_step_us", self.responsiveness.longest_step.micros()),
             ("longest_timer_lag_us", self.responsiveness.longest_timer_lag.micros()),
         ]);
-        figures
+        metrics
     }
 }
--- a/engine/src/births.rs
+++ b/crates/engine/src/start_times.rs
@@ -10,11 +10,11 @@
 //! is taken for older than it is skips its slow start. The price: the newest executors of the first list are taken to
 //! have just started. A date is read once: what a later list or clock says changes no slow start that is under way.
 
+use sorrelhaven_dispatcher::{Micros, WorkerId};
 use std::collections::HashMap;
-use stepusher::{Micros, WorkerId};
 
 /// A start as it was read.
-struct Start {
+struct StartLine {
     /// As discovery dates it.
     dated: Micros,
     /// On the node's clock.
@@ -23,8 +23,8 @@
 
 /// The starts of all executors that discovery has dated.
 #[derive(Default)]
-pub struct Births {
-    starts: HashMap<WorkerId, Start>,
+pub struct StartTimes {
+    starts: HashMap<WorkerId, StartLine>,
     /// How far the newest date was ahead of the node's clock when it was read, at most.
     ahead: Option<Micros>,
     /// Lists read: the known one, the first one of discovery, changes.
@@ -32,7 +32,7 @@
     last_list: Micros,
 }
 
-impl Births {
+impl StartTimes {
     /// A list is read at `now` that holds these dates. To be called before its entries are dated.
     pub fn begin_list(&mut self, dates: impl Iterator<Item = Micros>, now: Micros) {
         let newest = dates.filter(|dated| *dated > 0).max();
@@ -51,7 +51,7 @@
     }
 
     /// When an executor started that discovery dates so, on the node's clock; 0 where that is long ago.
-    pub fn start(&mut self, worker: WorkerId, dated: Micros, now: Micros) -> Micros {
+    pub fn started_at(&mut self, worker: WorkerId, dated: Micros, now: Micros) -> Micros {
         if dated <= 0 {
             return 0;
         }
@@ -65,7 +65,7 @@
         let age = [by_list, by_clock, by_change].into_iter().flatten().min().unwrap_or(0).max(0);
         // A process that starts again is another one, whatever the dates say.
         let at = (now - age).max(before.map_or(1, |start| start.at + 1));
-        self.starts.insert(worker, Start { dated, at });
+        self.starts.insert(worker, StartLine { dated, at });
         at
     }
 }
--- a/engine/src/tests/shared.rs
+++ b/crates/engine/src/tests/shared.rs
@@ -1,20 +1,20 @@
 //! What the tests of the engine share: one in this thread.
 
-use crate::execution::Order;
+use crate::attempt::AttemptSpec;
 use crate::job::Job;
-use crate::{Engine, Parcel};
+use crate::{Engine, RequestPayload};
 use futures_lite::future::or;
-use sorrelhaven_bodies::End;
+use sorrelhaven_body_store::BodyEnd;
 use sorrelhaven_config::Config;
-use sorrelhaven_wire::EndProbe;
+use sorrelhaven_dispatcher::{Micros, WorkerId};
+use sorrelhaven_wire::PeerProbe;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use stepusher::{Micros, WorkerId};
 
 /// An engine that knows one executor, `s-1` at `dial`.
 pub fn engine(dial: SocketAddr) -> Rc<Engine> {
-    configured(&sorrelhaven_standins::one_box(dial, "at_most_once"))
+    configured(&sorrelhaven_test_support::single_worker_config(dial, "at_most_once"))
 }
 
 /// An engine with this configuration.
@@ -23,31 +23,31 @@
 }
 
 /// A first execution at the one executor, which waits for so long.
-pub fn order(wait: Duration) -> Order {
+pub fn order(wait: Duration) -> AttemptSpec {
     let deadline = Instant::now() + wait;
-    Order {
+    AttemptSpec {
         attempt: 0,
         worker: WorkerId(0),
         deadline,
-        before: deadline,
-        fate: Rc::default(),
-        written: Rc::default(),
+        send_by: deadline,
+        request: Rc::default(),
+        fully_sent: Rc::default(),
     }
 }
 
 /// A job of the first class with this parcel, whose client gives up at `due`.
-pub fn job(parcel: Parcel, due: Micros, client: Option<EndProbe>) -> Job {
+pub fn job(parcel: RequestPayload, due: Micros, client: Option<PeerProbe>) -> Job {
     Job {
         class: 0,
-        due,
-        hint: Some(50_000),
-        width: 1.0,
-        resent: false,
-        key: 0,
-        sendable: true,
-        place: None,
-        client,
-        parcel,
+        deadline: due,
+        work_hint: Some(50_000),
+        slots: 1.0,
+        is_retry: false,
+        affinity_key: 0,
+        body_sendable: true,
+        body_permit: None,
+        client_probe: client,
+        payload: parcel,
     }
 }
 
@@ -57,14 +57,14 @@
 }
 
 /// A parcel `r1` with this body, kept in memory.
-pub fn parcel(engine: &Rc<Engine>, target: &str, bytes: &[u8]) -> Parcel {
+pub fn parcel(engine: &Rc<Engine>, target: &str, bytes: &[u8]) -> RequestPayload {
     let mut writer = engine.bodies.begin(0, Some(bytes.len() as u64)).ok().expect("a body that is taken");
-    let body = writer.spool();
+    let body = writer.body();
     let kept = async {
         writer.push(bytes).await?;
-        Ok::<End, End>(writer.finish().await)
+        Ok::<BodyEnd, BodyEnd>(writer.finish().await)
     };
     futures_lite::future::block_on(kept).expect("it is kept");
     let (id, method) = ("r1".into(), "POST".to_string());
-    Parcel { id, method, target: target.to_string(), headers: Vec::new(), body }
+    RequestPayload { id, method, target: target.to_string(), headers: Vec::new(), body }
 }
--- a/node/tests/command.rs
+++ b/crates/node/tests/command.rs
@@ -13,7 +13,7 @@
 }
 
 fn deploy(name: &str) -> String {
-    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../deploy").join(name).display().to_string()
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../deploy").join(name).display().to_string()
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -99,5 +99,5 @@
     }
     assert!(child.wait().expect("it ends").success());
     assert!(lines.iter().any(|l| l["message"] == "ready" && l["name"] == "n0" && l["level"] == "INFO"));
-    assert_eq!(lines.last().expect("a line")["counters"]["taken"], 0);
+    assert_eq!(lines.last().expect("a line")["counters"]["admitted"], 0);
 }
--- a/node/tests/members.rs
+++ b/crates/node/tests/members.rs
@@ -1,6 +1,6 @@
 //! Five processes of the program that know each other, and what lies between them.
 
-use sorrelhaven_standins::{Between, Faults, Program, Scratch};
+use sorrelhaven_test_support::{FaultProxy, Faults, Program, ScratchDir};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -12,17 +12,17 @@
 
 /// The processes, each behind its address of the stand-in.
 struct Group {
-    between: Between,
-    scratch: Scratch,
+    between: FaultProxy,
+    scratch: ScratchDir,
     nodes: Vec<Option<Program>>,
     listens: RefCell<BTreeMap<usize, SocketAddr>>,
 }
 
 impl Group {
     fn new(name: &str, seed: u64) -> Group {
-        let between = Between::with_one_address_each(COUNT, seed).expect("addresses");
+        let between = FaultProxy::with_one_address_each(COUNT, seed).expect("addresses");
         let mut group =
-            Group { between, scratch: Scratch::new(name), nodes: Vec::new(), listens: RefCell::default() };
+            Group { between, scratch: ScratchDir::new(name), nodes: Vec::new(), listens: RefCell::default() };
         group.scratch.write("key", "a key of the tests alone\n");
         for n in 0..COUNT {
             let node = group.start(n);
@@ -51,7 +51,7 @@
         let platform = self.scratch.write(&format!("node{n}.json"), &platform);
         let mut command = Command::new(env!("CARGO_BIN_EXE_sorrelhaven"));
         command.env("RELAY_OPS", "127.0.0.1:0");
-        command.env("RUST_LOG", "info,sorrelhaven_engine::host_group=error");
+        command.env("RUST_LOG", "info,sorrelhaven_engine::discovery_watch=error");
         let node = Program::start(command, &platform, Some(&operator));
         // What it has sent until here came from nobody that the stand-in knows, and is lost.
         let line =
