--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -360,7 +360,7 @@
             (Some(head), None) => ways.load_fields.text(head),
             (None, None) => return Vec::new(),
         };
-        let count = if read.is_some() { &ways.counters.loads } else { &ways.counters.loads_unread };
+        let count = if read.is_some() { &ways.counters.loads } else { &ways.counters.load_reports_malformed };
         count.add();
         read.unwrap_or_default()
     }
--- a/crates/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -37,15 +37,15 @@
     /// Executions whose last byte was written.
     pub written: Count,
     /// Clients that left while their request waited: no execution's last byte had been written.
-    pub lapsed_waiting: Count,
+    pub client_gone_waiting: Count,
     /// Executions whose last byte was written after the client had left.
-    pub sent_lapsed: Count,
+    pub sent_after_client_gone: Count,
     /// Those of them that came [`LATE`] after that, or later.
-    pub sent_lapsed_late: Count,
+    pub sent_late_after_client_gone: Count,
     /// Load reports taken.
     pub loads: Count,
     /// Load reports that did not read, and were dropped.
-    pub loads_unread: Count,
+    pub load_reports_malformed: Count,
     /// Server links opened.
     pub server_links: Count,
     /// Probes begun.
@@ -122,9 +122,9 @@
     pub fn request_sent(&self, left: Option<Instant>) {
         self.written.add();
         if let Some(left) = left {
-            self.sent_lapsed.add();
+            self.sent_after_client_gone.add();
             if left.elapsed() >= LATE {
-                self.sent_lapsed_late.add();
+                self.sent_late_after_client_gone.add();
             }
         }
     }
@@ -176,11 +176,11 @@
         metrics.extend(OUTCOMES.iter().zip(&self.outcomes).map(|(name, count)| (*name, count.get())));
         metrics.extend([
             ("requests_sent", self.written.get()),
-            ("client_gone_waiting", self.lapsed_waiting.get()),
-            ("sent_after_client_gone", self.sent_lapsed.get()),
-            ("sent_late_after_client_gone", self.sent_lapsed_late.get()),
+            ("client_gone_waiting", self.client_gone_waiting.get()),
+            ("sent_after_client_gone", self.sent_after_client_gone.get()),
+            ("sent_late_after_client_gone", self.sent_late_after_client_gone.get()),
             ("load_reports", self.loads.get()),
-            ("load_reports_malformed", self.loads_unread.get()),
+            ("load_reports_malformed", self.load_reports_malformed.get()),
             ("upstream_connections", self.server_links.get()),
             ("probes", self.probes.get()),
             ("worker_lists", self.lists.get()),
--- a/crates/engine/src/invariants.rs
+++ b/crates/engine/src/invariants.rs
@@ -135,14 +135,14 @@
     }
 
     /// An attempt whose last byte was written has ended.
-    pub fn ended(&self, ending: &AttemptEnd, was_written: bool) {
+    pub fn attempt_ended(&self, ending: &AttemptEnd, was_written: bool) {
         if was_written && ending.outcome() == Outcome::Rejected && !self.rejection_may_have_run {
             self.proven_unrun.set(self.proven_unrun.get() + 1);
         }
     }
 
     /// The request is refused, with the word that trying again is harmless.
-    pub fn refused(&self, invariants: &Invariants, request: &str) {
+    pub fn request_rejected(&self, invariants: &Invariants, request: &str) {
         let harmless = !(self.at_most_once && self.may_have_run());
         invariants.check(Invariant::NoRefusalAfterRun, request, harmless);
     }
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -1,6 +1,7 @@
-//! One request's life, in one task: taken, decided on, executed, and answered once.
+//! The task of one request: it is admitted, its attempts run, and it is answered once.
 //!
-//! Nothing here knows how the client speaks: a front hands in a [`Job`] and gets one [`Answer`].
+//! The task is independent of the client's protocol: a front end submits a [`Job`] and receives one [`Answer`]. All
+//! decisions are the dispatcher's; the task carries them out and reports back what came of them.
 
 use crate::attempt::{self, AttemptSpec};
 use crate::attempt_end::AttemptEnd;
@@ -22,285 +23,291 @@
 use std::time::{Duration, Instant};
 use tracing::{debug, warn};
 
-/// A request that nothing has answered so long after its deadline is answered by that alone. Attempts end at the deadline
-/// by themselves and the module answers on that, so this acts only where a message or a wake-up was lost.
-const ANSWER_GUARD: Duration = Duration::from_millis(100);
+/// A request without an answer this long after its deadline is failed by its own task. Attempts end at the deadline and
+/// the dispatcher answers then, so this acts only where a message or a wake-up was lost.
+const OVERDUE_ANSWER_DELAY: Duration = Duration::from_millis(100);
 
-/// An execution that has not ended.
+/// An attempt that has no outcome yet.
 struct RunningAttempt {
     worker: WorkerId,
-    sent: Micros,
-    written: Rc<Cell<bool>>,
+    /// When it began or, for a long body, when the body was fully sent: its elapsed time counts from here.
+    sent_at: Micros,
+    fully_sent: Rc<Cell<bool>>,
     task: Task<()>,
 }
 
-/// What a request's task waits for.
-enum Wake {
-    /// A message of the module, an attempt or the front.
+/// Why a request's task wakes up.
+enum Wakeup {
+    /// The dispatcher, an attempt or the front end sent a message.
     Message(RequestMessage),
-    /// Its deadline passed some time ago.
+    /// The deadline passed [`OVERDUE_ANSWER_DELAY`] ago.
     Overdue,
 }
 
-/// A request on its way, as the front sees it.
+/// The front end's handle on a request in progress.
 pub struct RequestHandle {
-    mail: Sender<RequestMessage>,
+    messages: Sender<RequestMessage>,
     answer: Receiver<Answer>,
 }
 
 impl RequestHandle {
-    /// The answer; `None` only if the request's task ended without one.
+    /// Waits for the answer; `None` only if the request's task ended without one.
     pub async fn answer(&self) -> Option<Answer> {
         self.answer.recv().await.ok()
     }
 
-    /// The client has left.
+    /// Reports that the client has disconnected: the request needs no answer any more.
     pub fn client_disconnected(&self) {
-        let _ = self.mail.try_send(RequestMessage::ClientDisconnected);
+        // A task that has ended has answered already.
+        let _ = self.messages.try_send(RequestMessage::ClientDisconnected);
     }
 }
 
-/// All requests, and what they are carried out with.
+/// What the tasks of all requests share.
 pub struct Requests {
-    /// The desk.
+    /// The dispatcher and its event queue.
     pub dispatcher_loop: Rc<DispatcherLoop>,
-    /// The ways to executors.
+    /// The workers and the connections to them.
     pub upstreams: Rc<Upstreams>,
-    /// The counters.
+    /// The node's counters.
     pub counters: Rc<Counters>,
-    /// Where their tasks run.
+    /// The executor that the tasks run on.
     pub tasks: Rc<Tasks>,
-    /// Whether a request of each class must not run twice.
+    /// Whether requests of a class must not run twice, by the class's index in the settings.
     pub at_most_once: Vec<bool>,
-    /// An executor's word that it is full does not prove that the attempt never ran.
+    /// Whether an attempt that a worker rejected may have run all the same.
     pub rejection_may_have_run: bool,
-    /// The ids of the requests that are open.
+    /// The ids of the requests in progress.
     pub open_ids: RefCell<HashSet<Rc<str>>>,
 }
 
 impl Requests {
-    /// Takes a request; `None` where one of the same id is open: executors know their jobs by it, so a second
-    /// one would be turned away there, or mixed up with the first.
+    /// Admits a request and starts its task.
+    ///
+    /// Returns `None` where a request of the same id is in progress: workers know their jobs by id, so a second one
+    /// would be rejected there, or mixed up with the first.
     pub fn take(self: &Rc<Self>, job: Job) -> Option<RequestHandle> {
         let name = job.payload.id.clone();
         if !self.open_ids.borrow_mut().insert(name.clone()) {
             return None;
         }
-        let (mail, inbox) = async_channel::unbounded();
+        let (messages, receiver) = async_channel::unbounded();
         let (reply, answer) = async_channel::bounded(1);
         self.counters.request_admitted(job.class);
-        let single_run = self.at_most_once.get(job.class).copied().unwrap_or(true);
-        let guard = RequestGuard::new(single_run, self.rejection_may_have_run);
-        let life = RequestTask {
+        let id = self.dispatcher_loop.register_request(messages.clone());
+        let arrival = Arrival {
+            request: id,
+            class: job.class,
+            deadline: job.deadline,
+            work_hint: job.work_hint,
+            slots: job.slots,
+            is_retry: job.is_retry,
+            affinity_key: job.affinity_key,
+            body_sendable: job.body_sendable,
+        };
+        let task = RequestTask {
             requests: self.clone(),
-            id: self.dispatcher_loop.register_request(mail.clone()),
+            id,
             class: job.class,
             deadline: job.deadline,
             name,
-            messages: mail.clone(),
+            payload: Rc::new(job.payload),
+            messages: messages.clone(),
             reply,
-            body_permit: None,
+            body_permit: job.body_permit,
             state: Rc::new(RequestState {
-                client_probe: job.client_probe.clone(),
-                guard,
+                client_probe: job.client_probe,
+                guard: self.guard(job.class),
                 ..RequestState::default()
             }),
             attempts: HashMap::new(),
+            attempts_begun: 0,
         };
-        self.tasks.spawn(life.run(job, inbox));
-        Some(RequestHandle { mail, answer })
+        self.tasks.spawn(task.run(arrival, receiver));
+        Some(RequestHandle { messages, answer })
+    }
+
+    /// The run-time checks for a new request; an unknown class is held to the strictest rule.
+    fn guard(&self, class: usize) -> RequestGuard {
+        let at_most_once = self.at_most_once.get(class).copied().unwrap_or(true);
+        RequestGuard::new(at_most_once, self.rejection_may_have_run)
     }
 }
 
+/// The state of one request's task.
 struct RequestTask {
     requests: Rc<Requests>,
     id: RequestId,
     class: usize,
     deadline: Micros,
+    /// The client's id for the request, as logs and workers know it.
     name: Rc<str>,
+    payload: Rc<RequestPayload>,
+    /// For the attempts to report through.
     messages: Sender<RequestMessage>,
     reply: Sender<Answer>,
     body_permit: Option<BodyPermit>,
     state: Rc<RequestState>,
+    /// The attempts without an outcome, by number.
     attempts: HashMap<u32, RunningAttempt>,
+    attempts_begun: u32,
 }
 
 impl RequestTask {
-    async fn run(mut self, job: Job, inbox: Receiver<RequestMessage>) {
-        let request = self.id;
-        let Job {
-            class,
-            deadline: due,
-            work_hint: hint,
-            slots: width,
-            is_retry: resent,
-            affinity_key: key,
-            body_sendable: sendable,
-            body_permit: place,
-            payload: parcel,
-            client_probe: _,
-        } = job;
-        self.body_permit = place;
-        let parcel = Rc::new(parcel);
-        let mut attempts = 0;
-        self.requests.dispatcher_loop.dispatch(Event::Arrival(Arrival {
-            request,
-            class,
-            deadline: due,
-            work_hint: hint,
-            slots: width,
-            is_retry: resent,
-            affinity_key: key,
-            body_sendable: sendable,
-        }));
-        // A request is over when it has its answer and every execution its outcome, also one that the module has asked
-        // for and that is still in the box: without it the module would count on that execution for ever.
-        let mut guard = Timer::at(self.requests.dispatcher_loop.clock.instant(due) + ANSWER_GUARD);
-        while !(self.state.concluded.get() && self.attempts.is_empty() && inbox.is_empty()) {
-            let message = async { inbox.recv().await.ok().map(Wake::Message) };
-            let overdue = async {
-                (&mut guard).await;
-                Some(Wake::Overdue)
-            };
-            let Some(wake) = or(message, overdue).await else { break };
-            let mail = match wake {
-                Wake::Message(mail) => mail,
-                Wake::Overdue => {
-                    guard.clear();
+    /// Runs the request from its arrival until it is answered and all its attempts have ended.
+    async fn run(mut self, arrival: Arrival, messages: Receiver<RequestMessage>) {
+        self.dispatch(Event::Arrival(arrival));
+        let clock = self.requests.dispatcher_loop.clock;
+        let mut overdue_timer = Timer::at(clock.instant(self.deadline) + OVERDUE_ANSWER_DELAY);
+        while !self.is_finished(&messages) {
+            match next_wakeup(&messages, &mut overdue_timer).await {
+                Some(Wakeup::Message(message)) => self.handle(message),
+                Some(Wakeup::Overdue) => {
+                    overdue_timer.clear();
                     self.answer_overdue();
-                    continue;
-                }
-            };
-            match mail {
-                RequestMessage::Send { worker, deadline, send_by: before } => {
-                    let attempt = attempts;
-                    attempts += 1;
-                    self.send(&parcel, attempt, worker, deadline.min(due), before);
-                }
-                RequestMessage::Cancel { attempt } => self.ended(attempt, AttemptEnd::Cancelled, Vec::new()),
-                RequestMessage::Reject { retry_after } => self.answer(Answer::Rejected { retry_after }),
-                RequestMessage::Fail => self.answer(Answer::Failed),
-                RequestMessage::AttemptStarted { attempt } => {
-                    if let Some(&RunningAttempt { worker, .. }) = self.attempts.get(&attempt) {
-                        self.requests.dispatcher_loop.dispatch(Event::AttemptStarted {
-                            request,
-                            attempt,
-                            worker,
-                        });
-                    }
-                }
-                RequestMessage::AttemptProgress { attempt, share } => {
-                    if let Some(&RunningAttempt { worker, .. }) = self.attempts.get(&attempt) {
-                        self.requests.dispatcher_loop.dispatch(Event::AttemptProgress {
-                            request,
-                            attempt,
-                            worker,
-                            share,
-                        });
-                    }
-                }
-                RequestMessage::RequestSent { attempt } => {
-                    self.body_permit = None;
-                    // A box is not slow because a long body takes its time to get there.
-                    let now = self.requests.dispatcher_loop.clock.now();
-                    if let Some(execution) = self.attempts.get_mut(&attempt) {
-                        execution.sent = now;
-                        let worker = execution.worker;
-                        self.requests.dispatcher_loop.dispatch(Event::RequestSent {
-                            request,
-                            attempt,
-                            worker,
-                        });
-                    }
-                }
-                RequestMessage::BodyConsumed => {
-                    self.requests.dispatcher_loop.dispatch(Event::BodyConsumed(request))
-                }
-                RequestMessage::AttemptEnded { attempt, end: ending, load_report: load } => {
-                    self.ended(attempt, ending, load)
-                }
-                RequestMessage::ClientDisconnected => {
-                    if !self.state.concluded.replace(true) {
-                        self.body_permit = None;
-                        self.state.client_left_at.set(Some(Instant::now()));
-                        if !self.state.fully_sent.get() {
-                            self.requests.counters.lapsed_waiting.add();
-                        }
-                        self.requests.counters.request_concluded(self.class, RequestEnd::ClientGone);
-                        self.requests.dispatcher_loop.dispatch(Event::ClientDisconnected(request));
-                    }
                 }
+                None => break,
+            }
+        }
+    }
+
+    /// Whether the request has its answer and every attempt its outcome. A message that is still queued may ask for an
+    /// attempt: without an outcome of that one the dispatcher would count it as running for ever.
+    fn is_finished(&self, messages: &Receiver<RequestMessage>) -> bool {
+        self.state.concluded.get() && self.attempts.is_empty() && messages.is_empty()
+    }
+
+    fn handle(&mut self, message: RequestMessage) {
+        match message {
+            RequestMessage::Send { worker, deadline, send_by } => {
+                self.begin_attempt(worker, deadline.min(self.deadline), send_by);
             }
+            RequestMessage::Cancel { attempt } => {
+                self.end_attempt(attempt, AttemptEnd::Cancelled, Vec::new());
+            }
+            RequestMessage::Reject { retry_after } => self.answer(Answer::Rejected { retry_after }),
+            RequestMessage::Fail => self.answer(Answer::Failed),
+            RequestMessage::AttemptStarted { attempt } => self.attempt_started(attempt),
+            RequestMessage::AttemptProgress { attempt, share } => self.attempt_progress(attempt, share),
+            RequestMessage::RequestSent { attempt } => self.request_sent(attempt),
+            RequestMessage::BodyConsumed => self.dispatch(Event::BodyConsumed(self.id)),
+            RequestMessage::AttemptEnded { attempt, end, load_report } => {
+                self.end_attempt(attempt, end, load_report);
+            }
+            RequestMessage::ClientDisconnected => self.client_disconnected(),
         }
     }
 
-    /// Begins an execution, which waits until `deadline` and is not sent any more from `before` on. One that comes after
-    /// the answer is never sent.
-    fn send(
-        &mut self,
-        parcel: &Rc<RequestPayload>,
-        attempt: u32,
-        worker: WorkerId,
-        deadline: Micros,
-        before: Micros,
-    ) {
-        let Requests { dispatcher_loop: desk, upstreams: ways, counters, tasks, .. } = &*self.requests;
-        counters.sent.add();
+    fn dispatch(&self, event: Event) {
+        self.requests.dispatcher_loop.dispatch(event);
+    }
+
+    fn now(&self) -> Micros {
+        self.requests.dispatcher_loop.clock.now()
+    }
+
+    /// Begins an attempt that waits until `deadline` and must not be sent from `send_by` on. An attempt that the
+    /// dispatcher asked for before it knew of the answer ends at once, unsent.
+    fn begin_attempt(&mut self, worker: WorkerId, deadline: Micros, send_by: Micros) {
+        let attempt = self.attempts_begun;
+        self.attempts_begun += 1;
+        self.requests.counters.sent.add();
         debug!(id = %self.name, attempt, worker = worker.0, "attempt started");
-        let (deadline, before) = (desk.clock.instant(deadline), desk.clock.instant(before.min(deadline)));
-        let written = Rc::<Cell<bool>>::default();
-        let fate = self.state.clone();
-        let order = AttemptSpec {
-            attempt,
-            worker,
-            deadline,
-            send_by: before,
-            request: fate,
-            fully_sent: written.clone(),
-        };
+        let fully_sent = Rc::<Cell<bool>>::default();
         let task = if self.state.concluded.get() {
             let _ = self.messages.try_send(RequestMessage::AttemptEnded {
                 attempt,
                 end: AttemptEnd::RequestConcluded,
                 load_report: Vec::new(),
             });
-            tasks.hold(std::future::ready(()))
+            self.requests.tasks.hold(std::future::ready(()))
         } else {
-            tasks.hold(attempt::run(ways.clone(), parcel.clone(), order, self.messages.clone()))
+            let clock = self.requests.dispatcher_loop.clock;
+            let spec = AttemptSpec {
+                attempt,
+                worker,
+                deadline: clock.instant(deadline),
+                send_by: clock.instant(send_by.min(deadline)),
+                request: self.state.clone(),
+                fully_sent: fully_sent.clone(),
+            };
+            let upstreams = self.requests.upstreams.clone();
+            let run = attempt::run(upstreams, self.payload.clone(), spec, self.messages.clone());
+            self.requests.tasks.hold(run)
         };
-        self.attempts.insert(attempt, RunningAttempt { worker, sent: desk.clock.now(), written, task });
+        let sent_at = self.now();
+        self.attempts.insert(attempt, RunningAttempt { worker, sent_at, fully_sent, task });
+    }
+
+    /// The worker has started on the job.
+    fn attempt_started(&self, attempt: u32) {
+        if let Some(&RunningAttempt { worker, .. }) = self.attempts.get(&attempt) {
+            self.dispatch(Event::AttemptStarted { request: self.id, attempt, worker });
+        }
     }
 
-    /// Gives an execution its one outcome. Of two ways to end that cross, the first counts.
-    fn ended(&mut self, attempt: u32, ending: AttemptEnd, report: Vec<f64>) {
-        let Some(RunningAttempt { worker, sent, written, task }) = self.attempts.remove(&attempt) else {
+    /// The worker has done this share of the job.
+    fn attempt_progress(&self, attempt: u32, share: f64) {
+        if let Some(&RunningAttempt { worker, .. }) = self.attempts.get(&attempt) {
+            self.dispatch(Event::AttemptProgress { request: self.id, attempt, worker, share });
+        }
+    }
+
+    /// The last byte of a long body was written.
+    fn request_sent(&mut self, attempt: u32) {
+        self.body_permit = None;
+        let now = self.now();
+        let Some(running) = self.attempts.get_mut(&attempt) else { return };
+        // The transfer of a long body says nothing of the worker's speed.
+        running.sent_at = now;
+        let worker = running.worker;
+        self.dispatch(Event::RequestSent { request: self.id, attempt, worker });
+    }
+
+    /// Records the one outcome of an attempt. Where a cancellation crosses its own end, the first of them counts.
+    fn end_attempt(&mut self, attempt: u32, end: AttemptEnd, load_report: Vec<f64>) {
+        let Some(RunningAttempt { worker, sent_at, fully_sent, task }) = self.attempts.remove(&attempt)
+        else {
             return;
         };
-        self.state.guard.ended(&ending, written.get());
-        debug!(id = %self.name, attempt, worker = worker.0, ?ending, written = written.get(), "attempt ended");
-        let outcome = ending.outcome();
+        let fully_sent = fully_sent.get();
+        self.state.guard.attempt_ended(&end, fully_sent);
+        debug!(id = %self.name, attempt, worker = worker.0, ?end, fully_sent, "attempt ended");
+        let outcome = end.outcome();
         self.requests.counters.attempt_ended(outcome);
-        match ending {
+        match end {
             AttemptEnd::Cancelled => drop(task),
+            // What is left of the task returns its connection to the pool.
             _ => task.detach(),
         }
-        if let AttemptEnd::Completed(result) = ending {
+        if let AttemptEnd::Completed(result) = end {
             self.answer(Answer::Served(result));
         }
-        let took = self.requests.dispatcher_loop.clock.now() - sent;
-        let (request, closed) = (self.id, self.state.concluded.get());
-        self.requests.dispatcher_loop.dispatch(Event::AttemptEnded {
-            request,
+        self.dispatch(Event::AttemptEnded {
+            request: self.id,
             attempt,
             worker,
             outcome,
-            elapsed: took,
-            request_concluded: closed,
-            load_report: report,
+            elapsed: self.now() - sent_at,
+            request_concluded: self.state.concluded.get(),
+            load_report,
         });
     }
 
-    /// Answers a request for which nothing else did, and has the module withdraw what is still out for it.
+    fn client_disconnected(&mut self) {
+        if self.state.concluded.replace(true) {
+            return;
+        }
+        self.body_permit = None;
+        self.state.client_left_at.set(Some(Instant::now()));
+        if !self.state.fully_sent.get() {
+            self.requests.counters.client_gone_waiting.add();
+        }
+        self.requests.counters.request_concluded(self.class, RequestEnd::ClientGone);
+        self.dispatch(Event::ClientDisconnected(self.id));
+    }
+
+    /// Fails a request that nothing else has answered, and cancels its attempts.
     fn answer_overdue(&mut self) {
         if self.state.concluded.get() {
             return;
@@ -309,43 +316,58 @@
         warn!(id = %self.name, attempts, "request overdue, answered by the deadline guard");
         self.requests.counters.answered_by_guard.add();
         self.answer(Answer::Failed);
-        self.requests.dispatcher_loop.dispatch(Event::ClientDisconnected(self.id));
-        let out: Vec<u32> = self.attempts.keys().copied().collect();
-        out.into_iter().for_each(|attempt| self.ended(attempt, AttemptEnd::Cancelled, Vec::new()));
+        self.dispatch(Event::ClientDisconnected(self.id));
+        let running: Vec<u32> = self.attempts.keys().copied().collect();
+        for attempt in running {
+            self.end_attempt(attempt, AttemptEnd::Cancelled, Vec::new());
+        }
     }
 
-    /// Gives the client its one answer.
+    /// Gives the client its answer, unless it has one or has disconnected.
     fn answer(&mut self, answer: Answer) {
-        if !self.state.concluded.replace(true) {
-            self.body_permit = None;
-            if matches!(answer, Answer::Rejected { .. }) {
-                self.state.guard.refused(&self.requests.counters.invariants, &self.name);
-            }
-            debug!(id = %self.name, ?answer, "request concluded");
-            let late = self.requests.dispatcher_loop.clock.now() - self.deadline;
-            if late > 0 {
-                self.requests.counters.answered_late.add();
-                debug!(id = %self.name, late_us = late, "request concluded after its deadline");
-            }
-            let end = match answer {
-                Answer::Served(_) => RequestEnd::Served,
-                Answer::Rejected { .. } => RequestEnd::Rejected,
-                Answer::Failed => RequestEnd::Failed,
-            };
-            self.requests.counters.request_concluded(self.class, end);
-            let _ = self.reply.try_send(answer);
+        if self.state.concluded.replace(true) {
+            return;
+        }
+        self.body_permit = None;
+        if matches!(answer, Answer::Rejected { .. }) {
+            self.state.guard.request_rejected(&self.requests.counters.invariants, &self.name);
+        }
+        debug!(id = %self.name, ?answer, "request concluded");
+        let late = self.now() - self.deadline;
+        if late > 0 {
+            self.requests.counters.answered_late.add();
+            debug!(id = %self.name, late_us = late, "request concluded after its deadline");
         }
+        let end = match answer {
+            Answer::Served(_) => RequestEnd::Served,
+            Answer::Rejected { .. } => RequestEnd::Rejected,
+            Answer::Failed => RequestEnd::Failed,
+        };
+        self.requests.counters.request_concluded(self.class, end);
+        // A front end that has dropped its handle needs no answer.
+        let _ = self.reply.try_send(answer);
     }
 }
 
+/// Waits for a message or for the timer; `None` where no one can send a message any more.
+async fn next_wakeup(messages: &Receiver<RequestMessage>, overdue_timer: &mut Timer) -> Option<Wakeup> {
+    let message = async { messages.recv().await.ok().map(Wakeup::Message) };
+    let overdue = async {
+        overdue_timer.await;
+        Some(Wakeup::Overdue)
+    };
+    or(message, overdue).await
+}
+
 impl Drop for RequestTask {
     fn drop(&mut self) {
         let counters = &self.requests.counters;
-        let (answered, all_ended) = (self.state.concluded.get(), self.attempts.is_empty());
+        let answered = self.state.concluded.get();
+        let all_ended = self.attempts.is_empty();
         counters.invariants.check(Invariant::OneFinalAnswer, &self.name, answered);
         counters.invariants.check(Invariant::OneOutcomePerAttempt, &self.name, all_ended);
         if !answered {
-            // The client hears of a fault of the node's own.
+            // The client's connection learns of it by the closed answer channel, and reports a failure of the node.
             counters.request_concluded(self.class, RequestEnd::Failed);
         }
         self.requests.dispatcher_loop.deregister_request(self.id);
--- a/crates/engine/src/tests/invariants.rs
+++ b/crates/engine/src/tests/invariants.rs
@@ -40,7 +40,7 @@
     let twice = |single, between: AttemptEnd| {
         violated(single, move |guard, invariants| {
             guard.written(invariants, "r1", &written());
-            guard.ended(&between, true);
+            guard.attempt_ended(&between, true);
             guard.written(invariants, "r1", &written());
         })
     };
@@ -51,8 +51,8 @@
     let refused = |ending: AttemptEnd| {
         violated(true, move |guard, invariants| {
             guard.written(invariants, "r1", &written());
-            guard.ended(&ending, true);
-            guard.refused(invariants, "r1");
+            guard.attempt_ended(&ending, true);
+            guard.request_rejected(invariants, "r1");
         })
     };
     assert_eq!(refused(AttemptEnd::Rejected), [""; 0]);
