--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -7,7 +7,7 @@
 use crate::discovery_watch::{self, Backoff, Source, Watch, WorkerRegistry};
 use crate::dispatcher_loop::DispatcherLoop;
 use crate::job::Job;
-use crate::load::Fields;
+use crate::load_report::LoadReportFields;
 use crate::probe;
 use crate::request::{RequestHandle, Requests};
 use crate::tasks::Tasks;
@@ -75,7 +75,7 @@
             pool: ConnectionPool::new(descriptors, length(config.keepalive), counters.clone()),
             tasks: tasks.clone(),
             counters: counters.clone(),
-            load_fields: Fields::new(config.load_fields.clone()),
+            load_fields: LoadReportFields::new(config.load_fields.clone()),
             drain_grace: length(config.drain_grace) + DRAIN_SLACK,
             connect_timeout: connect_limit,
         });
--- a/crates/engine/src/invariants.rs
+++ b/crates/engine/src/invariants.rs
@@ -1,8 +1,8 @@
-//! What must hold whatever happens, checked while the node runs.
+//! Invariants of requests and attempts, checked while the node runs.
 //!
-//! Each invariant has a name, one place that guards it, and a count of violations, which the operators see
-//! (`node_invariant_violations{name}`), the line of counters sums up (`invariant_violations`), and the log names with the
-//! request's id. A violation ends nothing: the request goes on as it would have. The soak and the tests fail on any.
+//! Each invariant has a name, one place that checks it, and a count of violations: the metric
+//! `node_invariant_violations{name}`, and in sum the counter `invariant_violations`. The log names each violation with
+//! the request's id. A violation changes nothing for its request; the soak and the tests fail on any.
 
 use crate::attempt_end::AttemptEnd;
 use crate::count::Count;
@@ -11,32 +11,32 @@
 use std::time::{Duration, Instant};
 use tracing::error;
 
-/// What a system that runs other work may hold a process up by, between its look at the clock and its write.
-const HELD_UP: Duration = Duration::from_millis(150);
-/// An attempt must not begin so long after its client closed.
-const CLIENT_GONE: Duration = Duration::from_millis(100);
+/// How long the operating system may suspend the process between its look at the clock and its write.
+const MAX_SCHEDULING_DELAY: Duration = Duration::from_millis(150);
+/// A request that is sent this long after its client disconnected, or later, is sent too late.
+pub const MAX_SEND_AFTER_DISCONNECT: Duration = Duration::from_millis(100);
 
-/// What must hold.
+/// A property that holds for every request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// A request has one final answer, or its client has left.
+    /// A request has one final answer, or its client has disconnected.
     OneFinalAnswer,
-    /// No attempt is written 0.1 s or more after its client left.
+    /// No attempt is fully sent [`MAX_SEND_AFTER_DISCONNECT`] or more after its client disconnected.
     NoAttemptForGoneClient,
-    /// No attempt is written after its deadline, or after the time in which a repeat is dropped.
+    /// No attempt is fully sent after its deadline or its idempotency window.
     NoAttemptAfterDeadline,
-    /// A request that must not run twice is written once, unless the attempts before it are proven not to have run.
+    /// An at-most-once request is sent once, unless the attempts before are proven not to have run.
     SingleRunOnce,
-    /// A request that must not run twice is not refused as harmless to try again when it may have run.
+    /// An at-most-once request that may have run is not rejected, since a rejection invites a retry.
     NoRefusalAfterRun,
-    /// Nothing is written to an executor whose drain was told longer ago than its grace.
+    /// No attempt is fully sent to a worker that has been draining for longer than its grace period.
     NothingToDrained,
     /// Each attempt has one outcome before its request ends.
     OneOutcomePerAttempt,
 }
 
 impl Invariant {
-    /// All of them.
+    /// All invariants, in the order of their discriminants.
     pub const ALL: [Invariant; 7] = [
         Invariant::OneFinalAnswer,
         Invariant::NoAttemptForGoneClient,
@@ -47,7 +47,7 @@
         Invariant::OneOutcomePerAttempt,
     ];
 
-    /// Its name in logs and metrics.
+    /// The invariant's name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::OneFinalAnswer => "one_final_answer",
@@ -61,93 +61,102 @@
     }
 }
 
-/// The counts of violations.
+/// Counts the violations of each invariant.
 #[derive(Default)]
 pub struct Invariants {
     violations: [Count; Invariant::ALL.len()],
 }
 
 impl Invariants {
-    /// Checks one invariant for a request; counts and logs where it does not hold.
+    /// Counts and logs a violation by `request` where the invariant does not hold.
     pub fn check(&self, invariant: Invariant, request: &str, holds: bool) {
-        if !holds {
-            self.violations[invariant as usize].add();
-            error!(invariant = invariant.name(), request, "invariant violated");
+        if holds {
+            return;
         }
+        self.violations[invariant as usize].add();
+        error!(invariant = invariant.name(), request, "invariant violated");
     }
 
-    /// The count of each, by name.
+    /// The violations of each invariant so far, by its name.
     pub fn counts(&self) -> impl Iterator<Item = (&'static str, u64)> {
-        Invariant::ALL.iter().map(|i| (i.name(), self.violations[*i as usize].get()))
+        Invariant::ALL.iter().map(|invariant| (invariant.name(), self.violations[*invariant as usize].get()))
     }
 
-    /// All violations.
+    /// The violations of all invariants so far.
     pub fn total(&self) -> u64 {
         self.counts().map(|(_, count)| count).sum()
     }
 }
 
-/// What one request has been through, as far as the invariants ask.
+/// Tracks one request as far as the invariants need: how often it was sent, and how often it is proven not to have run.
 #[derive(Default)]
 pub struct RequestGuard {
     at_most_once: bool,
     rejection_may_have_run: bool,
-    written: Cell<u32>,
-    proven_unrun: Cell<u32>,
+    attempts_sent: Cell<u32>,
+    attempts_proven_unrun: Cell<u32>,
 }
 
 /// An attempt at the moment in which its last byte was written.
-pub struct Written {
-    /// When its client left, if it has.
-    pub client_left: Option<Instant>,
+pub struct SentAttempt {
+    /// When its client disconnected, if it has.
+    pub client_left_at: Option<Instant>,
     /// From when on it must not be sent.
     pub send_by: Instant,
-    /// Since when its executor is told to be draining, if it is, and the grace for that.
-    pub draining: Option<(Instant, Duration)>,
+    /// The drain of its worker, if the worker is draining.
+    pub drain: Option<Drain>,
+}
+
+/// A worker's drain.
+pub struct Drain {
+    /// When the node learnt of the drain.
+    pub since: Instant,
+    /// How long after that requests may still be sent to the worker.
+    pub grace: Duration,
 }
 
 impl RequestGuard {
-    /// A request of which nothing was written. `single_run`: it must not run twice; `full_is_no_proof`: an executor's word
-    /// that it is full does not prove that the attempt never ran.
-    pub fn new(single_run: bool, full_is_no_proof: bool) -> RequestGuard {
-        RequestGuard {
-            at_most_once: single_run,
-            rejection_may_have_run: full_is_no_proof,
-            ..RequestGuard::default()
-        }
+    /// A guard for a request of which nothing was sent.
+    ///
+    /// `at_most_once`: the request must not run twice. `rejection_may_have_run`: a worker's rejection does not prove that
+    /// the attempt never ran.
+    pub fn new(at_most_once: bool, rejection_may_have_run: bool) -> RequestGuard {
+        RequestGuard { at_most_once, rejection_may_have_run, ..RequestGuard::default() }
     }
 
-    /// An attempt's last byte was written just now.
-    pub fn written(&self, invariants: &Invariants, request: &str, attempt: &Written) {
+    /// Records that an attempt's last byte was written just now, and checks that it was allowed to be.
+    pub fn request_sent(&self, invariants: &Invariants, request: &str, attempt: &SentAttempt) {
         let now = Instant::now();
-        let since_left = attempt.client_left.map(|left| now.saturating_duration_since(left));
-        invariants.check(
-            Invariant::NoAttemptForGoneClient,
-            request,
-            since_left.is_none_or(|s| s < CLIENT_GONE),
-        );
-        invariants.check(Invariant::NoAttemptAfterDeadline, request, now < attempt.send_by + HELD_UP);
-        let drained = attempt.draining.is_some_and(|(since, grace)| now > since + grace);
-        invariants.check(Invariant::NothingToDrained, request, !drained);
+        let in_time_for_client = attempt
+            .client_left_at
+            .is_none_or(|left_at| now.saturating_duration_since(left_at) < MAX_SEND_AFTER_DISCONNECT);
+        invariants.check(Invariant::NoAttemptForGoneClient, request, in_time_for_client);
+
+        let in_time = now < attempt.send_by + MAX_SCHEDULING_DELAY;
+        invariants.check(Invariant::NoAttemptAfterDeadline, request, in_time);
+
+        let worker_gone = attempt.drain.as_ref().is_some_and(|drain| now > drain.since + drain.grace);
+        invariants.check(Invariant::NothingToDrained, request, !worker_gone);
+
         let may_have_run = self.may_have_run();
-        self.written.set(self.written.get() + 1);
+        self.attempts_sent.set(self.attempts_sent.get() + 1);
         invariants.check(Invariant::SingleRunOnce, request, !(self.at_most_once && may_have_run));
     }
 
-    /// An attempt whose last byte was written has ended.
-    pub fn attempt_ended(&self, ending: &AttemptEnd, was_written: bool) {
-        if was_written && ending.outcome() == Outcome::Rejected && !self.rejection_may_have_run {
-            self.proven_unrun.set(self.proven_unrun.get() + 1);
+    /// Records the end of an attempt; `fully_sent`: its last byte was written.
+    pub fn attempt_ended(&self, end: &AttemptEnd, fully_sent: bool) {
+        if fully_sent && end.outcome() == Outcome::Rejected && !self.rejection_may_have_run {
+            self.attempts_proven_unrun.set(self.attempts_proven_unrun.get() + 1);
         }
     }
 
-    /// The request is refused, with the word that trying again is harmless.
+    /// Checks that the request may be rejected, which tells the client that a retry is harmless.
     pub fn request_rejected(&self, invariants: &Invariants, request: &str) {
-        let harmless = !(self.at_most_once && self.may_have_run());
-        invariants.check(Invariant::NoRefusalAfterRun, request, harmless);
+        let retry_is_harmless = !(self.at_most_once && self.may_have_run());
+        invariants.check(Invariant::NoRefusalAfterRun, request, retry_is_harmless);
     }
 
     fn may_have_run(&self) -> bool {
-        self.written.get() > self.proven_unrun.get()
+        self.attempts_sent.get() > self.attempts_proven_unrun.get()
     }
 }
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -3,8 +3,9 @@
 //! The task is independent of the client's protocol: a front end submits a [`Job`] and receives one [`Answer`]. All
 //! decisions are the dispatcher's; the task carries them out and reports back what came of them.
 
-use crate::attempt::{self, AttemptSpec};
+use crate::attempt;
 use crate::attempt_end::AttemptEnd;
+use crate::attempt_spec::AttemptSpec;
 use crate::body_admission::BodyPermit;
 use crate::counters::{Counters, RequestEnd};
 use crate::dispatcher_loop::DispatcherLoop;
--- /dev/null
+++ b/crates/engine/src/tests/load_report_fields.rs
@@ -0,0 +1,42 @@
+//! Parsing of load reports.
+
+use crate::load_report::LoadReportFields;
+
+fn read(text: &str) -> Option<Vec<f64>> {
+    LoadReportFields::new(vec!["x0".into(), "util".into()]).parse_text(text)
+}
+
+#[test]
+fn figures_come_in_the_order_of_the_fields() {
+    assert_eq!(read(r#" {"util":0.61,"x0":2} "#), Some(vec![2.0, 0.61]));
+    let part = read(r#"{"util":0}"#).expect("a report");
+    assert!(part[0].is_nan() && part[1] == 0.0);
+}
+
+#[test]
+fn what_does_not_read_is_no_report() {
+    let odd = [
+        "",
+        "{}",
+        "[2,0.61]",
+        "7",
+        "null",
+        r#"{"x0":2"#,
+        r#"{"x0":"2"}"#,
+        r#"{"x0":null}"#,
+        r#"{"x0":NaN}"#,
+        r#"{"x0":1e999}"#,
+        r#"{"x0":-1}"#,
+        r#"{"x0":1e12}"#,
+        r#"{"x0":2,"mood":3}"#,
+        r#"{"x0":{"x0":2}}"#,
+    ];
+    for text in odd {
+        assert_eq!(read(text), None, "{text}");
+    }
+    assert_eq!(
+        LoadReportFields::new(Vec::new()).parse_text(r#"{"x0":2}"#),
+        None,
+        "a deployment without reports has no fields"
+    );
+}
--- a/crates/engine/src/tests/server_link.rs
+++ b/crates/engine/src/tests/server_link.rs
@@ -2,8 +2,9 @@
 
 use super::shared::{self, order};
 use crate::Engine;
-use crate::attempt::{self, AttemptSpec};
+use crate::attempt;
 use crate::attempt_end::AttemptEnd;
+use crate::attempt_spec::AttemptSpec;
 use crate::job::{RequestMessage, RequestPayload};
 use proptest::prelude::*;
 use sorrelhaven_config::BodySettings;
--- a/crates/engine/src/tests/shared.rs
+++ b/crates/engine/src/tests/shared.rs
@@ -1,6 +1,6 @@
 //! What the tests of the engine share: one in this thread.
 
-use crate::attempt::AttemptSpec;
+use crate::attempt_spec::AttemptSpec;
 use crate::job::Job;
 use crate::{Engine, RequestPayload};
 use futures_lite::future::or;
--- a/crates/engine/src/upstreams.rs
+++ b/crates/engine/src/upstreams.rs
@@ -4,7 +4,7 @@
 use crate::connection_pool::{ConnectionPool, PooledConnection};
 use crate::counters::Counters;
 use crate::discovery_watch::WorkerRegistry;
-use crate::load::Fields;
+use crate::load_report::LoadReportFields;
 use crate::tasks::Tasks;
 use sorrelhaven_dispatcher::WorkerId;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
     /// The counters.
     pub counters: Rc<Counters>,
     /// The fields of load reports.
-    pub load_fields: Fields,
+    pub load_fields: LoadReportFields,
     /// How long after its drain was told an executor may still be sent something.
     pub drain_grace: Duration,
     /// A connection not made within this time has failed.
