--- a/crates/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -1,179 +1,150 @@
-//! What the node has taken in, sent and answered.
+//! Counters of requests, attempts, connections and discovery since the start.
 
 use crate::count::Count;
-use crate::invariants::Invariants;
+use crate::invariants::{Invariants, MAX_SEND_AFTER_DISCONNECT};
 use crate::responsiveness::Responsiveness;
 use sorrelhaven_dispatcher::Outcome;
 use std::cell::Cell;
 use std::rc::Rc;
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
-/// A client that has left must not have its request sent on from so long after it left.
-pub const LATE: Duration = Duration::from_millis(100);
-
-/// The counts of one class since the start.
+/// The requests of one class since the start.
 #[derive(Default)]
 pub struct ClassCounters {
-    /// Requests taken.
+    /// Requests admitted.
     pub admitted: Count,
-    /// Answered with an executor's result.
+    /// Requests answered with a worker's result.
     pub served: Count,
-    /// Answered with a throttle.
+    /// Requests answered with a rejection.
     pub rejected: Count,
-    /// Answered as failed, or ended without an answer by the node's own fault.
+    /// Requests answered as failed, or ended without an answer by a fault of the node.
     pub failed: Count,
-    /// Clients that left before their answer.
+    /// Requests whose client disconnected before the answer.
     pub client_gone: Count,
 }
 
-/// All counts since the start. A request is taken, and later one of served, throttled, failed or lapsed; until then it
-/// is in progress.
+/// The node's counters since the start.
+///
+/// An admitted request is in progress until it is served, rejected, failed, or its client has gone.
 #[derive(Default)]
 pub struct Counters {
     classes: Vec<(String, ClassCounters)>,
     in_progress: Cell<u64>,
-    /// Executions begun.
+    /// Attempts begun.
     pub sent: Count,
-    /// Executions whose last byte was written.
+    /// Attempts whose last byte was written.
     pub written: Count,
-    /// Clients that left while their request waited: no execution's last byte had been written.
+    /// Clients that disconnected before the last byte of any attempt was written.
     pub client_gone_waiting: Count,
-    /// Executions whose last byte was written after the client had left.
+    /// Attempts whose last byte was written after the client had disconnected.
     pub sent_after_client_gone: Count,
-    /// Those of them that came [`LATE`] after that, or later.
+    /// Those of them that were written [`MAX_SEND_AFTER_DISCONNECT`] after the disconnect, or later.
     pub sent_late_after_client_gone: Count,
-    /// Load reports taken.
+    /// Valid load reports.
     pub loads: Count,
-    /// Load reports that did not read, and were dropped.
+    /// Load reports that were malformed and dropped.
     pub load_reports_malformed: Count,
-    /// Server links opened.
+    /// Upstream connections opened.
     pub server_links: Count,
     /// Probes begun.
     pub probes: Count,
-    /// Pieces of the host group's list taken.
+    /// Worker lists applied, whole or partial.
     pub lists: Count,
-    /// Watches on the host group that broke or fell silent.
+    /// Discovery watches that broke or fell silent.
     pub watches_broken: Count,
-    /// What must hold, and how often it did not.
+    /// Violations of invariants.
     pub invariants: Invariants,
-    /// How long the event loop was held up.
+    /// Delays of the event loop.
     pub responsiveness: Rc<Responsiveness>,
     /// Answers given after their request's deadline.
     pub answered_late: Count,
-    /// Requests that nothing had answered some time after their deadline, answered by that alone.
+    /// Requests failed by their own task, since nothing else answered them by their deadline.
     pub answered_by_guard: Count,
-    outcomes: [Count; 9],
+    outcomes: [Count; OUTCOME_NAMES.len()],
 }
 
 /// How a request ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// With an executor's result.
+    /// With a worker's result.
     Served,
-    /// With a throttle.
+    /// With a rejection.
     Rejected,
-    /// As failed.
+    /// With a failure.
     Failed,
-    /// Its client left.
+    /// Without an answer, since its client disconnected.
     ClientGone,
 }
 
 impl Counters {
-    /// Counts by these classes, in this order.
+    /// Counters for these classes, in the order of the settings.
     pub fn new(classes: impl IntoIterator<Item = String>) -> Counters {
         let classes = classes.into_iter().map(|name| (name, ClassCounters::default())).collect();
         Counters { classes, ..Counters::default() }
     }
 
-    /// The counts of each class with its name, in the order of the settings.
+    /// The counters of each class with its name, in the order of the settings.
     pub fn classes(&self) -> impl Iterator<Item = (&str, &ClassCounters)> {
-        self.classes.iter().map(|(name, counts)| (name.as_str(), counts))
+        self.classes.iter().map(|(name, counters)| (name.as_str(), counters))
     }
 
-    /// Requests taken that have not ended.
+    /// Requests admitted that have not ended.
     pub fn in_progress(&self) -> u64 {
         self.in_progress.get()
     }
 
-    /// Counts a request that is taken.
+    /// Counts a request that is admitted.
     pub fn request_admitted(&self, class: usize) {
         self.in_progress.set(self.in_progress.get() + 1);
-        self.classes.get(class).into_iter().for_each(|(_, c)| c.admitted.add());
+        if let Some((_, counters)) = self.classes.get(class) {
+            counters.admitted.add();
+        }
     }
 
-    /// Counts how a request that was taken ends.
+    /// Counts the end of an admitted request.
     pub fn request_concluded(&self, class: usize, end: RequestEnd) {
         self.in_progress.set(self.in_progress.get() - 1);
-        let Some((_, counts)) = self.classes.get(class) else { return };
+        let Some((_, counters)) = self.classes.get(class) else { return };
         match end {
-            RequestEnd::Served => counts.served.add(),
-            RequestEnd::Rejected => counts.rejected.add(),
-            RequestEnd::Failed => counts.failed.add(),
-            RequestEnd::ClientGone => counts.client_gone.add(),
+            RequestEnd::Served => counters.served.add(),
+            RequestEnd::Rejected => counters.rejected.add(),
+            RequestEnd::Failed => counters.failed.add(),
+            RequestEnd::ClientGone => counters.client_gone.add(),
         }
     }
 
-    /// One count over all classes.
-    pub fn total(&self, count: impl Fn(&ClassCounters) -> &Count) -> u64 {
-        self.classes.iter().map(|(_, class)| count(class).get()).sum()
+    /// The sum of one counter over all classes.
+    pub fn total(&self, counter: impl Fn(&ClassCounters) -> &Count) -> u64 {
+        self.classes.iter().map(|(_, counters)| counter(counters).get()).sum()
     }
 
-    /// Counts an execution whose last byte was written just now, where its client `left` before.
-    pub fn request_sent(&self, left: Option<Instant>) {
+    /// Counts an attempt whose last byte was written just now; `client_left_at`: when its client disconnected, if it has.
+    pub fn request_sent(&self, client_left_at: Option<Instant>) {
         self.written.add();
-        if let Some(left) = left {
-            self.sent_after_client_gone.add();
-            if left.elapsed() >= LATE {
-                self.sent_late_after_client_gone.add();
-            }
+        let Some(left_at) = client_left_at else { return };
+        self.sent_after_client_gone.add();
+        if left_at.elapsed() >= MAX_SEND_AFTER_DISCONNECT {
+            self.sent_late_after_client_gone.add();
         }
     }
 
-    /// Counts how an execution ended.
+    /// Counts the outcome of an attempt.
     pub fn attempt_ended(&self, outcome: Outcome) {
-        self.outcomes[place(outcome)].add();
-    }
-}
-
-const OUTCOMES: [&str; 9] = [
-    "ok",
-    "error",
-    "worker_rejected",
-    "timeout",
-    "connect_failed",
-    "reset",
-    "cancelled",
-    "not_sent",
-    "invalid_request",
-];
-
-fn place(outcome: Outcome) -> usize {
-    match outcome {
-        Outcome::Ok => 0,
-        Outcome::Error => 1,
-        Outcome::Rejected => 2,
-        Outcome::Timeout => 3,
-        Outcome::ConnectFailed => 4,
-        Outcome::Reset => 5,
-        Outcome::Cancelled => 6,
-        Outcome::NotSent => 7,
-        Outcome::InvalidRequest => 8,
+        self.outcomes[outcome_index(outcome)].add();
     }
-}
 
-impl Counters {
-    /// All counts with their names, in the order in which they are shown.
+    /// All counters with their names, in the order in which they are shown.
     pub fn metrics(&self) -> Vec<(&'static str, u64)> {
         let mut metrics = vec![
-            ("admitted", self.total(|c| &c.admitted)),
-            ("served", self.total(|c| &c.served)),
-            ("rejected", self.total(|c| &c.rejected)),
-            ("failed", self.total(|c| &c.failed)),
-            ("client_gone", self.total(|c| &c.client_gone)),
+            ("admitted", self.total(|class| &class.admitted)),
+            ("served", self.total(|class| &class.served)),
+            ("rejected", self.total(|class| &class.rejected)),
+            ("failed", self.total(|class| &class.failed)),
+            ("client_gone", self.total(|class| &class.client_gone)),
             ("in_progress", self.in_progress()),
             ("attempts", self.sent.get()),
         ];
-        metrics.extend(OUTCOMES.iter().zip(&self.outcomes).map(|(name, count)| (*name, count.get())));
+        metrics.extend(OUTCOME_NAMES.iter().zip(&self.outcomes).map(|(name, count)| (*name, count.get())));
         metrics.extend([
             ("requests_sent", self.written.get()),
             ("client_gone_waiting", self.client_gone_waiting.get()),
@@ -195,3 +166,30 @@
         metrics
     }
 }
+
+/// The names of the outcomes' counters, in the order of [`outcome_index`].
+const OUTCOME_NAMES: [&str; 9] = [
+    "ok",
+    "error",
+    "worker_rejected",
+    "timeout",
+    "connect_failed",
+    "reset",
+    "cancelled",
+    "not_sent",
+    "invalid_request",
+];
+
+fn outcome_index(outcome: Outcome) -> usize {
+    match outcome {
+        Outcome::Ok => 0,
+        Outcome::Error => 1,
+        Outcome::Rejected => 2,
+        Outcome::Timeout => 3,
+        Outcome::ConnectFailed => 4,
+        Outcome::Reset => 5,
+        Outcome::Cancelled => 6,
+        Outcome::NotSent => 7,
+        Outcome::InvalidRequest => 8,
+    }
+}
