--- a/crates/admin/src/desk.rs
+++ b/crates/admin/src/desk.rs
@@ -80,7 +80,7 @@
         });
         Metrics {
             classes: classes.collect(),
-            upstream_tries: counters.written.get(),
+            upstream_tries: counters.requests_sent.get(),
             in_progress: counters.in_progress(),
             known_executors: worker_counts.known,
             skipped_executors: worker_counts.unavailable(),
--- a/crates/engine/src/connection_pool.rs
+++ b/crates/engine/src/connection_pool.rs
@@ -145,7 +145,7 @@
     /// Opens a link.
     pub async fn connect(&self, address: SocketAddr) -> Result<PooledConnection, AttemptEnd> {
         let permit = self.acquire_descriptor().ok_or(AttemptEnd::NoDescriptor)?;
-        self.counters.server_links.add();
+        self.counters.upstream_connections.add();
         let link = Connection::connect(address).await.map_err(|error| {
             match classify(SocketCall::Connect, &error) {
                 // The node's own want says nothing of the executor.
--- a/crates/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -31,9 +31,9 @@
     classes: Vec<(String, ClassCounters)>,
     in_progress: Cell<u64>,
     /// Attempts begun.
-    pub sent: Count,
+    pub attempts: Count,
     /// Attempts whose last byte was written.
-    pub written: Count,
+    pub requests_sent: Count,
     /// Clients that disconnected before the last byte of any attempt was written.
     pub client_gone_waiting: Count,
     /// Attempts whose last byte was written after the client had disconnected.
@@ -41,17 +41,17 @@
     /// Those of them that were written [`MAX_SEND_AFTER_DISCONNECT`] after the disconnect, or later.
     pub sent_late_after_client_gone: Count,
     /// Valid load reports.
-    pub loads: Count,
+    pub load_reports: Count,
     /// Load reports that were malformed and dropped.
     pub load_reports_malformed: Count,
     /// Upstream connections opened.
-    pub server_links: Count,
+    pub upstream_connections: Count,
     /// Probes begun.
     pub probes: Count,
     /// Worker lists applied, whole or partial.
-    pub lists: Count,
+    pub worker_lists: Count,
     /// Discovery watches that broke or fell silent.
-    pub watches_broken: Count,
+    pub discovery_watches_failed: Count,
     /// Violations of invariants.
     pub invariants: Invariants,
     /// Delays of the event loop.
@@ -59,7 +59,7 @@
     /// Answers given after their request's deadline.
     pub answered_late: Count,
     /// Requests failed by their own task, since nothing else answered them by their deadline.
-    pub answered_by_guard: Count,
+    pub answered_by_deadline_guard: Count,
     outcomes: [Count; OUTCOME_NAMES.len()],
 }
 
@@ -120,7 +120,7 @@
 
     /// Counts an attempt whose last byte was written just now; `client_left_at`: when its client disconnected, if it has.
     pub fn request_sent(&self, client_left_at: Option<Instant>) {
-        self.written.add();
+        self.requests_sent.add();
         let Some(left_at) = client_left_at else { return };
         self.sent_after_client_gone.add();
         if left_at.elapsed() >= MAX_SEND_AFTER_DISCONNECT {
@@ -142,23 +142,23 @@
             ("failed", self.total(|class| &class.failed)),
             ("client_gone", self.total(|class| &class.client_gone)),
             ("in_progress", self.in_progress()),
-            ("attempts", self.sent.get()),
+            ("attempts", self.attempts.get()),
         ];
         metrics.extend(OUTCOME_NAMES.iter().zip(&self.outcomes).map(|(name, count)| (*name, count.get())));
         metrics.extend([
-            ("requests_sent", self.written.get()),
+            ("requests_sent", self.requests_sent.get()),
             ("client_gone_waiting", self.client_gone_waiting.get()),
             ("sent_after_client_gone", self.sent_after_client_gone.get()),
             ("sent_late_after_client_gone", self.sent_late_after_client_gone.get()),
-            ("load_reports", self.loads.get()),
+            ("load_reports", self.load_reports.get()),
             ("load_reports_malformed", self.load_reports_malformed.get()),
-            ("upstream_connections", self.server_links.get()),
+            ("upstream_connections", self.upstream_connections.get()),
             ("probes", self.probes.get()),
-            ("worker_lists", self.lists.get()),
-            ("discovery_watches_failed", self.watches_broken.get()),
+            ("worker_lists", self.worker_lists.get()),
+            ("discovery_watches_failed", self.discovery_watches_failed.get()),
             ("invariant_violations", self.invariants.total()),
             ("answered_late", self.answered_late.get()),
-            ("answered_by_deadline_guard", self.answered_by_guard.get()),
+            ("answered_by_deadline_guard", self.answered_by_deadline_guard.get()),
             ("long_steps", self.responsiveness.long_steps.get()),
             ("longest_step_us", self.responsiveness.longest_step.micros()),
             ("longest_timer_lag_us", self.responsiveness.longest_timer_lag.micros()),
--- a/crates/engine/src/discovery_watch.rs
+++ b/crates/engine/src/discovery_watch.rs
@@ -237,7 +237,7 @@
                 Ok(never) => match never {},
                 Err(end) => end,
             };
-            watch.counters.watches_broken.add();
+            watch.counters.discovery_watches_failed.add();
             if begun.elapsed() > 2 * SILENCE {
                 watch.backoff.reset();
                 said.clear();
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -160,7 +160,7 @@
         for entry in entries.iter().filter(|e| e.lifecycle == Lifecycle::Gone) {
             self.upstreams.pool.evict_worker(entry.worker);
         }
-        self.counters.lists.add();
+        self.counters.worker_lists.add();
         let members =
             if list.complete { WorkerListUpdate::Full(entries) } else { WorkerListUpdate::Delta(entries) };
         self.dispatcher_loop.dispatch(Event::WorkerList(members));
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -212,7 +212,7 @@
     fn begin_attempt(&mut self, worker: WorkerId, deadline: Micros, send_by: Micros) {
         let attempt = self.attempts_begun;
         self.attempts_begun += 1;
-        self.requests.counters.sent.add();
+        self.requests.counters.attempts.add();
         debug!(id = %self.name, attempt, worker = worker.0, "attempt started");
         let fully_sent = Rc::<Cell<bool>>::default();
         let task = if self.state.concluded.get() {
@@ -315,7 +315,7 @@
         }
         let attempts = self.attempts.len();
         warn!(id = %self.name, attempts, "request overdue, answered by the deadline guard");
-        self.requests.counters.answered_by_guard.add();
+        self.requests.counters.answered_by_deadline_guard.add();
         self.answer(Answer::Failed);
         self.dispatch(Event::ClientDisconnected(self.id));
         let running: Vec<u32> = self.attempts.keys().copied().collect();
--- a/crates/engine/src/response_reader.rs
+++ b/crates/engine/src/response_reader.rs
@@ -147,7 +147,7 @@
         };
         match report {
             Some(report) => {
-                upstreams.counters.loads.add();
+                upstreams.counters.load_reports.add();
                 report
             }
             None => {
--- a/crates/engine/src/tests/guard.rs
+++ b/crates/engine/src/tests/guard.rs
@@ -36,5 +36,5 @@
         }),
     );
     assert!(closed.is_some(), "the request is still open");
-    assert_eq!(engine.counters.answered_by_guard.get(), 1);
+    assert_eq!(engine.counters.answered_by_deadline_guard.get(), 1);
 }
--- a/crates/engine/src/tests/load_reports.rs
+++ b/crates/engine/src/tests/load_reports.rs
@@ -48,7 +48,7 @@
     let Ok(RequestMessage::AttemptEnded { end: ending, load_report: load, .. }) = inbox.try_recv() else {
         panic!("no outcome")
     };
-    (ending, load, [engine.counters.loads.get(), engine.counters.load_reports_malformed.get()])
+    (ending, load, [engine.counters.load_reports.get(), engine.counters.load_reports_malformed.get()])
 }
 
 #[test]
--- a/crates/engine/src/tests/server_link.rs
+++ b/crates/engine/src/tests/server_link.rs
@@ -287,5 +287,5 @@
     shared::run(&engine, attempt::run(engine.upstreams.clone(), parcel(&engine), order, mail));
     let Ok(RequestMessage::AttemptEnded { end: ending, .. }) = inbox.try_recv() else { panic!("no outcome") };
     assert_eq!((ending.clone(), ending.outcome()), (AttemptEnd::IdempotencyWindowExpired, Outcome::NotSent));
-    assert_eq!(engine.counters.written.get(), 0);
+    assert_eq!(engine.counters.requests_sent.get(), 0);
 }
--- a/crates/engine/src/tests/watch.rs
+++ b/crates/engine/src/tests/watch.rs
@@ -72,7 +72,7 @@
     });
     let port = |n: u32| engine.upstreams.registry.address(WorkerId(n)).map(|a| a.port());
     assert_eq!([port(0), port(1), port(2), port(3)], [Some(1), Some(2), Some(3), None]);
-    assert_eq!(engine.counters.lists.get(), 2);
+    assert_eq!(engine.counters.worker_lists.get(), 2);
 }
 
 /// So many executors must be no trouble.
@@ -116,7 +116,7 @@
             format!("/registry/instances?watch=1&after={}", 2 + u64::from(MANY - 1))
         );
     });
-    assert_eq!(engine.counters.lists.get(), u64::from(MANY));
+    assert_eq!(engine.counters.worker_lists.get(), u64::from(MANY));
     assert_eq!(counted(&engine), [1, usize::from(MANY) - 1]);
 }
 
@@ -171,7 +171,7 @@
                 assert!(begun.elapsed() < Duration::from_secs(2), "{n}: {:?}", begun.elapsed());
             }
         });
-        assert_eq!(engine.counters.lists.get(), 1);
+        assert_eq!(engine.counters.worker_lists.get(), 1);
     }
 }
 
@@ -205,7 +205,7 @@
         let anew = silent.elapsed();
         assert!(anew >= 3 * SECOND && anew < 5 * SECOND, "asked for again after {anew:?}");
     });
-    assert_eq!(engine.counters.lists.get(), 1);
+    assert_eq!(engine.counters.worker_lists.get(), 1);
 }
 
 /// What came of a line counts for nothing until the line is whole, also where the rest never comes.
@@ -231,7 +231,7 @@
         drop(whole);
         assert_eq!(read_request_target(&mut next()), "/registry/instances?watch=1&after=3");
     });
-    assert_eq!(engine.counters.lists.get(), 1);
+    assert_eq!(engine.counters.worker_lists.get(), 1);
     assert_eq!(counted(&engine), [2, 0], "the drain was never told whole");
 }
 
@@ -262,5 +262,5 @@
         assert_eq!(read_request_target(&mut next), "/registry/instances?watch=1&after=1");
         again.join().expect("a thread").expect("it was awaited");
     });
-    assert_eq!((engine.counters.lists.get(), counted(&engine)), (0, [1, 0]));
+    assert_eq!((engine.counters.worker_lists.get(), counted(&engine)), (0, [1, 0]));
 }
