--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,10 +1,12 @@
 //! The parts of one node put together, without a front.
 
+use crate::backoff::Backoff;
 use crate::body_admission::BodyAdmission;
 use crate::clock::{Clock, length};
 use crate::connection_pool::{ConnectionPool, DescriptorBudget};
 use crate::counters::Counters;
-use crate::discovery_watch::{self, Backoff, Source, Watch, WorkerRegistry};
+use crate::discovery_poll::DiscoveryMode;
+use crate::discovery_watch::DiscoveryWatch;
 use crate::dispatcher_loop::DispatcherLoop;
 use crate::job::Job;
 use crate::load_report::LoadReportFields;
@@ -12,6 +14,7 @@
 use crate::request::{RequestHandle, Requests};
 use crate::tasks::Tasks;
 use crate::upstreams::Upstreams;
+use crate::worker_registry::WorkerRegistry;
 use async_channel::Receiver;
 use async_io::Timer;
 use sorrelhaven_body_store::{BodyStore, Disk, Permit};
@@ -46,7 +49,7 @@
     requests: Rc<Requests>,
     probes: Receiver<WorkerId>,
     backoff: Backoff,
-    source: Source,
+    discovery_mode: DiscoveryMode,
 }
 
 impl Engine {
@@ -100,7 +103,8 @@
         let entries = ways.registry.apply(&config.known, desk.clock.now());
         desk.dispatch(Event::WorkerList(WorkerListUpdate::Cached(entries)));
         let places = BodyAdmission::new(tasks.clone());
-        let source = if config.settings.polls_discovery { Source::Asked } else { Source::Pushed };
+        let discovery_mode =
+            if config.settings.polls_discovery { DiscoveryMode::Poll } else { DiscoveryMode::Push };
         let backoff = Backoff::new(config.seed, config.drain_grace, config.ask_within);
         Rc::new(Engine {
             tasks,
@@ -112,7 +116,7 @@
             requests,
             probes,
             backoff,
-            source,
+            discovery_mode,
         })
     }
 
@@ -146,10 +150,9 @@
 
     /// Watches the host group, for ever.
     pub async fn watch(&self, discovery: SocketAddr, seq: u64, moved: Receiver<SocketAddr>) {
-        let tell = |list: &DiscoveryList| self.tell(list);
-        let (counters, source, backoff) = (&*self.counters, self.source, self.backoff.clone());
-        let watch = Watch { counters, source, backoff };
-        discovery_watch::watch(watch, discovery, seq, moved, tell).await;
+        let backoff = self.backoff.clone();
+        let watch = DiscoveryWatch::new(&self.counters, self.discovery_mode, backoff, discovery, seq);
+        watch.run(moved, |list| self.tell(list)).await;
     }
 
     /// Tells the module of a list, and drops the idle links to executors that are gone.
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -33,11 +33,13 @@
 mod attempt;
 mod attempt_end;
 mod attempt_spec;
+mod backoff;
 mod body_admission;
 mod clock;
 mod connection_pool;
 mod count;
 mod counters;
+mod discovery_poll;
 mod discovery_watch;
 mod dispatcher_loop;
 mod engine;
@@ -54,6 +56,8 @@
 #[cfg(test)]
 mod tests;
 mod upstreams;
+mod watch_error;
+mod worker_registry;
 
 pub use attempt_end::AttemptEnd;
 pub use body_admission::{BodyAdmission, BodyPermit};
@@ -61,7 +65,6 @@
 pub use connection_pool::{ConnectionPool, DescriptorBudget, Permit, PooledConnection};
 pub use count::{Count, Longest};
 pub use counters::{ClassCounters, Counters, RequestEnd};
-pub use discovery_watch::WorkerRegistry;
 pub use dispatcher_loop::DispatcherLoop;
 pub use engine::Engine;
 pub use invariants::{Drain, Invariant, Invariants, RequestGuard, SentAttempt};
@@ -70,3 +73,4 @@
 pub use responsiveness::{LONG_STEP, Responsiveness};
 pub use tasks::Tasks;
 pub use upstreams::Upstreams;
+pub use worker_registry::WorkerRegistry;
--- a/crates/engine/src/tests/backoff.rs
+++ b/crates/engine/src/tests/backoff.rs
@@ -1,6 +1,6 @@
 //! How a fleet of nodes asks discovery again after the same failure, on a simulated clock.
 
-use crate::discovery_watch::Backoff;
+use crate::backoff::Backoff;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -14,7 +14,7 @@
 /// When each node got its answer, and the times of all asks, where all watches break at 0.
 fn storm(closes: bool) -> (Vec<u64>, Vec<u64>) {
     let mut backoffs: Vec<Backoff> = (0..NODES).map(|seed| Backoff::new(seed, GRACE, ASK_WITHIN)).collect();
-    let mut pause = |node: u64, refused| backoffs[node as usize].pause(refused).as_millis() as u64;
+    let mut pause = |node: u64, refused| backoffs[node as usize].retry_delay(refused).as_millis() as u64;
     let mut due: BinaryHeap<Reverse<(u64, u64)>> =
         (0..NODES).map(|n| Reverse((pause(n, false), n))).collect();
     let (mut free, mut got, mut asks) = (0, Vec::new(), Vec::new());
@@ -54,15 +54,15 @@
 fn equal_seeds_give_equal_pauses_and_none_is_over_its_bound() {
     let pauses = |seed| {
         let mut backoff = Backoff::new(seed, GRACE, ASK_WITHIN);
-        (0..12).map(|i| backoff.pause(i > 5)).collect::<Vec<_>>()
+        (0..12).map(|i| backoff.retry_delay(i > 5)).collect::<Vec<_>>()
     };
     assert_eq!(pauses(7), pauses(7));
     assert_ne!(pauses(7), pauses(8));
     assert!(pauses(9).iter().all(|p| p.as_secs_f64() <= 16.0));
     let mut backoff = Backoff::new(3, GRACE, ASK_WITHIN);
-    assert!((0..9).all(|_| backoff.pause(true).as_secs_f64() <= 16.0));
+    assert!((0..9).all(|_| backoff.retry_delay(true).as_secs_f64() <= 16.0));
     backoff.reset();
-    assert!(backoff.pause(false).as_secs_f64() <= 1.0, "a reset begins again");
+    assert!(backoff.retry_delay(false).as_secs_f64() <= 1.0, "a reset begins again");
 }
 
 /// An agent that speaks again may tell of a drain of which the grace runs already: it is asked within half of that.
@@ -70,13 +70,13 @@
 fn an_agent_is_asked_anew_well_within_the_grace_of_a_drain() {
     for grace in [250_000, 500_000, 1_000_000, 2_000_000] {
         let mut backoff = Backoff::new(5, grace, ASK_WITHIN);
-        let pauses: Vec<u128> = (0..99).map(|_| backoff.anew().as_micros()).collect();
+        let pauses: Vec<u128> = (0..99).map(|_| backoff.hedge_delay().as_micros()).collect();
         assert!(pauses.iter().all(|&p| (grace as u128 / 5..=grace as u128 / 2).contains(&p)), "{grace}");
         assert!(pauses.iter().min() < pauses.iter().max(), "in step");
     }
     // Settings out of all range neither ask without a pause nor wait for ever.
     for (grace, least, most) in [(0, 40, 100), (-7, 40, 100), (i64::MAX, 400, 1_000)] {
-        let pause = Backoff::new(5, grace, ASK_WITHIN).anew().as_millis();
+        let pause = Backoff::new(5, grace, ASK_WITHIN).hedge_delay().as_millis();
         assert!((least..=most).contains(&pause), "{grace}: {pause} ms");
     }
 }
@@ -89,7 +89,7 @@
     {
         for refused in [false, true] {
             let mut backoff = Backoff::new(11, GRACE, ask_within);
-            let pauses: Vec<f64> = (0..99).map(|_| backoff.pause(refused).as_secs_f64()).collect();
+            let pauses: Vec<f64> = (0..99).map(|_| backoff.retry_delay(refused).as_secs_f64()).collect();
             assert!(pauses.iter().all(|p| *p <= most as f64), "{ask_within}: {pauses:?}");
             assert!(pauses.iter().any(|p| *p > most as f64 / 2.0), "{ask_within}: less than it may");
         }
--- a/crates/engine/src/tests/watch.rs
+++ b/crates/engine/src/tests/watch.rs
@@ -2,7 +2,7 @@
 
 use super::shared;
 use crate::Engine;
-use crate::discovery_watch::Backoff;
+use crate::backoff::Backoff;
 use sorrelhaven_dispatcher::WorkerId;
 use sorrelhaven_test_support::{CHUNKED_RESPONSE_HEAD, read_request_target, send_chunk};
 use std::io::{Read, Write};
@@ -183,7 +183,7 @@
     // Pauses drawn so that the first is short, and the second long unless the bound has begun anew.
     let seed = (0..).find(|&seed| {
         let mut backoff = Backoff::new(seed, 1_000_000, 10_000_000);
-        backoff.pause(true) < SECOND / 4 && backoff.pause(false) > 6 * SECOND
+        backoff.retry_delay(true) < SECOND / 4 && backoff.retry_delay(false) > 6 * SECOND
     });
     let text = sorrelhaven_test_support::single_worker_config(
         "127.0.0.1:1".parse().expect("an address"),
--- a/crates/engine/src/upstreams.rs
+++ b/crates/engine/src/upstreams.rs
@@ -3,9 +3,9 @@
 use crate::attempt_end::AttemptEnd;
 use crate::connection_pool::{ConnectionPool, PooledConnection};
 use crate::counters::Counters;
-use crate::discovery_watch::WorkerRegistry;
 use crate::load_report::LoadReportFields;
 use crate::tasks::Tasks;
+use crate::worker_registry::WorkerRegistry;
 use sorrelhaven_dispatcher::WorkerId;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- /dev/null
+++ b/crates/engine/src/worker_registry.rs
@@ -0,0 +1,124 @@
+//! What discovery's lists say of the workers: their ids, addresses, and whether they accept work.
+
+use crate::start_times::StartTimes;
+use sorrelhaven_config::{DiscoveryHost, DiscoveryList, Error, SettingNames};
+use sorrelhaven_dispatcher::{Lifecycle, Micros, WorkerEntry, WorkerId};
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::time::Instant;
+use tracing::warn;
+
+/// All workers that any list has named.
+pub struct WorkerRegistry {
+    names: SettingNames,
+    known: RefCell<KnownWorkers>,
+}
+
+#[derive(Default)]
+struct KnownWorkers {
+    start_times: StartTimes,
+    ids: HashMap<String, WorkerId>,
+    /// The workers by the number of their id.
+    workers: Vec<KnownWorker>,
+}
+
+struct KnownWorker {
+    address: Option<SocketAddr>,
+    /// Since when the lists say that it accepts no work; `None` while it does.
+    draining_since: Option<Instant>,
+}
+
+impl KnownWorker {
+    fn set_accepts_work(&mut self, accepts_work: bool) {
+        if accepts_work {
+            self.draining_since = None;
+        } else if self.draining_since.is_none() {
+            self.draining_since = Some(Instant::now());
+        }
+    }
+}
+
+impl WorkerRegistry {
+    /// A registry without workers; `names` are the words of the settings for zones and kinds of machine.
+    pub fn new(names: SettingNames) -> WorkerRegistry {
+        WorkerRegistry { names, known: RefCell::default() }
+    }
+
+    /// The address of a worker, if a list has named one.
+    pub fn address(&self, worker: WorkerId) -> Option<SocketAddr> {
+        self.known.borrow().get(worker)?.address
+    }
+
+    /// Whether a worker is known and accepts work by the last list.
+    pub fn accepts_work(&self, worker: WorkerId) -> bool {
+        self.known.borrow().get(worker).is_some_and(|known| known.draining_since.is_none())
+    }
+
+    /// Since when the lists say that a worker accepts no work; `None` for one that does, or is unknown.
+    pub fn draining_since(&self, worker: WorkerId) -> Option<Instant> {
+        self.known.borrow().get(worker)?.draining_since
+    }
+
+    /// Applies a list that was read at `now`, and returns its entries in the dispatcher's form.
+    ///
+    /// An invalid entry is logged and skipped: it must not hide what the list says of the other workers.
+    pub fn apply(&self, list: &DiscoveryList, now: Micros) -> Vec<WorkerEntry> {
+        let known = &mut *self.known.borrow_mut();
+        let dates = list.hosts.iter().map(|host| host.started_ms.saturating_mul(1_000));
+        known.start_times.begin_list(dates, now);
+        let mut entries = Vec::new();
+        for host in &list.hosts {
+            match known.apply_host(host, &self.names, now) {
+                Ok(entry) => entries.push(entry),
+                Err(error) => warn!(host = host.host, %error, "worker list entry ignored"),
+            }
+        }
+        known.start_times.end_list(now);
+        if list.complete {
+            known.drain_unlisted(&entries);
+        }
+        entries
+    }
+}
+
+impl KnownWorkers {
+    fn get(&self, worker: WorkerId) -> Option<&KnownWorker> {
+        self.workers.get(worker.0 as usize)
+    }
+
+    /// Applies one entry of a list, and numbers its worker where it is new.
+    fn apply_host(
+        &mut self,
+        host: &DiscoveryHost,
+        names: &SettingNames,
+        now: Micros,
+    ) -> Result<WorkerEntry, Error> {
+        let next_id = WorkerId(self.workers.len() as u32);
+        let id = self.ids.get(&host.host).copied().unwrap_or(next_id);
+        let mut entry = host.entry(id, names)?;
+        entry.started_at = self.start_times.started_at(id, entry.started_at, now);
+        if id == next_id {
+            self.ids.insert(host.host.clone(), id);
+            self.workers.push(KnownWorker { address: None, draining_since: None });
+        }
+        let worker = &mut self.workers[id.0 as usize];
+        // The address of a worker that is gone may be left out.
+        worker.address = host.dial.or(worker.address);
+        worker.set_accepts_work(entry.lifecycle == Lifecycle::Ready);
+        Ok(entry)
+    }
+
+    /// A worker that a complete list does not name accepts no work.
+    fn drain_unlisted(&mut self, entries: &[WorkerEntry]) {
+        let mut is_listed = vec![false; self.workers.len()];
+        for entry in entries {
+            is_listed[entry.worker.0 as usize] = true;
+        }
+        for (worker, is_listed) in self.workers.iter_mut().zip(is_listed) {
+            if !is_listed {
+                worker.set_accepts_work(false);
+            }
+        }
+    }
+}
