--- a/crates/engine/src/connection_pool.rs
+++ b/crates/engine/src/connection_pool.rs
@@ -1,7 +1,8 @@
-//! The pool of server links, and the descriptors that all links share.
+//! The pool of idle upstream connections.
 
 use crate::attempt_end::AttemptEnd;
 use crate::counters::Counters;
+use crate::descriptor_budget::{DescriptorBudget, Permit};
 use sorrelhaven_dispatcher::WorkerId;
 use sorrelhaven_wire::{Connection, SocketCall, SocketFailure, classify};
 use std::cell::{Cell, RefCell};
@@ -10,193 +11,181 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// DescriptorBudget kept for what is not a link: standard streams, the poller, signals, the listener and where it was handed
-/// over, the watch with the asks beside it, and the operators' address with its callers.
-const RESERVED: usize = 40;
-/// An idle server link is dropped this long before the executor may close it. A request that crosses the
-/// close would end as a reset, and a job that must not run twice could not be sent again.
+/// An idle connection is closed this long before the worker may close it. A request that crosses the worker's close
+/// ends in a reset, and one that must not run twice could not be retried.
 const KEEPALIVE_MARGIN: Duration = Duration::from_secs(2);
+/// The idle timeout is no shorter than this, however soon connections go stale.
+const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(50);
+/// How long a shorter idle timeout applies after a stale connection.
+const STALE_FINDING_DURATION: Duration = Duration::from_secs(60);
 
-/// Idle links that break when they are used are worth no less than this, whatever was found.
-const KEPT_LEAST: Duration = Duration::from_millis(50);
-/// For so long a finding that idle links go stale counts.
-const FINDING: Duration = Duration::from_secs(60);
-
-/// The descriptors that links may hold.
-pub struct DescriptorBudget {
-    most: Cell<usize>,
-    used: Cell<usize>,
-}
-
-/// One descriptor of those; free again when dropped.
-pub struct Permit(Rc<DescriptorBudget>);
-
-impl DescriptorBudget {
-    /// A budget within `sockets`, the limit on the whole process.
-    pub fn new(sockets: usize) -> Rc<DescriptorBudget> {
-        let descriptors = DescriptorBudget { most: Cell::new(0), used: Cell::new(0) };
-        descriptors.resize(sockets);
-        Rc::new(descriptors)
-    }
-
-    /// Another limit; where more are in use than it allows, those stay until they are free.
-    pub fn resize(&self, sockets: usize) {
-        self.most.set(sockets.saturating_sub(RESERVED).max(2));
-    }
-
-    /// The most client links: two thirds, so that clients alone can't leave the executors without.
-    pub fn max_downstream(&self) -> usize {
-        self.most.get() * 2 / 3
-    }
-
-    /// Whether more are in use than may be.
-    pub fn is_exceeded(&self) -> bool {
-        self.used.get() > self.most.get()
-    }
-
-    /// One descriptor, if one is free.
-    pub fn acquire(self: &Rc<Self>) -> Option<Permit> {
-        let free = self.used.get() < self.most.get();
-        free.then(|| {
-            self.used.set(self.used.get() + 1);
-            Permit(self.clone())
-        })
-    }
-}
-
-impl Drop for Permit {
-    fn drop(&mut self) {
-        self.0.used.set(self.0.used.get() - 1);
-    }
-}
-
-/// A connection to an executor, with its descriptor.
+/// A connection to a worker, with the permit for its descriptor.
 pub struct PooledConnection {
     /// The connection.
     pub connection: Connection,
-    /// How long it had stood idle when it was taken from the pool; `None` for a new one.
+    /// How long it had been idle when it was checked out of the pool; `None` for a new one.
     pub idle: Option<Duration>,
     address: SocketAddr,
     _permit: Permit,
 }
 
-struct Idle {
-    link: PooledConnection,
+struct IdleConnection {
+    upstream: PooledConnection,
     since: Instant,
 }
 
-/// The pool.
+impl IdleConnection {
+    /// Whether it can carry a request: not too old, and not closed or written to by the worker.
+    fn is_usable(&self, idle_timeout: Duration) -> bool {
+        self.since.elapsed() < idle_timeout && !self.upstream.connection.has_unsolicited_input()
+    }
+}
+
+/// A shorter idle timeout, since a connection went stale.
+#[derive(Clone, Copy)]
+struct StaleFinding {
+    idle_timeout: Duration,
+    valid_until: Instant,
+}
+
+/// Keeps idle upstream connections for reuse.
 pub struct ConnectionPool {
-    /// The descriptors of this node.
+    /// The descriptors that upstream and downstream connections share.
     pub descriptors: Rc<DescriptorBudget>,
-    keepalive: Duration,
-    /// Connections that had stood idle for longer were found to be stale, and until when that counts.
-    found: Cell<Option<(Duration, Instant)>>,
-    idle: RefCell<HashMap<WorkerId, Vec<Idle>>>,
+    /// The idle timeout by the settings.
+    configured_idle_timeout: Duration,
+    stale_finding: Cell<Option<StaleFinding>>,
+    /// The idle connections to each worker, the longest idle first.
+    idle: RefCell<HashMap<WorkerId, Vec<IdleConnection>>>,
     counters: Rc<Counters>,
 }
 
 impl ConnectionPool {
-    /// An empty pool; executors close links that stand idle for `keepalive`.
+    /// An empty pool. Workers close connections that are idle for `keepalive`.
     pub fn new(
         descriptors: Rc<DescriptorBudget>,
         keepalive: Duration,
         counters: Rc<Counters>,
     ) -> ConnectionPool {
-        let kept = keepalive.saturating_sub(KEEPALIVE_MARGIN.min(keepalive / 2));
-        let (found, idle) = (Cell::new(None), RefCell::default());
-        ConnectionPool { descriptors, keepalive: kept, found, idle, counters }
+        let margin = KEEPALIVE_MARGIN.min(keepalive / 2);
+        ConnectionPool {
+            descriptors,
+            configured_idle_timeout: keepalive.saturating_sub(margin),
+            stale_finding: Cell::new(None),
+            idle: RefCell::default(),
+            counters,
+        }
     }
 
-    /// How long an idle link is kept.
+    /// How long a connection may be idle and still be reused.
     pub fn idle_timeout(&self) -> Duration {
-        match self.found.get() {
-            Some((kept, until)) if Instant::now() < until => kept,
-            _ => self.keepalive,
+        match self.stale_finding.get() {
+            Some(finding) if Instant::now() < finding.valid_until => finding.idle_timeout,
+            _ => self.configured_idle_timeout,
         }
     }
 
-    /// A link that had stood idle for so long broke when it was used. Something on the way, or the executors,
-    /// forgets links without a word, and sooner than the settings say: each one more may cost a job that must
-    /// not run twice, where a new link costs a handshake.
+    /// Records that a connection broke on reuse after it had been idle for `idle`, and shortens the idle timeout for a
+    /// while.
+    ///
+    /// Something on the way, or the workers, drop connections without notice and sooner than the settings say. Each
+    /// further one may cost a request that must not run twice, where a new connection costs a handshake.
     pub fn record_stale(&self, idle: Duration) {
-        if idle > KEPT_LEAST {
-            let kept = (idle / 2).max(KEPT_LEAST).min(self.idle_timeout());
-            self.found.set(Some((kept, Instant::now() + FINDING)));
+        if idle <= MIN_IDLE_TIMEOUT {
+            return;
         }
+        let idle_timeout = (idle / 2).max(MIN_IDLE_TIMEOUT).min(self.idle_timeout());
+        let valid_until = Instant::now() + STALE_FINDING_DURATION;
+        self.stale_finding.set(Some(StaleFinding { idle_timeout, valid_until }));
     }
 
-    /// An idle link to the executor that is fit for one more request; the one used last, so that the others
-    /// can grow old.
+    /// Takes a usable connection to the worker out of the pool: the one used last, so that the others can expire.
     pub fn checkout(&self, worker: WorkerId, address: SocketAddr) -> Option<PooledConnection> {
         let mut idle = self.idle.borrow_mut();
-        let links = idle.get_mut(&worker)?;
-        let kept = self.idle_timeout();
-        while let Some(Idle { mut link, since }) = links.pop() {
-            let idle = since.elapsed();
-            if link.address == address && idle < kept && !link.connection.has_unsolicited_input() {
-                link.idle = Some(idle);
-                return Some(link);
+        let connections = idle.get_mut(&worker)?;
+        let idle_timeout = self.idle_timeout();
+        while let Some(connection) = connections.pop() {
+            let idle = connection.since.elapsed();
+            if connection.upstream.address == address && connection.is_usable(idle_timeout) {
+                return Some(PooledConnection { idle: Some(idle), ..connection.upstream });
             }
         }
         None
     }
 
-    /// Opens a link.
+    /// Opens a new connection.
+    ///
+    /// # Errors
+    ///
+    /// [`AttemptEnd::NoDescriptor`] where the node is short of descriptors or memory, which says nothing of the worker;
+    /// [`AttemptEnd::Unreachable`] where the connection fails.
     pub async fn connect(&self, address: SocketAddr) -> Result<PooledConnection, AttemptEnd> {
         let permit = self.acquire_descriptor().ok_or(AttemptEnd::NoDescriptor)?;
         self.counters.upstream_connections.add();
-        let link = Connection::connect(address).await.map_err(|error| {
+        let connection = Connection::connect(address).await.map_err(|error| {
             match classify(SocketCall::Connect, &error) {
-                // The node's own want says nothing of the executor.
                 SocketFailure::DescriptorLimit | SocketFailure::Shortage => AttemptEnd::NoDescriptor,
                 SocketFailure::Interrupted | SocketFailure::NotReady | SocketFailure::Connection => {
                     AttemptEnd::Unreachable
                 }
             }
         })?;
-        Ok(PooledConnection { connection: link, idle: None, address, _permit: permit })
+        Ok(PooledConnection { connection, idle: None, address, _permit: permit })
     }
 
-    /// Takes a link back whose exchange is complete.
-    pub fn check_in(&self, worker: WorkerId, link: PooledConnection) {
-        if !link.connection.has_unsolicited_input() {
-            let since = Instant::now();
-            self.idle.borrow_mut().entry(worker).or_default().push(Idle { link, since });
+    /// Returns a connection whose exchange is complete to the pool.
+    pub fn check_in(&self, worker: WorkerId, upstream: PooledConnection) {
+        if upstream.connection.has_unsolicited_input() {
+            return;
         }
+        let since = Instant::now();
+        self.idle.borrow_mut().entry(worker).or_default().push(IdleConnection { upstream, since });
     }
 
-    /// A descriptor; where none is free, that of the idle server link that would be dropped first.
+    /// A permit for a descriptor. Where none is free, the connection that has been idle the longest is closed for it.
     pub fn acquire_descriptor(&self) -> Option<Permit> {
         self.descriptors.acquire().or_else(|| {
-            self.free_oldest();
+            self.close_longest_idle();
             self.descriptors.acquire()
         })
     }
 
-    /// Another limit on the descriptors of the process: idle server links beyond it are closed at once.
-    pub fn resize(&self, sockets: usize) {
-        self.descriptors.resize(sockets);
-        while self.descriptors.is_exceeded() && self.free_oldest() {}
+    /// Sets another limit on the descriptors of the process, and closes idle connections beyond it at once.
+    pub fn resize(&self, process_limit: usize) {
+        self.descriptors.resize(process_limit);
+        while self.descriptors.is_exceeded() {
+            if !self.close_longest_idle() {
+                break;
+            }
+        }
     }
 
-    /// Drops the idle server link that would be dropped first, if there is one.
-    fn free_oldest(&self) -> bool {
+    /// Closes the connection that has been idle the longest; returns whether there was one.
+    fn close_longest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.values_mut().filter(|l| !l.is_empty()).min_by_key(|l| l[0].since);
-        oldest.map(|links| links.remove(0)).is_some()
+        let with_longest_idle = idle
+            .values_mut()
+            .filter(|connections| !connections.is_empty())
+            .min_by_key(|connections| connections[0].since);
+        match with_longest_idle {
+            Some(connections) => {
+                connections.remove(0);
+                true
+            }
+            None => false,
+        }
     }
 
-    /// Drops the idle links that are old or that the executor has closed.
+    /// Closes the idle connections that are too old, or that their worker has closed.
     pub fn evict_expired(&self) {
-        let kept = self.idle_timeout();
-        self.idle.borrow_mut().retain(|_, links| {
-            links.retain(|l| l.since.elapsed() < kept && !l.link.connection.has_unsolicited_input());
-            !links.is_empty()
+        let idle_timeout = self.idle_timeout();
+        self.idle.borrow_mut().retain(|_, connections| {
+            connections.retain(|connection| connection.is_usable(idle_timeout));
+            !connections.is_empty()
         });
     }
 
-    /// Drops the idle links to an executor that takes no more work.
+    /// Closes the idle connections to a worker that accepts no more work.
     pub fn evict_worker(&self, worker: WorkerId) {
         self.idle.borrow_mut().remove(&worker);
     }
--- a/crates/engine/src/dispatcher_loop.rs
+++ b/crates/engine/src/dispatcher_loop.rs
@@ -1,7 +1,8 @@
-//! The desk: owns the one dispatcher and is the only caller of its `handle`.
+//! Owns the node's one [`Dispatcher`] and is the only caller of its `handle`.
 //!
-//! Events go in one by one, in the order in which they are told; each action is routed to the request, the
-//! timer, the probe or the log that it concerns. One event may act on many requests.
+//! Events are handled one by one in the order of the calls of [`DispatcherLoop::dispatch`]. Each action of the
+//! dispatcher is routed to the request, the timer, the probe or the log that it concerns; one event may act on many
+//! requests.
 
 use crate::clock::Clock;
 use crate::job::RequestMessage;
@@ -18,16 +19,27 @@
 use std::time::{Duration, Instant};
 use tracing::{debug, info, warn};
 
-/// When a timer falls due, and its token.
-type Due = (Micros, u64);
+/// A timer that the dispatcher has set.
+struct TimerRequest {
+    due_at: Micros,
+    token: u64,
+}
+
+/// A timer that is pending. Those that are due at the same time fire in the order in which they were set.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct PendingTimer {
+    due_at: Micros,
+    sequence: u64,
+    token: u64,
+}
 
-/// The dispatcher and the ways from it to those that carry its actions out.
+/// The dispatcher, and the channels to those that carry its actions out.
 pub struct DispatcherLoop {
     /// The clock of all events.
     pub clock: Clock,
     state: RefCell<State>,
-    timers: Sender<Due>,
-    timers_set: Receiver<Due>,
+    timers: Sender<TimerRequest>,
+    timer_requests: Receiver<TimerRequest>,
     probes: Sender<WorkerId>,
     responsiveness: Rc<Responsiveness>,
 }
@@ -35,12 +47,13 @@
 struct State {
     dispatcher: Dispatcher,
     requests: HashMap<RequestId, Sender<RequestMessage>>,
-    next: u64,
+    next_request: u64,
+    /// The actions of one event; kept for its memory.
     actions: Vec<Action>,
 }
 
 impl DispatcherLoop {
-    /// A desk that asks for probes through `probes`, and tells `responsiveness` how long its work takes.
+    /// A loop that sends the workers to be probed to `probes`, and reports the time of each event to `responsiveness`.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -48,131 +61,157 @@
         probes: Sender<WorkerId>,
         responsiveness: Rc<Responsiveness>,
     ) -> DispatcherLoop {
-        let dispatcher = Dispatcher::new(settings, seed);
-        let state = State { dispatcher, requests: HashMap::new(), next: 0, actions: Vec::new() };
-        let (timers, timers_set) = async_channel::unbounded();
-        DispatcherLoop { clock, state: RefCell::new(state), timers, timers_set, probes, responsiveness }
+        let state = State {
+            dispatcher: Dispatcher::new(settings, seed),
+            requests: HashMap::new(),
+            next_request: 0,
+            actions: Vec::new(),
+        };
+        let (timers, timer_requests) = async_channel::unbounded();
+        DispatcherLoop { clock, state: RefCell::new(state), timers, timer_requests, probes, responsiveness }
     }
 
-    /// Numbers a request; its actions go to `mail` until it is closed.
-    pub fn register_request(&self, mail: Sender<RequestMessage>) -> RequestId {
+    /// Numbers a request; the dispatcher's actions for it go to `messages` until it is deregistered.
+    pub fn register_request(&self, messages: Sender<RequestMessage>) -> RequestId {
         let mut state = self.state.borrow_mut();
-        let id = RequestId(state.next);
-        state.next += 1;
-        state.requests.insert(id, mail);
+        let id = RequestId(state.next_request);
+        state.next_request += 1;
+        state.requests.insert(id, messages);
         id
     }
 
-    /// Forgets a request that has its answer and no execution.
+    /// Removes a request that has its answer and no attempt without an outcome.
     pub fn deregister_request(&self, id: RequestId) {
         self.state.borrow_mut().requests.remove(&id);
     }
 
-    /// Requests that are not closed.
+    /// The number of requests that are registered.
     pub fn registered_requests(&self) -> usize {
         self.state.borrow().requests.len()
     }
 
-    /// How the module regards the executors in its list now.
+    /// The dispatcher's view of the workers in its list now.
     pub fn worker_counts(&self) -> WorkerCounts {
         self.state.borrow().dispatcher.worker_counts(self.clock.now())
     }
 
-    /// Feeds the dispatcher one event and routes what it does about it.
+    /// Has the dispatcher handle one event, and routes its actions.
     pub fn dispatch(&self, event: Event) {
         let now = self.clock.now();
         let state = &mut *self.state.borrow_mut();
         debug!(?event, "event");
-        let (begun, part) = (Instant::now(), name(&event));
+        let started = Instant::now();
+        let part = event_name(&event);
         state.dispatcher.handle(now, event, &mut state.actions);
-        self.responsiveness.part_ended(part, begun);
+        self.responsiveness.part_ended(part, started);
         for action in state.actions.drain(..) {
             debug!(?action, "action");
-            match action {
-                Action::Send { request, worker, timeout, send_by: before } => {
-                    // The module's time-out is relative and 0 for "until the client gives up": from here on
-                    // there are only deadlines.
-                    let deadline = if timeout == 0 { Micros::MAX } else { now.saturating_add(timeout) };
-                    route_action(
-                        &state.requests,
-                        request,
-                        RequestMessage::Send { worker, deadline, send_by: before },
-                    );
-                }
-                Action::Cancel { request, attempt } => {
-                    route_action(&state.requests, request, RequestMessage::Cancel { attempt });
-                }
-                Action::Reject { request, retry_after } => {
-                    route_action(&state.requests, request, RequestMessage::Reject { retry_after });
-                }
-                Action::Fail { request } => route_action(&state.requests, request, RequestMessage::Fail),
-                Action::SetTimer { delay, token } => {
-                    // Only a desk that is being dropped has no one at the other end.
-                    let _ = self.timers.try_send((now.saturating_add(delay), token));
-                }
-                Action::Probe { worker } => {
-                    let _ = self.probes.try_send(worker);
-                }
-                // The watch on the host group always runs and asks again by itself.
-                Action::WatchWorkerList => {}
-                Action::Log(text) => info!(target: "module", "{text}"),
+            self.route_action(&state.requests, now, action);
+        }
+    }
+
+    fn route_action(
+        &self,
+        requests: &HashMap<RequestId, Sender<RequestMessage>>,
+        now: Micros,
+        action: Action,
+    ) {
+        match action {
+            Action::Send { request, worker, timeout, send_by } => {
+                // The dispatcher's timeout is relative, and 0 for "until the client gives up". From here on there are
+                // only deadlines.
+                let deadline = if timeout == 0 { Micros::MAX } else { now.saturating_add(timeout) };
+                send_message(requests, request, RequestMessage::Send { worker, deadline, send_by });
+            }
+            Action::Cancel { request, attempt } => {
+                send_message(requests, request, RequestMessage::Cancel { attempt });
+            }
+            Action::Reject { request, retry_after } => {
+                send_message(requests, request, RequestMessage::Reject { retry_after });
+            }
+            Action::Fail { request } => send_message(requests, request, RequestMessage::Fail),
+            Action::SetTimer { delay, token } => {
+                let timer = TimerRequest { due_at: now.saturating_add(delay), token };
+                // The loop holds the receiver, so the channel is open.
+                let _ = self.timers.try_send(timer);
             }
+            Action::Probe { worker } => {
+                // Probes end with the engine that runs them.
+                let _ = self.probes.try_send(worker);
+            }
+            // The discovery watch always runs, and retries by itself.
+            Action::WatchWorkerList => {}
+            Action::Log(text) => info!(target: "module", "{text}"),
         }
     }
 
     /// Runs the dispatcher's timers, for ever.
     pub async fn run_timers(&self) {
-        let mut pending: BTreeSet<(Micros, u64, u64)> = BTreeSet::new();
-        let mut number = 0;
+        let mut pending = BTreeSet::new();
+        let mut sequence = 0;
         loop {
-            let set = async { self.timers_set.recv().await.ok() };
-            let due = async {
-                match pending.first() {
-                    Some(&(at, ..)) => Timer::at(self.clock.instant(at)).await,
-                    None => std::future::pending().await,
-                };
-                None
-            };
-            if let Some((at, token)) = or(set, due).await {
-                number += 1;
-                pending.insert((at, number, token));
-            }
-            while let Some(&(at, _, token)) = pending.first()
-                && at <= self.clock.now()
-            {
-                pending.pop_first();
-                let lag = self.clock.now().saturating_sub(at);
-                self.responsiveness.longest_timer_lag.note(Duration::from_micros(lag.unsigned_abs()));
-                self.dispatch(Event::Timer(token));
-                // However many are due, and however soon the next ones are: others must have their turn in between.
-                yield_now().await;
+            if let Some(TimerRequest { due_at, token }) = self.next_timer_request(pending.first()).await {
+                sequence += 1;
+                pending.insert(PendingTimer { due_at, sequence, token });
             }
+            self.fire_due_timers(&mut pending).await;
+        }
+    }
+
+    /// Waits until a timer is set, or until `first_pending` is due: then `None`.
+    async fn next_timer_request(&self, first_pending: Option<&PendingTimer>) -> Option<TimerRequest> {
+        let request = async { self.timer_requests.recv().await.ok() };
+        let due = async {
+            match first_pending {
+                Some(timer) => Timer::at(self.clock.instant(timer.due_at)).await,
+                None => std::future::pending().await,
+            };
+            None
+        };
+        or(request, due).await
+    }
+
+    async fn fire_due_timers(&self, pending: &mut BTreeSet<PendingTimer>) {
+        while let Some(&timer) = pending.first()
+            && timer.due_at <= self.clock.now()
+        {
+            pending.pop_first();
+            let lag = self.clock.now().saturating_sub(timer.due_at);
+            self.responsiveness.longest_timer_lag.note(Duration::from_micros(lag.unsigned_abs()));
+            self.dispatch(Event::Timer(timer.token));
+            // Other tasks get their turn, however many timers are due and however soon the next ones are.
+            yield_now().await;
         }
     }
 }
 
-/// The name of an event in the log.
-fn name(event: &Event) -> &'static str {
+/// The name of an event in the log of slow steps.
+fn event_name(event: &Event) -> &'static str {
     match event {
-        Event::WorkerList(_) => "executor list",
+        Event::WorkerList(_) => "worker list",
         Event::Arrival(_) => "arrival",
         Event::AttemptStarted { .. } | Event::ResponseStreaming { .. } | Event::AttemptProgress { .. } => {
-            "progress of an attempt"
+            "attempt progress"
         }
-        Event::AttemptEnded { .. } => "end of an attempt",
-        Event::RequestSent { .. } | Event::BodyConsumed(_) => "body written",
-        Event::ClientDisconnected(_) => "client left",
-        Event::ProbeEnded { .. } => "probe",
+        Event::AttemptEnded { .. } => "attempt end",
+        Event::RequestSent { .. } | Event::BodyConsumed(_) => "request body sent",
+        Event::ClientDisconnected(_) => "client disconnected",
+        Event::ProbeEnded { .. } => "probe end",
         Event::Timer(_) => "timer",
     }
 }
 
-/// An action may concern a request that was closed in the same moment; then nothing is left to do.
-fn route_action(requests: &HashMap<RequestId, Sender<RequestMessage>>, id: RequestId, mail: RequestMessage) {
+/// Sends a message to a request. An action may concern one that was deregistered in the same moment: it is dropped.
+fn send_message(
+    requests: &HashMap<RequestId, Sender<RequestMessage>>,
+    id: RequestId,
+    message: RequestMessage,
+) {
     match requests.get(&id) {
         Some(sender) => {
-            let _ = sender.try_send(mail);
+            // A registered request holds the receiver.
+            let _ = sender.try_send(message);
         }
-        None => warn!(?id, ?mail, "action for a concluded request dropped"),
+        None => warn!(?id, action = ?message, "action for a concluded request dropped"),
     }
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -3,8 +3,9 @@
 use crate::backoff::Backoff;
 use crate::body_admission::BodyAdmission;
 use crate::clock::{Clock, length};
-use crate::connection_pool::{ConnectionPool, DescriptorBudget};
+use crate::connection_pool::ConnectionPool;
 use crate::counters::Counters;
+use crate::descriptor_budget::DescriptorBudget;
 use crate::discovery_poll::DiscoveryMode;
 use crate::discovery_watch::DiscoveryWatch;
 use crate::dispatcher_loop::DispatcherLoop;
--- a/crates/engine/src/start_times.rs
+++ b/crates/engine/src/start_times.rs
@@ -1,71 +1,79 @@
-//! When executors started, on the node's own clock.
+//! When workers started, on the node's own clock.
 //!
 //! Discovery dates starts in Unix time. The node's wall clock may be wrong, by seconds or by an hour, and so may that of
-//! an executor's machine; only spans on the monotonic clock are sure. What can be known without a true wall clock:
+//! a worker's machine; only spans on the monotonic clock are reliable. Without a correct wall clock this much is known:
 //!
-//! - the newest date of all lists is in the past when it is read, so no start is younger than its distance to that says;
-//! - an entry that was not in the list before, or with another date, started after the list before was read.
+//! - the newest date of all lists is in the past when it is read, so a worker is at least as old as its date lies before
+//!   the newest one;
+//! - an entry that was not in the list before, or had another date there, started after that list was read.
 //!
-//! Each of these, and the wall clock where its word is possible, gives an age; the least one counts, for an executor that
-//! is taken for older than it is skips its slow start. The price: the newest executors of the first list are taken to
-//! have just started. A date is read once: what a later list or clock says changes no slow start that is under way.
+//! Each of these, and the wall clock where what it says is possible, yields an age. The least one counts, since a worker
+//! that is taken for older than it is skips its slow start. In return the newest workers of the first list are taken to
+//! have just started. A date is evaluated once: a later list or clock changes no slow start that is under way.
 
 use sorrelhaven_dispatcher::{Micros, WorkerId};
 use std::collections::HashMap;
 
-/// A start as it was read.
-struct StartLine {
-    /// As discovery dates it.
+/// The list from the configuration and the first one of discovery: both may name workers that started long ago.
+const INITIAL_LISTS: u64 = 2;
+
+/// A worker's start as it was evaluated.
+struct RecordedStart {
+    /// The date that discovery gave.
     dated: Micros,
-    /// On the node's clock.
-    at: Micros,
+    /// The start on the node's clock.
+    started_at: Micros,
 }
 
-/// The starts of all executors that discovery has dated.
+/// The starts of all workers that discovery has dated.
 #[derive(Default)]
 pub struct StartTimes {
-    starts: HashMap<WorkerId, StartLine>,
-    /// How far the newest date was ahead of the node's clock when it was read, at most.
-    ahead: Option<Micros>,
-    /// Lists read: the known one, the first one of discovery, changes.
-    lists: u64,
-    last_list: Micros,
+    starts: HashMap<WorkerId, RecordedStart>,
+    /// The most by which the newest date of a list was ahead of the node's clock when it was read.
+    max_lead: Option<Micros>,
+    /// The lists read so far, with the current one.
+    lists_read: u64,
+    /// When the list before the current one was read.
+    last_list_read_at: Micros,
 }
 
 impl StartTimes {
-    /// A list is read at `now` that holds these dates. To be called before its entries are dated.
+    /// Begins to read a list at `now` that holds these dates. To be called before [`StartTimes::started_at`] for its
+    /// entries.
     pub fn begin_list(&mut self, dates: impl Iterator<Item = Micros>, now: Micros) {
         let newest = dates.filter(|dated| *dated > 0).max();
-        let ahead = newest.map(|dated| dated - now);
-        self.ahead = self.ahead.max(ahead);
-        self.lists += 1;
-        if self.lists <= 2 {
-            // The list that was known at the start may be old: the first one of discovery is the better witness.
+        let lead = newest.map(|dated| dated - now);
+        self.max_lead = self.max_lead.max(lead);
+        self.lists_read += 1;
+        if self.lists_read <= INITIAL_LISTS {
+            // The list from the configuration may be old: the first one of discovery is more reliable.
             self.starts.clear();
         }
     }
 
-    /// The list that was begun has been read.
+    /// Ends the reading of the list that was begun.
     pub fn end_list(&mut self, now: Micros) {
-        self.last_list = now;
+        self.last_list_read_at = now;
     }
 
-    /// When an executor started that discovery dates so, on the node's clock; 0 where that is long ago.
+    /// When a worker that discovery dates `dated` started, on the node's clock; 0 where that is long ago.
     pub fn started_at(&mut self, worker: WorkerId, dated: Micros, now: Micros) -> Micros {
         if dated <= 0 {
             return 0;
         }
-        let before = self.starts.get(&worker);
-        if let Some(start) = before.filter(|start| start.dated == dated) {
-            return start.at;
+        let previous = self.starts.get(&worker);
+        if let Some(start) = previous.filter(|start| start.dated == dated) {
+            return start.started_at;
         }
-        let by_list = self.ahead.map(|ahead| now + ahead - dated);
-        let by_clock = Some(now - dated).filter(|age| *age >= 0);
-        let by_change = (self.lists > 2).then(|| now - self.last_list);
-        let age = [by_list, by_clock, by_change].into_iter().flatten().min().unwrap_or(0).max(0);
-        // A process that starts again is another one, whatever the dates say.
-        let at = (now - age).max(before.map_or(1, |start| start.at + 1));
-        self.starts.insert(worker, StartLine { dated, at });
-        at
+        let age_by_newest_date = self.max_lead.map(|lead| now + lead - dated);
+        let age_by_clock = Some(now - dated).filter(|age| *age >= 0);
+        let age_by_change = (self.lists_read > INITIAL_LISTS).then(|| now - self.last_list_read_at);
+        let ages = [age_by_newest_date, age_by_clock, age_by_change];
+        let age = ages.into_iter().flatten().min().unwrap_or(0).max(0);
+        // A process that restarts is another one, whatever the dates say.
+        let earliest = previous.map_or(1, |start| start.started_at + 1);
+        let started_at = (now - age).max(earliest);
+        self.starts.insert(worker, RecordedStart { dated, started_at });
+        started_at
     }
 }
