--- a/crates/body-store/src/lib.rs
+++ b/crates/body-store/src/lib.rs
@@ -15,10 +15,10 @@
 //! let bodies = BodyStore::new(&Default::default(), 1, None, || None);
 //! async_io::block_on(async {
 //!     let mut writer = bodies.begin(0, Some(4)).map_err(|(end, _)| end)?;
-//!     let spool = writer.spool();
+//!     let body = writer.body();
 //!     writer.push(b"body").await?;
 //!     assert_eq!(writer.finish().await, BodyEnd::InMemory);
-//!     let (mut reader, mut out) = (spool.reader(), Vec::new());
+//!     let (mut reader, mut out) = (body.reader(), Vec::new());
 //!     while reader.next(&mut out).await.expect("all of it is kept") {}
 //!     assert_eq!(out, b"body");
 //!     Ok::<(), BodyEnd>(())
--- /dev/null
+++ b/crates/body-store/tests/compatibility.rs
@@ -0,0 +1,138 @@
+//! Files that the previous version wrote can be read by this one, and are written the same: the contents of a body's
+//! file, byte for byte, and the names that a crash leaves in the directory.
+
+use futures_lite::future::block_on;
+use sorrelhaven_body_store::{BodyEnd, BodyStore, Directory, Disk, DiskFile, RequestBody};
+use sorrelhaven_config::{BodyFiles, BodyMemory, BodySettings};
+use sorrelhaven_test_support::ScratchDir;
+use std::io;
+use std::rc::Rc;
+use std::sync::{Arc, Mutex};
+
+/// A body as a client sent it.
+const BODY: &[u8] =
+    b"{\"order\":4711,\"lines\":[{\"article\":\"kettle\",\"count\":2},{\"article\":\"cup\",\"count\":6}],\
+    \"note\":\"\xc3\xa4\\u0000\"}\x00\xff\r\n";
+/// The file of [`BODY`] as the version of commit fe51e40 left it in its directory.
+const RECORDED_FILE: &str = "7b226f72646572223a343731312c226c696e6573223a5b7b2261727469636c65223a226b6574746c65222c\
+    22636f756e74223a327d2c7b2261727469636c65223a22637570222c22636f756e74223a367d5d2c226e6f7465223a22c3a45c7530303030\
+    227d00ff0d0a";
+/// Length and CRC-32 of the file of [`two_block_body`], of the same version.
+const RECORDED_TWO_BLOCK_FILE: (usize, u32) = (100_000, 0x72af_c085);
+/// A name that a crash of the same version left, of a node named "node-a".
+const RECORDED_NAME: &str = "sorrelhaven-body.node%2da.29342.1.part";
+
+fn recorded_file() -> Vec<u8> {
+    let digits = RECORDED_FILE.as_bytes().chunks(2).map(|pair| std::str::from_utf8(pair).expect("text"));
+    digits.map(|pair| u8::from_str_radix(pair, 16).expect("a hexadecimal number")).collect()
+}
+
+fn two_block_body() -> Vec<u8> {
+    (0..100_000_usize).map(|index| (index * 7 + index / 251) as u8).collect()
+}
+
+/// A disk whose files return `recorded`, whatever was written to them, and which keeps what was written.
+#[derive(Clone)]
+struct RecordedDisk {
+    recorded: Arc<Vec<u8>>,
+    written: Arc<Mutex<Vec<u8>>>,
+}
+
+impl RecordedDisk {
+    fn new(recorded: Vec<u8>) -> RecordedDisk {
+        RecordedDisk { recorded: Arc::new(recorded), written: Arc::default() }
+    }
+}
+
+impl Disk for RecordedDisk {
+    fn create(&self) -> io::Result<Box<dyn DiskFile>> {
+        Ok(Box::new(self.clone()))
+    }
+
+    fn free(&self) -> io::Result<u64> {
+        Ok(u64::MAX)
+    }
+}
+
+impl DiskFile for RecordedDisk {
+    fn write_at(&self, bytes: &[u8], offset: u64) -> io::Result<()> {
+        let mut written = self.written.lock().expect("no writer has panicked");
+        assert_eq!(written.len() as u64, offset, "a file is written from its front to its end");
+        written.extend_from_slice(bytes);
+        Ok(())
+    }
+
+    fn read_at(&self, bytes: &mut [u8], offset: u64) -> io::Result<()> {
+        let from = offset as usize;
+        let Some(recorded) = self.recorded.get(from..from + bytes.len()) else {
+            return Err(io::ErrorKind::UnexpectedEof.into());
+        };
+        bytes.copy_from_slice(recorded);
+        Ok(())
+    }
+}
+
+fn store(disk: &RecordedDisk) -> Rc<BodyStore> {
+    let settings = BodySettings {
+        largest_bytes: 1 << 20,
+        memory: BodyMemory { each_bytes: 64, total_bytes: 1 << 20 },
+        files: BodyFiles { each_bytes: 1 << 20, total_bytes: 1 << 22, ..BodyFiles::default() },
+        ..BodySettings::default()
+    };
+    BodyStore::new(&settings, 1, Some(Arc::new(disk.clone())), || Some(Box::new(())))
+}
+
+async fn write_to_file(store: &Rc<BodyStore>, bytes: &[u8]) -> RequestBody {
+    let mut writer = store.begin(0, Some(bytes.len() as u64)).ok().expect("a body within the bounds");
+    let body = writer.body();
+    for piece in bytes.chunks(30_000) {
+        writer.push(piece).await.expect("room in the file");
+    }
+    assert_eq!(writer.finish().await, BodyEnd::InFile);
+    body
+}
+
+async fn read_all(body: &RequestBody) -> Vec<u8> {
+    let (mut reader, mut bytes) = (body.reader(), Vec::new());
+    while reader.next(&mut bytes).await.expect("a file that passes its checksums") {}
+    bytes
+}
+
+#[test]
+fn a_body_file_of_the_previous_version_is_read_back() {
+    let disk = RecordedDisk::new(recorded_file());
+    let store = store(&disk);
+    block_on(async {
+        let body = write_to_file(&store, BODY).await;
+        assert_eq!(read_all(&body).await, BODY);
+    });
+}
+
+#[test]
+fn a_body_is_written_to_its_file_as_the_previous_version_did() {
+    let disk = RecordedDisk::new(recorded_file());
+    let store = store(&disk);
+    let _body = block_on(write_to_file(&store, BODY));
+    assert_eq!(*disk.written.lock().expect("no writer has panicked"), recorded_file());
+}
+
+#[test]
+fn a_body_of_two_blocks_is_written_as_the_previous_version_did_and_read_back() {
+    let disk = RecordedDisk::new(two_block_body());
+    let store = store(&disk);
+    block_on(async {
+        let body = write_to_file(&store, &two_block_body()).await;
+        let written = disk.written.lock().expect("no writer has panicked").clone();
+        assert_eq!((written.len(), crc32fast::hash(&written)), RECORDED_TWO_BLOCK_FILE);
+        assert_eq!(read_all(&body).await, written);
+    });
+}
+
+#[test]
+fn a_name_that_the_previous_version_left_is_swept() {
+    let scratch = ScratchDir::new("compatibility");
+    std::fs::write(scratch.0.join(RECORDED_NAME), recorded_file()).expect("a file");
+    let directory = Directory::open(&scratch.0, "node-a").expect("a usable directory");
+    assert_eq!(directory.sweep().expect("a listing"), 1);
+    assert!(scratch.names(".").is_empty());
+}
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -22,7 +22,7 @@
 //!         b.datagram(now, &datagram);
 //!     }
 //! }
-//! assert!(a.table().iter().all(|row| row.standing == MemberState::Alive));
+//! assert!(a.table().iter().all(|row| row.state == MemberState::Alive));
 //! ```
 
 mod id;
