--- a/crates/body-store/src/body_end.rs
+++ b/crates/body-store/src/body_end.rs
@@ -1,38 +1,39 @@
-//! Every way in which the coming of a body can end.
+//! How the upload of a body ended, and why a body can't be read.
 
 use crate::plan::{NotStoredReason, StorageTier};
+use std::fmt;
 
-/// How the coming of a body ended.
+/// How the upload of a body ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum BodyEnd {
-    /// All of it came and is kept in memory.
+    /// Complete, and stored in memory.
     InMemory,
-    /// All of it came and is kept in a file.
+    /// Complete, and stored in a file.
     InFile,
-    /// All of it came and was, or is being, passed on; not all of it is kept.
+    /// Complete, but not all of it is stored: it can be, or was, streamed to one reader.
     Streamed,
-    /// The client ended or broke its connection before all of it had come.
+    /// The client closed or broke its connection in mid-body.
     ClientBroke,
-    /// It is longer than any that is taken, or than it was said to be.
+    /// It is longer than the limit, or than its declared length.
     TooLong,
-    /// It came too slowly.
+    /// It arrived too slowly.
     TooSlow,
-    /// The disk was full, and what can't be kept is refused.
+    /// Rejected: the disk was full, and bodies that can't be stored are rejected.
     DiskFull,
-    /// The disk failed, and what can't be kept is refused.
+    /// Rejected: the disk failed, and bodies that can't be stored are rejected.
     DiskFailed,
-    /// The disk was slower than the client, and what can't be kept is refused.
+    /// Rejected: the disk was slower than the client, and bodies that can't be stored are rejected.
     DiskSlow,
-    /// The budgets had no room for it, and what can't be kept is refused.
+    /// Rejected: the budgets had no room for it, and bodies that can't be stored are rejected.
     BudgetGone,
-    /// Its request had its final answer before all of it had come.
+    /// The request was concluded before all of the body had arrived.
     Refused,
-    /// Its request had its final answer, or its client went, before any of it had come.
+    /// The request was concluded, or the client disconnected, before any of the body had arrived.
     NeverBegun,
 }
 
 impl BodyEnd {
-    /// All ends, in the order of [`BodyEnd::name`]'s list.
+    /// All ends, in the order in which their counters are printed.
     pub const ALL: [BodyEnd; 12] = [
         BodyEnd::InMemory,
         BodyEnd::InFile,
@@ -48,18 +49,18 @@
         BodyEnd::NeverBegun,
     ];
 
-    /// The end of a body that came whole.
-    pub fn whole(step: StorageTier) -> BodyEnd {
-        match step {
+    /// The end of a body that is complete, and stored in this tier.
+    pub fn complete(tier: StorageTier) -> BodyEnd {
+        match tier {
             StorageTier::Memory => BodyEnd::InMemory,
             StorageTier::File => BodyEnd::InFile,
             StorageTier::NotStored => BodyEnd::Streamed,
         }
     }
 
-    /// The end of a body that can't be kept where such are refused.
-    pub fn unkept(why: NotStoredReason) -> BodyEnd {
-        match why {
+    /// The end of a body that is rejected because it can't be stored.
+    pub fn not_stored(reason: NotStoredReason) -> BodyEnd {
+        match reason {
             NotStoredReason::Budget => BodyEnd::BudgetGone,
             NotStoredReason::DiskFull => BodyEnd::DiskFull,
             NotStoredReason::DiskFailed => BodyEnd::DiskFailed,
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Whether all of the body came.
+    /// Whether all of the body arrived.
     pub fn is_whole(self) -> bool {
         match self {
             BodyEnd::InMemory | BodyEnd::InFile | BodyEnd::Streamed => true,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Its name among the counters.
+    /// The name of its counter.
     pub fn name(self) -> &'static str {
         match self {
             BodyEnd::InMemory => "body_in_memory",
@@ -99,15 +100,28 @@
     }
 }
 
-/// Why a body can't be read for an execution. Each is a failure of that execution's parcel, not of its executor.
+/// Why a body can't be read for an attempt. Each concerns that attempt's copy of the body, not its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyReadError {
-    /// It did not come whole.
+    /// The body is not complete.
     Ended(BodyEnd),
-    /// A part of it was passed on to another execution and is not kept.
+    /// A part of it was streamed to another attempt and is not stored.
     PassedOn,
     /// Its file could not be read.
     Failed,
-    /// What was read from its file is not what was written.
+    /// A block in its file has another checksum than when it was written.
     Corrupt,
 }
+
+impl fmt::Display for BodyReadError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            BodyReadError::Ended(end) => write!(f, "the body is not complete: {}", end.name()),
+            BodyReadError::PassedOn => f.write_str("a part of the body was streamed to another attempt"),
+            BodyReadError::Failed => f.write_str("the body's file can't be read"),
+            BodyReadError::Corrupt => f.write_str("the body's file is corrupt"),
+        }
+    }
+}
+
+impl std::error::Error for BodyReadError {}
--- a/crates/body-store/src/budget.rs
+++ b/crates/body-store/src/budget.rs
@@ -1,88 +1,102 @@
-//! A budget of bytes that parties share. No I/O.
+//! A budget of bytes shared by tenants. No I/O.
 
-/// A body that holds no more than this is small: the last of a budget is kept for small ones.
-pub const SMALL: u64 = 16 * 1024;
-/// One part in so many of a budget is kept from bodies that are not small, beyond what their party is promised.
-const KEPT_FOR_SMALL: u64 = 8;
+/// A body that holds at most this many bytes is small, and may use the reserve of a [`Budget`].
+pub const SMALL_BODY_BYTES: u64 = 16 * 1024;
+/// One part in this many of a budget is a reserve that only small bodies may use.
+const SMALL_BODY_RESERVE_DIVISOR: u64 = 8;
 
-/// Bytes that may be held, and who holds them.
+/// Counts the bytes that the bodies of each tenant (class and state office) hold, against one total.
 ///
-/// Half of the budget is promised, in equal shares, to the parties (class and state office); the other half goes to
-/// whoever comes, but for an eighth that only small bodies may use. So no party can keep another from its share, and
-/// large bodies can't keep small ones out.
+/// Half of the total is guaranteed to the tenants in equal shares. The other half is first come, first served, except
+/// for a reserve that only small bodies may use. So no tenant can keep another from its share, and large bodies can't
+/// starve small ones.
 #[derive(Clone, Debug)]
 pub struct Budget {
     total: u64,
     used: u64,
-    /// What is promised to a party and not used by it, over all parties.
-    unused_promises: u64,
-    by_party: Vec<u64>,
+    /// The sum, over all tenants, of what is guaranteed to a tenant and not used by it.
+    unused_guarantees: u64,
+    used_by_tenant: Vec<u64>,
 }
 
 impl Budget {
-    /// A budget of `total` bytes for so many parties, at least one.
-    pub fn new(total: u64, parties: usize) -> Budget {
-        let mut budget = Budget { total, used: 0, unused_promises: 0, by_party: vec![0; parties.max(1)] };
+    /// A budget of `total` bytes for `tenants` tenants; 0 counts as 1.
+    pub fn new(total: u64, tenants: usize) -> Budget {
+        let mut budget =
+            Budget { total, used: 0, unused_guarantees: 0, used_by_tenant: vec![0; tenants.max(1)] };
         budget.resize(total);
         budget
     }
 
-    /// Another total. What is held beyond it stays held until it is given back.
+    /// Changes the total. Bytes held beyond it stay held until they are released.
     pub fn resize(&mut self, total: u64) {
         self.total = total;
         let share = self.share();
-        self.unused_promises = self.by_party.iter().map(|&held| share.saturating_sub(held)).sum();
+        self.unused_guarantees = self.used_by_tenant.iter().map(|&used| share.saturating_sub(used)).sum();
     }
 
-    /// What each party is promised.
+    /// The bytes guaranteed to each tenant.
     pub fn share(&self) -> u64 {
-        self.total / 2 / self.by_party.len() as u64
+        self.total / 2 / self.used_by_tenant.len() as u64
     }
 
-    /// How many parties there are.
-    pub fn parties(&self) -> usize {
-        self.by_party.len()
+    /// The number of tenants.
+    pub fn tenants(&self) -> usize {
+        self.used_by_tenant.len()
     }
 
-    /// The whole budget.
+    /// The bytes that may be held altogether.
     pub fn total(&self) -> u64 {
         self.total
     }
 
-    /// What is held.
+    /// The bytes that are held.
     pub fn used(&self) -> u64 {
         self.used
     }
 
-    /// What a party holds.
-    pub fn held_by(&self, party: usize) -> u64 {
-        self.by_party[party]
+    /// The bytes that a tenant holds.
+    ///
+    /// # Panics
+    /// `tenant` is not below [`Budget::tenants`].
+    pub fn used_by(&self, tenant: usize) -> u64 {
+        self.used_by_tenant[tenant]
     }
 
-    /// Takes `more` bytes for a body of `party` that holds `held` already; false, and nothing taken, where the
-    /// budget does not have them for it.
-    pub fn take(&mut self, party: usize, held: u64, more: u64) -> bool {
-        let (share, mine) = (self.share(), self.by_party[party]);
-        let promised = share.saturating_sub(mine);
-        let others = self.unused_promises - promised;
-        let small = held.saturating_add(more) <= SMALL;
-        let kept = if small || more <= promised { 0 } else { self.total / KEPT_FOR_SMALL };
-        let needed = [self.used, more, others, kept].into_iter().fold(0, u64::saturating_add);
+    /// Reserves `more` bytes for a body of `tenant` that holds `held` bytes already. Returns false, and reserves
+    /// nothing, if the budget has no room for them.
+    ///
+    /// # Panics
+    /// `tenant` is not below [`Budget::tenants`].
+    pub fn try_reserve(&mut self, tenant: usize, held: u64, more: u64) -> bool {
+        let share = self.share();
+        let used_by_tenant = self.used_by_tenant[tenant];
+        let guaranteed = share.saturating_sub(used_by_tenant);
+        let guaranteed_to_others = self.unused_guarantees - guaranteed;
+        let is_small = held.saturating_add(more) <= SMALL_BODY_BYTES;
+        let reserve =
+            if is_small || more <= guaranteed { 0 } else { self.total / SMALL_BODY_RESERVE_DIVISOR };
+        let needed =
+            self.used.saturating_add(more).saturating_add(guaranteed_to_others).saturating_add(reserve);
         if needed > self.total {
             return false;
         }
         self.used += more;
-        self.by_party[party] = mine + more;
-        self.unused_promises = others + share.saturating_sub(mine + more);
+        self.used_by_tenant[tenant] = used_by_tenant + more;
+        self.unused_guarantees = guaranteed_to_others + share.saturating_sub(used_by_tenant + more);
         true
     }
 
-    /// Gives back what a body of `party` held.
-    pub fn give_back(&mut self, party: usize, bytes: u64) {
-        let (share, mine) = (self.share(), self.by_party[party]);
-        let left = mine.saturating_sub(bytes);
-        self.used -= mine - left;
-        self.by_party[party] = left;
-        self.unused_promises += share.saturating_sub(left) - share.saturating_sub(mine);
+    /// Releases bytes that a body of `tenant` held.
+    ///
+    /// # Panics
+    /// `tenant` is not below [`Budget::tenants`].
+    pub fn release(&mut self, tenant: usize, bytes: u64) {
+        let share = self.share();
+        let before = self.used_by_tenant[tenant];
+        let after = before.saturating_sub(bytes);
+        self.used -= before - after;
+        self.used_by_tenant[tenant] = after;
+        self.unused_guarantees += share.saturating_sub(after) - share.saturating_sub(before);
     }
 }
--- /dev/null
+++ b/crates/body-store/src/counters.rs
@@ -0,0 +1,61 @@
+//! The counters of the store, with the names under which operators read them.
+
+use crate::body_end::BodyEnd;
+use crate::plan::{NotStoredReason, StorageUsage};
+use std::cell::Cell;
+
+/// A counter of one thread.
+#[derive(Default)]
+pub(crate) struct Counter(Cell<u64>);
+
+impl Counter {
+    pub(crate) fn increment(&self) {
+        self.0.set(self.0.get() + 1);
+    }
+
+    fn get(&self) -> u64 {
+        self.0.get()
+    }
+}
+
+/// What the store has counted since its start.
+#[derive(Default)]
+pub(crate) struct Counters {
+    /// By the index in [`BodyEnd::ALL`].
+    ends: [Counter; BodyEnd::ALL.len()],
+    /// By the index in [`NotStoredReason::ALL`].
+    not_stored: [Counter; NotStoredReason::ALL.len()],
+    pub(crate) files_created: Counter,
+    pub(crate) bodies_spilled: Counter,
+    pub(crate) corrupt_blocks: Counter,
+    pub(crate) unreadable_blocks: Counter,
+}
+
+impl Counters {
+    pub(crate) fn record_end(&self, end: BodyEnd) {
+        let index = BodyEnd::ALL.iter().position(|other| *other == end);
+        self.ends[index.unwrap_or(0)].increment();
+    }
+
+    pub(crate) fn record_not_stored(&self, reason: NotStoredReason) {
+        let index = NotStoredReason::ALL.iter().position(|other| *other == reason);
+        self.not_stored[index.unwrap_or(0)].increment();
+    }
+
+    /// All counters with their names, in the order in which they are printed.
+    pub(crate) fn metrics(&self, usage: StorageUsage) -> Vec<(&'static str, u64)> {
+        let ends = BodyEnd::ALL.iter().zip(&self.ends);
+        let not_stored = NotStoredReason::ALL.iter().zip(&self.not_stored);
+        let mut metrics: Vec<_> = ends.map(|(end, counter)| (end.name(), counter.get())).collect();
+        metrics.extend(not_stored.map(|(reason, counter)| (reason.metric_name(), counter.get())));
+        metrics.extend([
+            ("body_files", self.files_created.get()),
+            ("bodies_spilled", self.bodies_spilled.get()),
+            ("blocks_corrupt", self.corrupt_blocks.get()),
+            ("blocks_unread", self.unreadable_blocks.get()),
+            ("memory_bytes", usage.memory_bytes),
+            ("file_bytes", usage.file_bytes),
+        ]);
+        metrics
+    }
+}
--- /dev/null
+++ b/crates/body-store/src/directory.rs
@@ -0,0 +1,196 @@
+//! The directory that operators set for bodies, in which files without a name are created.
+//!
+//! A file is created under a temporary name and unlinked at once while it stays open: whatever happens to the process,
+//! the operating system frees the space, and no partial body is left behind. Only a crash between the two steps leaves
+//! a name; the next start of the same node sweeps it. Calls may block, so they belong on a thread pool.
+
+use crate::disk::{Disk, DiskFile, is_disk_full};
+use rustix::fs::{self, AtFlags, Mode, OFlags};
+use rustix::io::Errno;
+use std::fmt;
+use std::fs::File;
+use std::io;
+use std::os::fd::OwnedFd;
+use std::os::unix::fs::{FileExt, MetadataExt};
+use std::path::{Component, Path, PathBuf};
+use std::sync::atomic::{AtomicU64, Ordering};
+
+/// The bytes that are written to find out whether the directory can be written to: a page.
+const TEST_WRITE_BYTES: usize = 4096;
+/// The user id of root.
+const ROOT_UID: u32 = 0;
+
+/// Why a directory can't be used for bodies. Its text is one line for operators.
+#[derive(Debug)]
+pub struct DirectoryError {
+    path: PathBuf,
+    kind: DirectoryErrorKind,
+}
+
+/// What is wrong with a directory.
+#[derive(Debug)]
+enum DirectoryErrorKind {
+    Missing,
+    NotADirectory,
+    SymbolicLink,
+    /// This directory on the path is a symbolic link that another user controls, or the path itself is one.
+    UntrustedLink(PathBuf),
+    CannotOpen(io::Error),
+    CannotWrite(io::Error),
+}
+
+impl fmt::Display for DirectoryError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}: ", self.path.display())?;
+        match &self.kind {
+            DirectoryErrorKind::Missing => f.write_str("there is no such directory"),
+            DirectoryErrorKind::NotADirectory => f.write_str("it is not a directory"),
+            DirectoryErrorKind::SymbolicLink => f.write_str("it is a symbolic link"),
+            DirectoryErrorKind::UntrustedLink(link) => write!(f, "{} is a symbolic link", link.display()),
+            DirectoryErrorKind::CannotOpen(error) => write!(f, "it can't be opened: {error}"),
+            DirectoryErrorKind::CannotWrite(error) => write!(f, "it can't be written in: {error}"),
+        }
+    }
+}
+
+impl std::error::Error for DirectoryError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match &self.kind {
+            DirectoryErrorKind::CannotOpen(error) | DirectoryErrorKind::CannotWrite(error) => Some(error),
+            DirectoryErrorKind::Missing
+            | DirectoryErrorKind::NotADirectory
+            | DirectoryErrorKind::SymbolicLink
+            | DirectoryErrorKind::UntrustedLink(_) => None,
+        }
+    }
+}
+
+impl From<Errno> for DirectoryErrorKind {
+    fn from(error: Errno) -> DirectoryErrorKind {
+        match error {
+            Errno::NOENT => DirectoryErrorKind::Missing,
+            Errno::NOTDIR => DirectoryErrorKind::NotADirectory,
+            Errno::LOOP => DirectoryErrorKind::SymbolicLink,
+            other => DirectoryErrorKind::CannotOpen(other.into()),
+        }
+    }
+}
+
+/// An open directory, used by one node under its own file names.
+pub struct Directory {
+    descriptor: OwnedFd,
+    name_prefix: String,
+    next_file_number: AtomicU64,
+    was_full: bool,
+}
+
+impl Directory {
+    /// Opens the directory for the node of this name, and tries a write. A full file system is no error.
+    ///
+    /// # Errors
+    /// The directory does not exist, can't be written to, or is reached through an untrusted symbolic link.
+    pub fn open(path: &Path, node: &str) -> Result<Directory, DirectoryError> {
+        let error = |kind| DirectoryError { path: path.to_path_buf(), kind };
+        reject_untrusted_links(path).map_err(error)?;
+        let flags = OFlags::DIRECTORY | OFlags::NOFOLLOW | OFlags::RDONLY | OFlags::CLOEXEC;
+        let descriptor =
+            fs::open(path, flags, Mode::empty()).map_err(|errno| error(DirectoryErrorKind::from(errno)))?;
+        let mut directory = Directory {
+            descriptor,
+            name_prefix: name_prefix(node),
+            next_file_number: AtomicU64::new(0),
+            was_full: false,
+        };
+        let test_write = directory.create().and_then(|file| file.write_at(&[0; TEST_WRITE_BYTES], 0));
+        match test_write {
+            Ok(()) => {}
+            Err(full) if is_disk_full(&full) => directory.was_full = true,
+            Err(other) => return Err(error(DirectoryErrorKind::CannotWrite(other))),
+        }
+        Ok(directory)
+    }
+
+    /// Whether the file system was full when the directory was opened.
+    pub fn is_full(&self) -> bool {
+        self.was_full
+    }
+
+    /// Deletes the files that an earlier process of this node left, and counts them. Those of other nodes stay.
+    ///
+    /// # Errors
+    /// Those of the operating system.
+    pub fn sweep(&self) -> io::Result<usize> {
+        let mut deleted = 0;
+        for entry in fs::Dir::read_from(&self.descriptor)? {
+            let entry = entry?;
+            if !entry.file_name().to_bytes().starts_with(self.name_prefix.as_bytes()) {
+                continue;
+            }
+            match fs::unlinkat(&self.descriptor, entry.file_name(), AtFlags::empty()) {
+                Ok(()) => deleted += 1,
+                Err(Errno::NOENT) => {}
+                Err(errno) => return Err(errno.into()),
+            }
+        }
+        Ok(deleted)
+    }
+}
+
+impl Disk for Directory {
+    fn create(&self) -> io::Result<Box<dyn DiskFile>> {
+        let number = self.next_file_number.fetch_add(1, Ordering::Relaxed);
+        let name = format!("{}{}.{number}.part", self.name_prefix, std::process::id());
+        let flags = OFlags::CREATE | OFlags::EXCL | OFlags::RDWR | OFlags::NOFOLLOW | OFlags::CLOEXEC;
+        let file = fs::openat(&self.descriptor, &name, flags, Mode::RUSR | Mode::WUSR)?;
+        match fs::unlinkat(&self.descriptor, &name, AtFlags::empty()) {
+            // Another process of this node may have swept the name in between: it is gone all the same.
+            Ok(()) | Err(Errno::NOENT) => Ok(Box::new(File::from(file))),
+            Err(errno) => Err(errno.into()),
+        }
+    }
+
+    fn free(&self) -> io::Result<u64> {
+        let stat = fs::fstatvfs(&self.descriptor)?;
+        Ok(stat.f_bavail.saturating_mul(stat.f_frsize))
+    }
+}
+
+impl DiskFile for File {
+    fn write_at(&self, bytes: &[u8], offset: u64) -> io::Result<()> {
+        FileExt::write_all_at(self, bytes, offset)
+    }
+
+    fn read_at(&self, bytes: &mut [u8], offset: u64) -> io::Result<()> {
+        FileExt::read_exact_at(self, bytes, offset)
+    }
+}
+
+/// The prefix of all file names of one node. Bytes other than ASCII letters and digits are escaped, so that no node's
+/// prefix is the beginning of another's.
+fn name_prefix(node: &str) -> String {
+    let escape = |byte: u8| match byte.is_ascii_alphanumeric() {
+        true => char::from(byte).to_string(),
+        false => format!("%{byte:02x}"),
+    };
+    let name: String = node.bytes().map(escape).collect();
+    format!("sorrelhaven-body.{name}.")
+}
+
+/// Guards against symbolic links: one that another user made could lead the node's files anywhere, and one at the end
+/// of the path is most likely a mistake. Links of root and of the node's own user on the way are allowed.
+fn reject_untrusted_links(path: &Path) -> Result<(), DirectoryErrorKind> {
+    let own_uid = rustix::process::geteuid().as_raw();
+    let mut prefix = PathBuf::new();
+    for component in path.components() {
+        prefix.push(component);
+        if !matches!(component, Component::Normal(_)) {
+            continue;
+        }
+        let Ok(metadata) = std::fs::symlink_metadata(&prefix) else { return Ok(()) };
+        let is_trusted = metadata.uid() == ROOT_UID || metadata.uid() == own_uid;
+        if metadata.is_symlink() && (prefix == path || !is_trusted) {
+            return Err(DirectoryErrorKind::UntrustedLink(prefix));
+        }
+    }
+    Ok(())
+}
--- a/crates/body-store/src/lib.rs
+++ b/crates/body-store/src/lib.rs
@@ -1,41 +1,66 @@
-//! Keeps the bodies of requests, so that a request can be tried again: in memory, then in files, then not at all.
+//! Stores the bodies of requests so that a request can be retried: in memory, then in files, then not at all.
 //!
-//! | file | concern |
+//! A [`BodyWriter`] takes a body in as it arrives. Any number of [`StoredBodyReader`]s read it from the first byte on,
+//! also while it is still being uploaded. A body is a sequence of blocks: those at its front may be in a file, with a
+//! checksum each, and the rest is in memory. A body that is stored nowhere is streamed to one reader.
+//!
+//! | module | concern |
 //! | --- | --- |
-//! | `plan` | what is kept where: budgets, steps, who steps down. No I/O, time passed in |
-//! | `budget` | bytes that classes and state offices share |
-//! | `spool` | takes a body in, keeps it where the plan says, gives it out |
-//! | `disk` | the operators' directory, and files without a name in it |
-//! | `pool` | calls that may block, beside the executor |
-//! | `end` | every way in which the coming of a body can end |
+//! | `plan` | decides where each body is stored: limits, tiers, what to spill. No I/O, time passed in |
+//! | `budget` | bytes that tenants (class and state office) share. No I/O |
+//! | `disk_health` | whether the disk may be used after failures. No I/O, time passed in |
+//! | `store` | all bodies of a node, with their settings, disk and counters |
+//! | `body`, `block_buffer`, `body_file` | one body: its state, its blocks in memory, its file |
+//! | `writer`, `reader` | take a body in, and read it |
+//! | `spiller` | moves bodies from memory to files while memory is short |
+//! | `disk`, `directory` | what is needed of a disk, and the operators' directory |
+//! | `blocking_pool` | runs calls that may block |
+//! | `body_end`, `counters` | how uploads end, and what is counted |
 //!
 //! ```
 //! use sorrelhaven_body_store::{BodyStore, BodyEnd};
 //!
-//! let bodies = BodyStore::new(&Default::default(), 1, None, || None);
+//! let store = BodyStore::new(&Default::default(), 1, None, || None);
 //! async_io::block_on(async {
-//!     let mut writer = bodies.begin(0, Some(4)).map_err(|(end, _)| end)?;
+//!     let mut writer = store.begin(0, Some(4)).map_err(|(end, _)| end)?;
 //!     let body = writer.body();
 //!     writer.push(b"body").await?;
 //!     assert_eq!(writer.finish().await, BodyEnd::InMemory);
 //!     let (mut reader, mut out) = (body.reader(), Vec::new());
-//!     while reader.next(&mut out).await.expect("all of it is kept") {}
+//!     while reader.next(&mut out).await.expect("all of it is stored") {}
 //!     assert_eq!(out, b"body");
 //!     Ok::<(), BodyEnd>(())
 //! })?;
 //! # Ok::<(), BodyEnd>(())
 //! ```
 
+mod block_buffer;
+mod blocking_pool;
+mod body;
 mod body_end;
+mod body_file;
 mod budget;
+mod counters;
+mod directory;
 mod disk;
+mod disk_health;
 mod plan;
-mod pool;
+mod reader;
 mod settings;
+mod spiller;
 mod store;
+mod writer;
 
+pub use block_buffer::BLOCK_BYTES;
+pub use body::RequestBody;
 pub use body_end::{BodyEnd, BodyReadError};
-pub use budget::{Budget, SMALL};
-pub use disk::{Directory, Disk, DiskFile, Unusable, is_full};
-pub use plan::{BodyId, FileLimits, Limits, NotStoredReason, Now, Plan, StorageDecision, StorageTier};
-pub use store::{BLOCK_BYTES, BodyStore, BodyWriter, Permit, RequestBody, StoredBodyReader};
+pub use budget::{Budget, SMALL_BODY_BYTES};
+pub use directory::{Directory, DirectoryError};
+pub use disk::{Disk, DiskFile, is_disk_full};
+pub use plan::{
+    BodyId, DiskFailure, FileLimits, Limits, NotStoredReason, Plan, RegisteredBody, StorageDecision,
+    StorageTier, StorageUsage, Timestamp,
+};
+pub use reader::StoredBodyReader;
+pub use store::{BodyStore, Permit};
+pub use writer::BodyWriter;
--- a/crates/body-store/src/plan.rs
+++ b/crates/body-store/src/plan.rs
@@ -1,30 +1,27 @@
-//! What is kept where: the decision part. Events in, verdicts out, time passed in; no I/O.
+//! Decides where each body is stored. Events in, decisions out, time passed in; no I/O.
 //!
-//! A body goes up the steps as it grows: memory while it fits its own bound and the budget, then a file that takes
-//! what memory held, then not kept. It never goes back down. Whoever carries this out asks before each piece that it
-//! takes in ([`Plan::want`]) and tells what it has freed.
+//! A body moves up the tiers as it grows: memory while it fits its own limit and the budget, then a file that takes
+//! over what memory held, then not stored. It never moves back down. The caller reserves room for each piece before it
+//! takes it in ([`Plan::reserve`]), carries the decision out, and reports what it has released.
 
-use crate::budget::{Budget, SMALL};
+use crate::budget::{Budget, SMALL_BODY_BYTES};
+use crate::disk_health::DiskHealth;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A point in time: since any fixed moment.
-pub type Now = Duration;
+/// A point in time, as the duration since any fixed moment.
+pub type Timestamp = Duration;
 
-/// Files stay closed for so long after a trouble with the disk, the first time; each further one doubles it.
-const PAUSE: Duration = Duration::from_secs(1);
-/// The longest that files stay closed before one body tries again.
-const PAUSE_MOST: Duration = Duration::from_secs(30);
-/// Where memory is used beyond this share, bodies that are whole are moved to files: seven eighths.
-const PRESSURE: (u64, u64) = (7, 8);
-/// Moves to files that may be under way at once.
-const MOVES: usize = 1;
+/// Memory is short where more than this fraction of the memory budget is used, as numerator and denominator.
+const MEMORY_PRESSURE_FRACTION: (u64, u64) = (7, 8);
+/// Bodies that may be on their way from memory to a file at the same time.
+const MAX_CONCURRENT_SPILLS: usize = 1;
 
-/// A body, for as long as its request lasts.
+/// Identifies a body for as long as its request lasts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BodyId(u64);
 
-/// Where a body is kept.
+/// Where a body is stored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StorageTier {
     /// In memory.
@@ -32,16 +29,16 @@
     Memory,
     /// In a file, or on its way there.
     File,
-    /// Not kept: what comes can be passed on once.
+    /// Not stored: what arrives can be streamed to one reader only.
     NotStored,
 }
 
 /// Why a body is not stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum NotStoredReason {
-    /// It is larger than any one that is kept, or the budgets are used up.
+    /// It is larger than the limit for one stored body, or the budgets are used up.
     Budget,
-    /// The disk is full, or has no more than is to be left free.
+    /// The disk is full, or has no more than the space that must stay free.
     DiskFull,
     /// The disk has failed.
     DiskFailed,
@@ -49,94 +46,136 @@
     DiskSlow,
 }
 
-/// What is to become of the next piece of a body.
+impl NotStoredReason {
+    /// All reasons, in the order in which their counters are printed.
+    pub const ALL: [NotStoredReason; 4] = [
+        NotStoredReason::Budget,
+        NotStoredReason::DiskFull,
+        NotStoredReason::DiskFailed,
+        NotStoredReason::DiskSlow,
+    ];
+
+    /// The name of its counter.
+    pub fn metric_name(self) -> &'static str {
+        match self {
+            NotStoredReason::Budget => "not_stored_budget",
+            NotStoredReason::DiskFull => "not_stored_disk_full",
+            NotStoredReason::DiskFailed => "not_stored_disk_failed",
+            NotStoredReason::DiskSlow => "not_stored_disk_slow",
+        }
+    }
+}
+
+/// What to do with the next piece of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StorageDecision {
-    /// Keep it there.
+    /// Store it in this tier.
     Keep(StorageTier),
-    /// From here on nothing more is kept of it.
+    /// Store nothing more of this body.
     NotStored(NotStoredReason),
-    /// The body is larger than any that is taken.
+    /// Reject the body: it is larger than any that is accepted.
     TooLong,
 }
 
-/// What the plan goes by.
+/// A body that the plan has begun to track.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RegisteredBody {
+    /// Identifies the body in later calls.
+    pub id: BodyId,
+    /// Where its first piece goes.
+    pub decision: StorageDecision,
+}
+
+/// The consequence of a disk failure for the body that met it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct DiskFailure {
+    /// Where the body is stored from here on.
+    pub decision: StorageDecision,
+    /// Whether this is the first failure since the disk last worked.
+    pub is_first: bool,
+}
+
+/// Bytes that bodies hold.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct StorageUsage {
+    /// In memory.
+    pub memory_bytes: u64,
+    /// In files, including files that are still being written.
+    pub file_bytes: u64,
+}
+
+/// The limits that the plan enforces, in bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The largest body that is taken.
-    pub largest: u64,
-    /// The most of one body in memory.
-    pub memory_each: u64,
-    /// The most of all bodies in memory.
-    pub memory_total: u64,
-    /// The most of one body in a file, and of all; `None` where there are no files.
+    /// The largest body that is accepted.
+    pub max_body_bytes: u64,
+    /// The largest part of one body in memory.
+    pub max_memory_bytes_per_body: u64,
+    /// The memory of all bodies together.
+    pub max_memory_bytes: u64,
+    /// The limits of files; `None` if there is no directory for them.
     pub files: Option<FileLimits>,
 }
 
-/// The bounds of files.
+/// The limits of files, in bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileLimits {
-    /// The most of one body.
-    pub each: u64,
-    /// The most of all bodies.
-    pub total: u64,
-    /// What the file system must have left.
-    pub leave_free: u64,
+    /// The largest body in a file.
+    pub max_bytes_per_body: u64,
+    /// All files together.
+    pub max_bytes: u64,
+    /// The space that must stay free in the file system.
+    pub min_free_bytes: u64,
 }
 
+/// What the plan knows about one body.
 #[derive(Debug)]
-struct Account {
-    party: usize,
-    step: StorageTier,
+struct BodyAccount {
+    tenant: usize,
+    tier: StorageTier,
+    /// Bytes that have arrived.
     length: u64,
-    in_memory: u64,
-    in_file: u64,
-    whole: bool,
-    moving: bool,
-}
-
-/// The troubles of the disk.
-#[derive(Debug, Default)]
-struct Trouble {
-    why: Option<NotStoredReason>,
-    closed_until: Now,
-    pause: Duration,
+    memory_bytes: u64,
+    file_bytes: u64,
+    /// All of it has arrived.
+    is_complete: bool,
+    /// It is on its way from memory to a file after it was complete.
+    is_spilling: bool,
 }
 
-/// Says of each body where it is kept.
+/// Decides where each body is stored, and counts what all of them hold.
 #[derive(Debug)]
 pub struct Plan {
     limits: Limits,
     memory: Budget,
     files: Budget,
-    disk: Trouble,
-    bodies: BTreeMap<BodyId, Account>,
-    next: u64,
-    moves: usize,
+    disk: DiskHealth,
+    bodies: BTreeMap<BodyId, BodyAccount>,
+    next_id: u64,
+    active_spills: usize,
 }
 
 impl Plan {
-    /// A plan for bodies of so many parties (class and state office), at least one.
-    pub fn new(limits: Limits, parties: usize) -> Plan {
-        let files = limits.files.as_ref().map_or(0, |f| f.total);
+    /// A plan for the bodies of `tenants` tenants (class and state office); 0 counts as 1.
+    pub fn new(limits: Limits, tenants: usize) -> Plan {
         Plan {
-            memory: Budget::new(limits.memory_total, parties),
-            files: Budget::new(files, parties),
+            memory: Budget::new(limits.max_memory_bytes, tenants),
+            files: Budget::new(limits.max_file_bytes(), tenants),
             limits,
-            disk: Trouble::default(),
+            disk: DiskHealth::default(),
             bodies: BTreeMap::new(),
-            next: 0,
-            moves: 0,
+            next_id: 0,
+            active_spills: 0,
         }
     }
 
-    /// Other limits, from now on. What is held beyond them steps down by [`Plan::relief`], or stays until its request
-    /// ends where it can't be moved.
+    /// Changes the limits. Bodies in memory beyond a lower limit are spilled by [`Plan::next_to_spill`]; what can't be
+    /// moved stays until its request ends.
     pub fn configure(&mut self, limits: Limits) {
-        self.memory.resize(limits.memory_total);
-        self.files.resize(limits.files.as_ref().map_or(0, |f| f.total));
+        self.memory.resize(limits.max_memory_bytes);
+        self.files.resize(limits.max_file_bytes());
         if limits.files != self.limits.files {
-            self.disk = Trouble::default();
+            self.disk = DiskHealth::default();
         }
         self.limits = limits;
     }
@@ -146,205 +185,238 @@
         &self.limits
     }
 
-    /// Takes in a body of `party`, which has told its length or not.
-    pub fn begin(&mut self, now: Now, party: usize, declared: Option<u64>) -> (BodyId, StorageDecision) {
-        let id = BodyId(self.next);
-        self.next += 1;
-        let (step, party) = (StorageTier::Memory, party.min(self.memory.parties() - 1));
-        let account =
-            Account { party, step, length: 0, in_memory: 0, in_file: 0, whole: false, moving: false };
+    /// Begins to track a body of `tenant`, whose length is known if the client declared it.
+    pub fn register(
+        &mut self,
+        now: Timestamp,
+        tenant: usize,
+        declared_length: Option<u64>,
+    ) -> RegisteredBody {
+        let id = BodyId(self.next_id);
+        self.next_id += 1;
+        let account = BodyAccount {
+            tenant: tenant.min(self.memory.tenants() - 1),
+            tier: StorageTier::Memory,
+            length: 0,
+            memory_bytes: 0,
+            file_bytes: 0,
+            is_complete: false,
+            is_spilling: false,
+        };
         self.bodies.insert(id, account);
-        let verdict = match declared {
-            Some(length) if length > self.limits.largest => StorageDecision::TooLong,
-            Some(length) if length > self.limits.memory_each => self.up(now, id, length),
+        let decision = match declared_length {
+            Some(length) if length > self.limits.max_body_bytes => StorageDecision::TooLong,
+            Some(length) if length > self.limits.max_memory_bytes_per_body => {
+                self.move_out_of_memory(now, id, length)
+            }
             _ => StorageDecision::Keep(StorageTier::Memory),
         };
-        (id, verdict)
+        RegisteredBody { id, decision }
     }
 
-    /// A body has `more` bytes to come next. They count as held from here on where they are kept.
-    pub fn want(&mut self, now: Now, id: BodyId, more: u64) -> StorageDecision {
+    /// Reserves room for the next `more` bytes of a body. Where they are stored, they count as held from here on.
+    pub fn reserve(&mut self, now: Timestamp, id: BodyId, more: u64) -> StorageDecision {
         let Some(body) = self.bodies.get_mut(&id) else { return StorageDecision::TooLong };
         let length = body.length.saturating_add(more);
-        if length > self.limits.largest {
+        if length > self.limits.max_body_bytes {
             return StorageDecision::TooLong;
         }
         body.length = length;
-        match body.step {
+        match body.tier {
             StorageTier::NotStored => StorageDecision::NotStored(NotStoredReason::Budget),
-            StorageTier::Memory => {
-                let fits = length <= self.limits.memory_each;
-                if fits && self.memory.take(body.party, body.in_memory, more) {
-                    body.in_memory += more;
-                    return StorageDecision::Keep(StorageTier::Memory);
-                }
-                self.up(now, id, length)
-            }
-            StorageTier::File => {
-                let each = self.limits.files.as_ref().map_or(0, |f| f.each);
-                if length > each || !self.files.take(body.party, body.in_file, more) {
-                    body.step = StorageTier::NotStored;
-                    return StorageDecision::NotStored(NotStoredReason::Budget);
-                }
-                body.in_file += more;
-                StorageDecision::Keep(StorageTier::File)
-            }
+            StorageTier::Memory => self.reserve_memory(now, id, more),
+            StorageTier::File => self.reserve_in_file(id, more),
         }
     }
 
-    /// Out of memory: into a file that takes all of it, or not kept.
-    fn up(&mut self, now: Now, id: BodyId, expected: u64) -> StorageDecision {
-        let open = self.files_open(now);
+    fn reserve_memory(&mut self, now: Timestamp, id: BodyId, more: u64) -> StorageDecision {
         let Some(body) = self.bodies.get_mut(&id) else { return StorageDecision::TooLong };
-        let each = self.limits.files.as_ref().map_or(0, |f| f.each);
-        let why = match open {
-            Err(why) => why,
-            Ok(()) if expected > each || !self.files.take(body.party, 0, body.length) => {
-                NotStoredReason::Budget
-            }
-            Ok(()) => {
-                body.step = StorageTier::File;
-                body.in_file = body.length;
-                return StorageDecision::Keep(StorageTier::File);
-            }
-        };
-        body.step = StorageTier::NotStored;
-        StorageDecision::NotStored(why)
+        let length = body.length;
+        let fits = length <= self.limits.max_memory_bytes_per_body;
+        if fits && self.memory.try_reserve(body.tenant, body.memory_bytes, more) {
+            body.memory_bytes += more;
+            return StorageDecision::Keep(StorageTier::Memory);
+        }
+        self.move_out_of_memory(now, id, length)
     }
 
-    /// Whether a file may be begun. After a trouble they are closed for a pause; then one body tries again.
-    fn files_open(&self, now: Now) -> Result<(), NotStoredReason> {
-        match (&self.limits.files, self.disk.why) {
-            (None, _) => Err(NotStoredReason::Budget),
-            (Some(_), Some(why)) if now < self.disk.closed_until => Err(why),
-            (Some(_), _) => Ok(()),
+    fn reserve_in_file(&mut self, id: BodyId, more: u64) -> StorageDecision {
+        let Some(body) = self.bodies.get_mut(&id) else { return StorageDecision::TooLong };
+        let fits = body.length <= self.limits.max_file_bytes_per_body();
+        if !fits || !self.files.try_reserve(body.tenant, body.file_bytes, more) {
+            body.tier = StorageTier::NotStored;
+            return StorageDecision::NotStored(NotStoredReason::Budget);
         }
+        body.file_bytes += more;
+        StorageDecision::Keep(StorageTier::File)
     }
 
-    /// Whether the file system, which has `free` bytes left, has room for a body's file.
-    pub fn has_room(&self, id: BodyId, free: u64) -> bool {
-        let leave = self.limits.files.as_ref().map_or(0, |f| f.leave_free);
-        let needed = self.bodies.get(&id).map_or(0, |b| b.length);
-        free >= leave.saturating_add(needed)
+    /// Moves a body that memory can't hold to a file that takes all of it, or stops storing it.
+    fn move_out_of_memory(&mut self, now: Timestamp, id: BodyId, expected_length: u64) -> StorageDecision {
+        let file_allowed = self.check_files_usable(now);
+        let Some(body) = self.bodies.get_mut(&id) else { return StorageDecision::TooLong };
+        if let Err(reason) = file_allowed {
+            body.tier = StorageTier::NotStored;
+            return StorageDecision::NotStored(reason);
+        }
+        let fits = expected_length <= self.limits.max_file_bytes_per_body();
+        if !fits || !self.files.try_reserve(body.tenant, 0, body.length) {
+            body.tier = StorageTier::NotStored;
+            return StorageDecision::NotStored(NotStoredReason::Budget);
+        }
+        body.tier = StorageTier::File;
+        body.file_bytes = body.length;
+        StorageDecision::Keep(StorageTier::File)
     }
 
-    /// The disk has failed a body: files are closed for a while, and the body is not kept from here on. What had been
-    /// written of it can still be read, or shows when it is.
-    /// With it comes whether this is news: the disk was well before.
-    pub fn trouble(&mut self, now: Now, id: BodyId, why: NotStoredReason) -> (StorageDecision, bool) {
-        // Of the bodies that meet the same trouble only the first one closes the files for longer.
-        if now >= self.disk.closed_until {
-            self.disk.pause = (self.disk.pause * 2).clamp(PAUSE, PAUSE_MOST);
-            self.disk.closed_until = now + self.disk.pause;
-        }
-        let news = self.disk.why.replace(why).is_none();
-        if let Some(body) = self.bodies.get_mut(&id) {
-            if std::mem::take(&mut body.moving) {
-                // It is whole, partly in the file and the rest in memory, and stays so.
-                self.moves -= 1;
-                return (StorageDecision::Keep(StorageTier::File), news);
-            }
-            body.step = StorageTier::NotStored;
+    /// Whether a file may be created: there is a directory, and no recent failure disables the disk.
+    fn check_files_usable(&self, now: Timestamp) -> Result<(), NotStoredReason> {
+        if self.limits.files.is_none() {
+            return Err(NotStoredReason::Budget);
         }
-        (StorageDecision::NotStored(why), news)
+        self.disk.check(now)
     }
 
-    /// From here on nothing more of a body is kept, for a reason that the plan does not know of: no descriptor was free.
-    pub fn unkept(&mut self, id: BodyId) {
-        if let Some(body) = self.bodies.get_mut(&id) {
-            body.step = StorageTier::NotStored;
+    /// Whether a file system with `free_bytes` left has room for the file of a body.
+    pub fn has_free_space(&self, id: BodyId, free_bytes: u64) -> bool {
+        let must_stay_free = self.limits.files.as_ref().map_or(0, |files| files.min_free_bytes);
+        let needed = self.bodies.get(&id).map_or(0, |body| body.length);
+        free_bytes >= must_stay_free.saturating_add(needed)
+    }
+
+    /// Records that the disk has failed a body: the disk is disabled for a while, and nothing more of the body is
+    /// stored. A body that was being spilled is complete, partly in its file and partly in memory, and stays so.
+    pub fn record_disk_failure(
+        &mut self,
+        now: Timestamp,
+        id: BodyId,
+        reason: NotStoredReason,
+    ) -> DiskFailure {
+        let is_first = self.disk.record_failure(now, reason);
+        if self.finish_spill(id) {
+            return DiskFailure { decision: StorageDecision::Keep(StorageTier::File), is_first };
         }
+        self.stop_storing(id);
+        DiskFailure { decision: StorageDecision::NotStored(reason), is_first }
     }
 
-    /// The disk has taken a body whole, or a piece after a trouble: files are open as before.
-    pub fn disk_well(&mut self) -> bool {
-        self.disk.pause = Duration::ZERO;
-        self.disk.why.take().is_some()
+    /// Records that the disk has taken a piece: files may be created again. Returns whether the disk had failed before.
+    pub fn record_disk_success(&mut self) -> bool {
+        self.disk.record_success()
+    }
+
+    /// Stores nothing more of a body.
+    pub fn stop_storing(&mut self, id: BodyId) {
+        if let Some(body) = self.bodies.get_mut(&id) {
+            body.tier = StorageTier::NotStored;
+        }
     }
 
-    /// So many bytes of a body have gone from memory: written to its file, or passed on.
-    pub fn left_memory(&mut self, id: BodyId, bytes: u64) {
+    /// Releases memory of a body: bytes that were written to its file, or consumed.
+    pub fn release_memory(&mut self, id: BodyId, bytes: u64) {
         if let Some(body) = self.bodies.get_mut(&id) {
-            let gone = bytes.min(body.in_memory);
-            body.in_memory -= gone;
-            self.memory.give_back(body.party, gone);
+            let released = bytes.min(body.memory_bytes);
+            body.memory_bytes -= released;
+            self.memory.release(body.tenant, released);
         }
     }
 
-    /// A body's file has gone, since all of it was passed on.
-    pub fn left_file(&mut self, id: BodyId) {
+    /// Releases the file of a body.
+    pub fn release_file(&mut self, id: BodyId) {
         if let Some(body) = self.bodies.get_mut(&id) {
-            self.files.give_back(body.party, std::mem::take(&mut body.in_file));
+            self.files.release(body.tenant, std::mem::take(&mut body.file_bytes));
         }
     }
 
-    /// All of a body has come.
-    pub fn whole(&mut self, id: BodyId) {
+    /// Records that all of a body has arrived.
+    pub fn mark_complete(&mut self, id: BodyId) {
         if let Some(body) = self.bodies.get_mut(&id) {
-            body.whole = true;
+            body.is_complete = true;
         }
     }
 
-    /// Whether memory is short and there are files to move bodies to.
-    pub fn pressed(&self) -> bool {
-        let (part, of) = PRESSURE;
-        self.limits.files.is_some() && self.memory.used() * of > self.memory.total() * part
+    /// Whether memory is short and there are files to spill bodies to.
+    pub fn has_memory_pressure(&self) -> bool {
+        let (numerator, denominator) = MEMORY_PRESSURE_FRACTION;
+        let is_short = self.memory.used() * denominator > self.memory.total() * numerator;
+        self.limits.files.is_some() && is_short
     }
 
-    /// A whole body to be moved from memory to a file now, where memory is short: the largest of the party that
-    /// holds most of it. Small ones stay. It counts as held in both until the move is over.
-    pub fn relief(&mut self, now: Now) -> Option<BodyId> {
-        if !self.pressed() || self.moves >= MOVES {
+    /// Chooses a complete body to move from memory to a file, if memory is short: the largest of the tenant that holds
+    /// most of it, except for small ones. It counts as held in both until [`Plan::finish_spill`].
+    pub fn next_to_spill(&mut self, now: Timestamp) -> Option<BodyId> {
+        if !self.has_memory_pressure() || self.active_spills >= MAX_CONCURRENT_SPILLS {
             return None;
         }
-        let movable = self
-            .bodies
-            .iter()
-            .filter(|(_, b)| b.whole && !b.moving && b.step == StorageTier::Memory && b.in_memory > SMALL);
-        let heaviest = movable.max_by_key(|(_, b)| (self.memory.held_by(b.party), b.in_memory));
-        let id = *heaviest?.0;
-        let length = self.bodies[&id].length;
-        self.files_open(now).ok()?;
-        let each = self.limits.files.as_ref().map_or(0, |f| f.each);
+        let id = self.largest_spillable()?;
+        self.check_files_usable(now).ok()?;
+        let max_bytes = self.limits.max_file_bytes_per_body();
         let body = self.bodies.get_mut(&id)?;
-        if length > each || !self.files.take(body.party, 0, length) {
+        if body.length > max_bytes || !self.files.try_reserve(body.tenant, 0, body.length) {
             return None;
         }
-        (body.moving, body.in_file, body.step) = (true, length, StorageTier::File);
-        self.moves += 1;
+        body.is_spilling = true;
+        body.file_bytes = body.length;
+        body.tier = StorageTier::File;
+        self.active_spills += 1;
         Some(id)
     }
 
-    /// A move to a file is over.
-    pub fn moved(&mut self, id: BodyId) {
-        if let Some(body) = self.bodies.get_mut(&id)
-            && std::mem::take(&mut body.moving)
-        {
-            self.moves -= 1;
-        }
+    fn largest_spillable(&self) -> Option<BodyId> {
+        let spillable = self.bodies.iter().filter(|(_, body)| body.is_spillable());
+        let largest = spillable.max_by_key(|(_, body)| (self.memory.used_by(body.tenant), body.memory_bytes));
+        largest.map(|(&id, _)| id)
+    }
+
+    /// Records that a spill is over. Returns whether the body was being spilled.
+    pub fn finish_spill(&mut self, id: BodyId) -> bool {
+        let Some(body) = self.bodies.get_mut(&id) else { return false };
+        let was_spilling = std::mem::take(&mut body.is_spilling);
+        self.active_spills -= usize::from(was_spilling);
+        was_spilling
     }
 
-    /// A body's request has ended: all that it held is free.
-    pub fn end(&mut self, id: BodyId) {
+    /// Forgets a body and releases all that it held.
+    pub fn remove(&mut self, id: BodyId) {
         if let Some(body) = self.bodies.remove(&id) {
-            self.moves -= usize::from(body.moving);
-            self.memory.give_back(body.party, body.in_memory);
-            self.files.give_back(body.party, body.in_file);
+            self.active_spills -= usize::from(body.is_spilling);
+            self.memory.release(body.tenant, body.memory_bytes);
+            self.files.release(body.tenant, body.file_bytes);
         }
     }
 
-    /// Where a body is kept.
-    pub fn step(&self, id: BodyId) -> Option<StorageTier> {
-        self.bodies.get(&id).map(|b| b.step)
+    /// Where a body is stored; `None` for one that is not tracked.
+    pub fn tier(&self, id: BodyId) -> Option<StorageTier> {
+        self.bodies.get(&id).map(|body| body.tier)
     }
 
-    /// Bytes held in memory and in files.
-    pub fn held(&self) -> (u64, u64) {
-        (self.memory.used(), self.files.used())
+    /// The bytes that all bodies hold.
+    pub fn usage(&self) -> StorageUsage {
+        StorageUsage { memory_bytes: self.memory.used(), file_bytes: self.files.used() }
     }
 
-    /// BodyStore that there are.
-    pub fn bodies(&self) -> usize {
+    /// The number of bodies that are tracked.
+    pub fn body_count(&self) -> usize {
         self.bodies.len()
     }
 }
+
+impl BodyAccount {
+    /// Whether it can be moved from memory to a file: complete, not being moved, and not small.
+    fn is_spillable(&self) -> bool {
+        self.is_complete
+            && !self.is_spilling
+            && self.tier == StorageTier::Memory
+            && self.memory_bytes > SMALL_BODY_BYTES
+    }
+}
+
+impl Limits {
+    fn max_file_bytes(&self) -> u64 {
+        self.files.as_ref().map_or(0, |files| files.max_bytes)
+    }
+
+    fn max_file_bytes_per_body(&self) -> u64 {
+        self.files.as_ref().map_or(0, |files| files.max_bytes_per_body)
+    }
+}
--- a/crates/body-store/src/settings.rs
+++ b/crates/body-store/src/settings.rs
@@ -1,19 +1,20 @@
-//! The operators' settings as the plan takes them.
+//! Converts the operators' settings to the limits of the plan.
 
 use crate::plan::{FileLimits, Limits};
 use sorrelhaven_config::BodySettings;
 
-/// The limits that these settings make; `disk` tells whether there is a directory in use.
-pub fn limits(settings: &BodySettings, disk: bool) -> Limits {
+/// The limits that these settings make; `has_disk` says whether there is a directory for files.
+pub(crate) fn limits(settings: &BodySettings, has_disk: bool) -> Limits {
     let BodySettings { largest_bytes, memory, files, .. } = settings;
+    let file_limits = FileLimits {
+        max_bytes_per_body: files.each_bytes,
+        max_bytes: files.total_bytes,
+        min_free_bytes: files.leave_free_bytes,
+    };
     Limits {
-        largest: *largest_bytes,
-        memory_each: memory.each_bytes,
-        memory_total: memory.total_bytes,
-        files: disk.then_some(FileLimits {
-            each: files.each_bytes,
-            total: files.total_bytes,
-            leave_free: files.leave_free_bytes,
-        }),
+        max_body_bytes: *largest_bytes,
+        max_memory_bytes_per_body: memory.each_bytes,
+        max_memory_bytes: memory.total_bytes,
+        files: has_disk.then_some(file_limits),
     }
 }
--- /dev/null
+++ b/crates/body-store/src/writer.rs
@@ -0,0 +1,279 @@
+//! Takes in a body as it arrives, and stores it where the plan decides.
+
+use crate::block_buffer::BLOCK_BYTES;
+use crate::body::{OpenFile, RequestBody, SharedBody};
+use crate::body_end::BodyEnd;
+use crate::body_file::BodyFile;
+use crate::disk::is_disk_full;
+use crate::plan::{NotStoredReason, StorageDecision, StorageTier};
+use std::io;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use tracing::info;
+
+/// The most of a body that is not stored that may have arrived and not been read.
+const MAX_UNREAD_BYTES: u64 = BLOCK_BYTES as u64;
+/// A single disk call that takes longer than this disables the disk.
+const DISK_CALL_TIMEOUT: Duration = Duration::from_millis(250);
+/// The disk calls for one body may take this long altogether, plus the time at [`MIN_DISK_BYTES_PER_SECOND`].
+const DISK_TIME_ALLOWANCE: Duration = Duration::from_millis(200);
+/// The slowest disk that is still used.
+const MIN_DISK_BYTES_PER_SECOND: f64 = 16.0 * 1024.0 * 1024.0;
+
+/// Takes in a body. If it is dropped before the body's end, the request was concluded before the body had arrived.
+pub struct BodyWriter {
+    shared: Rc<SharedBody>,
+    /// How long the disk writes for this body have taken.
+    disk_time: Duration,
+}
+
+impl BodyWriter {
+    pub(crate) fn new(shared: Rc<SharedBody>) -> BodyWriter {
+        BodyWriter { shared, disk_time: Duration::ZERO }
+    }
+
+    /// The body as its request holds it.
+    pub fn body(&self) -> RequestBody {
+        RequestBody::new(self.shared.clone())
+    }
+
+    /// The bytes that have arrived.
+    pub fn received(&self) -> u64 {
+        self.shared.state.borrow().received
+    }
+
+    /// Carries out the plan's decision about the first piece, before that arrives.
+    ///
+    /// # Errors
+    /// How the body has ended, if it is rejected.
+    pub(crate) fn start(&self, decision: StorageDecision) -> Result<(), BodyEnd> {
+        match decision {
+            StorageDecision::Keep(tier) => {
+                self.shared.state.borrow_mut().tier = tier;
+                Ok(())
+            }
+            StorageDecision::NotStored(reason) => self.stop_storing(reason),
+            StorageDecision::TooLong => Err(self.end(BodyEnd::TooLong)),
+        }
+    }
+
+    /// Takes in the next piece. Waits while a file is written, or until the reader of a body that is not stored has
+    /// caught up.
+    ///
+    /// # Errors
+    /// How the body has ended, if it can't be taken in.
+    pub async fn push(&mut self, bytes: &[u8]) -> Result<(), BodyEnd> {
+        let now = self.shared.store.now();
+        let decision = self.shared.plan().reserve(now, self.shared.id, bytes.len() as u64);
+        match decision {
+            StorageDecision::TooLong => return Err(self.end(BodyEnd::TooLong)),
+            StorageDecision::Keep(tier) => self.store_piece(bytes, tier).await?,
+            StorageDecision::NotStored(reason) => {
+                self.stop_storing(reason)?;
+                self.wait_for_reader().await;
+                self.append(bytes);
+            }
+        }
+        self.shared.notify();
+        Ok(())
+    }
+
+    /// Ends a body of which all has arrived.
+    pub async fn finish(mut self) -> BodyEnd {
+        if self.tier() == StorageTier::File {
+            // What the disk does not take is still in memory, so the body is complete all the same.
+            let _ = self.flush(true).await;
+        }
+        let is_stored = self.shared.state.borrow().not_stored_from.is_none();
+        let tier = if is_stored { self.tier() } else { StorageTier::NotStored };
+        self.shared.plan().mark_complete(self.shared.id);
+        self.shared.store.wake_spiller();
+        self.end(BodyEnd::complete(tier))
+    }
+
+    /// Ends the body for this reason, unless it has ended before, and returns the reason.
+    pub fn end(&self, end: BodyEnd) -> BodyEnd {
+        if self.shared.state.borrow().end.is_none() {
+            self.shared.state.borrow_mut().end = Some(end);
+            self.shared.store.counters.record_end(end);
+            if !end.is_whole() {
+                self.release_all();
+            }
+        }
+        self.shared.notify();
+        end
+    }
+
+    /// Releases the storage of a body that no one can read any more, though others may still hold it.
+    fn release_all(&self) {
+        let mut state = self.shared.state.borrow_mut();
+        state.memory.clear();
+        state.file = None;
+        let mut plan = self.shared.plan();
+        plan.release_memory(self.shared.id, u64::MAX);
+        plan.release_file(self.shared.id);
+    }
+
+    pub(crate) fn tier(&self) -> StorageTier {
+        self.shared.state.borrow().tier
+    }
+
+    pub(crate) fn set_tier(&self, tier: StorageTier) {
+        self.shared.state.borrow_mut().tier = tier;
+    }
+
+    fn append(&self, bytes: &[u8]) {
+        self.shared.state.borrow_mut().append(bytes, self.shared.declared_length);
+    }
+
+    async fn store_piece(&mut self, bytes: &[u8], tier: StorageTier) -> Result<(), BodyEnd> {
+        self.set_tier(tier);
+        self.append(bytes);
+        self.shared.store.wake_spiller();
+        if tier != StorageTier::File {
+            return Ok(());
+        }
+        match self.write_to_file(false).await {
+            Ok(()) => Ok(()),
+            // What the disk did not take is still in memory: only what arrives next is not stored.
+            Err(reason) => self.stop_storing(reason),
+        }
+    }
+
+    /// Stores nothing more from here on.
+    ///
+    /// # Errors
+    /// How the body has ended, if bodies that can't be stored are rejected.
+    fn stop_storing(&self, reason: NotStoredReason) -> Result<(), BodyEnd> {
+        {
+            let state = &mut *self.shared.state.borrow_mut();
+            if state.not_stored_from.is_some() {
+                return Ok(());
+            }
+            state.not_stored_from = Some(state.received);
+            state.tier = StorageTier::NotStored;
+        }
+        let store = &self.shared.store;
+        self.shared.plan().stop_storing(self.shared.id);
+        store.counters.record_not_stored(reason);
+        if store.rejects_unstorable() { Err(self.end(BodyEnd::not_stored(reason))) } else { Ok(()) }
+    }
+
+    /// Waits until the reader has read enough of a body that is not stored.
+    async fn wait_for_reader(&self) {
+        loop {
+            let changed = self.shared.changed.listen();
+            if self.unread_bytes() < MAX_UNREAD_BYTES {
+                return;
+            }
+            changed.await;
+        }
+    }
+
+    /// The bytes in memory that count in no budget.
+    fn unread_bytes(&self) -> u64 {
+        let state = self.shared.state.borrow();
+        match state.consumer {
+            // What was stored counts in the budgets.
+            None => state.received - state.not_stored_from.unwrap_or(0),
+            Some(_) => state.received - state.memory.start(),
+        }
+    }
+
+    /// Writes the full blocks in memory to the file, with `include_partial` all blocks. Creates the file if there is
+    /// none.
+    ///
+    /// # Errors
+    /// Why the disk can't take them.
+    pub(crate) async fn write_to_file(&mut self, include_partial: bool) -> Result<(), NotStoredReason> {
+        let has_file = self.shared.state.borrow().file.is_some();
+        if !has_file {
+            self.create_file().await?;
+        }
+        self.flush(include_partial).await
+    }
+
+    async fn create_file(&self) -> Result<(), NotStoredReason> {
+        let store = &self.shared.store;
+        let disk = store.disk().ok_or(NotStoredReason::Budget)?;
+        let permit = store.acquire_permit().ok_or(NotStoredReason::Budget)?;
+        let call = move || {
+            let free_bytes = disk.free()?;
+            Ok::<_, io::Error>((free_bytes, disk.create()?))
+        };
+        let deadline = Instant::now() + DISK_CALL_TIMEOUT;
+        let completed = store.pool.run(deadline, call).await.map_err(|_| self.record_slow_disk())?;
+        let (free_bytes, file) = completed.value.map_err(|error| self.record_disk_error(&error))?;
+        let has_free_space = self.shared.plan().has_free_space(self.shared.id, free_bytes);
+        if !has_free_space {
+            let reason = NotStoredReason::DiskFull;
+            store.record_disk_failure(self.shared.id, reason, "too little free space");
+            return Err(reason);
+        }
+        store.counters.files_created.increment();
+        let file = Arc::new(BodyFile::new(file));
+        self.shared.state.borrow_mut().file = Some(OpenFile { file, _permit: permit });
+        Ok(())
+    }
+
+    /// Writes the full blocks in memory to the file, if there is one; with `include_partial` all blocks.
+    async fn flush(&mut self, include_partial: bool) -> Result<(), NotStoredReason> {
+        loop {
+            let next = self.shared.state.borrow().next_unwritten_block(include_partial);
+            let Some(unwritten) = next else { return Ok(()) };
+            let length = unwritten.block.len() as u64;
+            let call = move || unwritten.file.write_block(&unwritten.block, unwritten.offset);
+            let deadline = Instant::now() + DISK_CALL_TIMEOUT;
+            let completed = self.shared.store.pool.run(deadline, call).await;
+            let completed = completed.map_err(|_| self.record_slow_disk())?;
+            let checksum = completed.value.map_err(|error| self.record_disk_error(&error))?;
+            self.disk_time += completed.duration;
+            self.shared.state.borrow_mut().mark_written(checksum);
+            self.record_disk_success(length);
+            self.check_disk_speed()?;
+        }
+    }
+
+    fn record_disk_success(&self, written: u64) {
+        let mut plan = self.shared.plan();
+        plan.release_memory(self.shared.id, written);
+        if plan.record_disk_success() {
+            info!("body store disk enabled");
+        }
+    }
+
+    /// # Errors
+    /// The disk has been too slow for the bytes that it has taken of this body.
+    fn check_disk_speed(&self) -> Result<(), NotStoredReason> {
+        let written = self.shared.state.borrow().file_bytes;
+        let expected_time = Duration::from_secs_f64(written as f64 / MIN_DISK_BYTES_PER_SECOND);
+        if self.disk_time > DISK_TIME_ALLOWANCE + expected_time {
+            return Err(self.record_slow_disk());
+        }
+        Ok(())
+    }
+
+    fn record_disk_error(&self, error: &io::Error) -> NotStoredReason {
+        let reason =
+            if is_disk_full(error) { NotStoredReason::DiskFull } else { NotStoredReason::DiskFailed };
+        self.shared.store.record_disk_failure(self.shared.id, reason, &error.to_string());
+        reason
+    }
+
+    fn record_slow_disk(&self) -> NotStoredReason {
+        let reason = NotStoredReason::DiskSlow;
+        self.shared.store.record_disk_failure(self.shared.id, reason, "slower than the client");
+        reason
+    }
+}
+
+impl Drop for BodyWriter {
+    fn drop(&mut self) {
+        let has_ended = self.shared.state.borrow().end.is_some();
+        if has_ended {
+            return;
+        }
+        self.end(if self.received() == 0 { BodyEnd::NeverBegun } else { BodyEnd::Refused });
+    }
+}
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -187,7 +187,7 @@
 /// The directory that the operators set for bodies.
 fn directory(config: &Config) -> Result<Option<Directory>, String> {
     let Some(path) = &config.operator.bodies.files.directory else { return Ok(None) };
-    Directory::open(path, &config.name).map(Some).map_err(|e| format!("{DIRECTORY}: {}", e.0))
+    Directory::open(path, &config.name).map(Some).map_err(|e| format!("{DIRECTORY}: {e}"))
 }
 
 /// That directory as the disk for bodies. One that is full is used as soon as there is room.
