--- a/crates/admin/src/desk.rs
+++ b/crates/admin/src/desk.rs
@@ -30,7 +30,7 @@
     /// The answer to a line, whole lines all of it.
     pub fn answer(&self, line: Result<Asked, Unread>, now: Instant) -> String {
         match line {
-            Ok(Asked::Lifecycle(call)) => match self.standing.call(call, now) {
+            Ok(Asked::Lifecycle(call)) => match self.standing.execute(call, now) {
                 CommandReply::Success(holds) => format!("SUCCESS {holds}\n"),
                 CommandReply::Failure(holds) => format!("FAILURE {holds}\n"),
             },
--- a/crates/frontend-http1/src/connection.rs
+++ b/crates/frontend-http1/src/connection.rs
@@ -221,7 +221,7 @@
     let eviction = if hurry.is_some() { &front.close_silent } else { &front.close_idle };
     let leave = front.leave.listen();
     let closed = async {
-        if !front.lifecycle.read(|node| node.closed(Instant::now())) {
+        if !front.lifecycle.read(|lifecycle| lifecycle.closes_idle_immediately(Instant::now())) {
             leave.await;
         }
         Wake::Close
--- a/crates/frontend-http1/src/front.rs
+++ b/crates/frontend-http1/src/front.rs
@@ -102,7 +102,7 @@
     /// Ends the client links that stand idle whenever the node has emptied for so long, for ever.
     pub async fn send_away(&self) {
         loop {
-            self.reached(Lifecycle::idle_until).await;
+            self.reached(Lifecycle::idle_close_at).await;
             let change = self.lifecycle.changed();
             self.leave.notify(usize::MAX);
             change.await;
@@ -122,12 +122,13 @@
     /// Waits until a node that empties can wait no longer for a request whose first byte could come at `first`. One
     /// that comes later is none of those that it waits for.
     pub(crate) async fn hurry(&self, first: Instant) {
-        self.reached(|node| node.whole_by(self.longest).filter(|by| *by > first)).await;
+        self.reached(|lifecycle| lifecycle.request_read_deadline(self.longest).filter(|by| *by > first))
+            .await;
     }
 
     /// By when a request that came whole at `came` must have its answer, whatever its client allows.
     pub(crate) fn answer_by(&self, came: Instant) -> Option<Instant> {
-        self.lifecycle.read(|node| node.answer_by(came, self.longest))
+        self.lifecycle.read(|lifecycle| lifecycle.answer_deadline(came, self.longest))
     }
 
     /// Has as many client links give way as there are beyond the bound on them.
@@ -144,7 +145,7 @@
 
     /// Whether each answer is to end its client link.
     pub(crate) fn empties(&self) -> bool {
-        self.lifecycle.read(Lifecycle::empties)
+        self.lifecycle.read(Lifecycle::is_draining)
     }
 
     /// The server links, which share the descriptors.
--- a/crates/frontend-http1/src/read.rs
+++ b/crates/frontend-http1/src/read.rs
@@ -93,7 +93,7 @@
     };
     match (target.split('?').next().unwrap_or_default(), method.as_str()) {
         ("/health/ready", "GET") => {
-            return Err(Response::new(if front.lifecycle.read(Lifecycle::ready) { 200 } else { 503 }));
+            return Err(Response::new(if front.lifecycle.read(Lifecycle::is_ready) { 200 } else { 503 }));
         }
         ("/health/ready", _) => return Err(Response { allow: Some("GET"), ..Response::new(405) }),
         ("/api", "POST") => {}
--- a/crates/frontend-http1/tests/client_link.rs
+++ b/crates/frontend-http1/tests/client_link.rs
@@ -78,9 +78,9 @@
         let config = single_worker_config("127.0.0.1:1".parse().expect("an address"), "at_most_once");
         let config = Config::parse(&config, |_| None).expect("a configuration");
         let engine = Engine::new(&config, None);
-        let standing = Rc::<LifecycleHandle>::default();
-        standing.loaded(Instant::now());
-        let front = Front::new(engine.clone(), &config, standing);
+        let lifecycle = Rc::<LifecycleHandle>::default();
+        lifecycle.startup_completed(Instant::now());
+        let front = Front::new(engine.clone(), &config, lifecycle);
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let client = std::thread::spawn(move || {
--- a/crates/lifecycle/src/handle.rs
+++ b/crates/lifecycle/src/handle.rs
@@ -1,11 +1,11 @@
-//! The lifecycle as one thread shares it.
+//! The lifecycle as the tasks of one thread share it.
 
 use crate::{Command, CommandReply, Lifecycle};
 use event_listener::{Event, EventListener};
 use std::cell::RefCell;
 use std::time::Instant;
 
-/// The lifecycle of this node, with notice of its changes.
+/// A node's shared lifecycle, with notification of its changes.
 #[derive(Default)]
 pub struct LifecycleHandle {
     lifecycle: RefCell<Lifecycle>,
@@ -13,31 +13,31 @@
 }
 
 impl LifecycleHandle {
-    /// What `look` finds.
-    pub fn read<T>(&self, look: impl FnOnce(&Lifecycle) -> T) -> T {
-        look(&self.lifecycle.borrow())
+    /// Evaluates `query` on the current state.
+    pub fn read<T>(&self, query: impl FnOnce(&Lifecycle) -> T) -> T {
+        query(&self.lifecycle.borrow())
     }
 
-    /// The node can serve.
-    pub fn loaded(&self, now: Instant) {
-        self.lifecycle.borrow_mut().loaded(now);
+    /// Records that the node can serve.
+    pub fn startup_completed(&self, now: Instant) {
+        self.lifecycle.borrow_mut().startup_completed(now);
         self.changed.notify(usize::MAX);
     }
 
-    /// The node was told to end.
-    pub fn stop(&self, now: Instant) {
-        self.lifecycle.borrow_mut().stop(now);
+    /// Records that a shutdown was requested.
+    pub fn begin_shutdown(&self, now: Instant) {
+        self.lifecycle.borrow_mut().begin_shutdown(now);
         self.changed.notify(usize::MAX);
     }
 
-    /// Does what the operators call for.
-    pub fn call(&self, call: Command, now: Instant) -> CommandReply {
-        let reply = self.lifecycle.borrow_mut().call(call, now);
+    /// Executes a command that arrived at `now`.
+    pub fn execute(&self, command: Command, now: Instant) -> CommandReply {
+        let reply = self.lifecycle.borrow_mut().execute(command, now);
         self.changed.notify(usize::MAX);
         reply
     }
 
-    /// The next change; whoever looks after asking for it misses none.
+    /// A listener for the next change. A state read after this call cannot miss a change.
     pub fn changed(&self) -> EventListener {
         self.changed.listen()
     }
--- /dev/null
+++ b/crates/lifecycle/src/lifecycle.rs
@@ -0,0 +1,185 @@
+//! The lifecycle's state machine: phases, commands and the deadlines that follow from a phase.
+
+use crate::shutdown;
+use std::time::{Duration, Instant};
+
+/// The phase of a node's lifecycle.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Phase {
+    /// The node cannot serve yet.
+    Starting {
+        /// A drain was requested during startup: the node is drained as soon as startup completes.
+        drain_after_startup: bool,
+    },
+    /// The node accepts requests.
+    Serving,
+    /// The operators have drained the node; it can be resumed.
+    Drained {
+        /// When the drain was requested, or when startup completed if that was later.
+        since: Instant,
+    },
+    /// The node shuts down; no command leads out of this phase.
+    Stopping {
+        /// When the shutdown was requested.
+        since: Instant,
+    },
+}
+
+/// A lifecycle command from the operators.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Command {
+    /// Report whether the node accepts new clients.
+    Ready,
+    /// Stop accepting new clients and close their connections.
+    Drain,
+    /// Accept clients again after a drain.
+    Resume,
+}
+
+/// The reply to a [`Command`], with the state that holds afterwards.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CommandReply {
+    /// The command holds: the node is ready, or will be in the requested state.
+    Success(&'static str),
+    /// The command does not hold: the node is not ready, or cannot be brought into the requested state.
+    Failure(&'static str),
+}
+
+/// The lifecycle state of one node.
+#[derive(Debug)]
+pub struct Lifecycle {
+    phase: Phase,
+}
+
+impl Default for Lifecycle {
+    /// A node that is starting.
+    fn default() -> Lifecycle {
+        Lifecycle { phase: Phase::Starting { drain_after_startup: false } }
+    }
+}
+
+impl Lifecycle {
+    /// The current phase.
+    pub fn phase(&self) -> Phase {
+        self.phase
+    }
+
+    /// Records that the node can serve.
+    pub fn startup_completed(&mut self, now: Instant) {
+        self.phase = match self.phase {
+            Phase::Starting { drain_after_startup: true } => Phase::Drained { since: now },
+            Phase::Starting { drain_after_startup: false } => Phase::Serving,
+            phase @ (Phase::Serving | Phase::Drained { .. } | Phase::Stopping { .. }) => phase,
+        };
+    }
+
+    /// Records that a shutdown was requested. A repeated request does not extend the deadlines of the first.
+    pub fn begin_shutdown(&mut self, now: Instant) {
+        self.phase = match self.phase {
+            Phase::Starting { .. } | Phase::Serving | Phase::Drained { .. } => Phase::Stopping { since: now },
+            phase @ Phase::Stopping { .. } => phase,
+        };
+    }
+
+    /// Executes a command that arrived at `now`.
+    pub fn execute(&mut self, command: Command, now: Instant) -> CommandReply {
+        match command {
+            Command::Ready => self.readiness(),
+            Command::Drain => self.drain(now),
+            Command::Resume => self.resume(),
+        }
+    }
+
+    fn readiness(&self) -> CommandReply {
+        match self.phase {
+            Phase::Starting { .. } => CommandReply::Failure("starting"),
+            Phase::Serving => CommandReply::Success("serving"),
+            Phase::Drained { .. } => CommandReply::Failure("drained"),
+            Phase::Stopping { .. } => CommandReply::Failure("stopping"),
+        }
+    }
+
+    fn drain(&mut self, now: Instant) -> CommandReply {
+        match self.phase {
+            Phase::Starting { .. } => {
+                self.phase = Phase::Starting { drain_after_startup: true };
+                CommandReply::Success("starting, to be drained once up")
+            }
+            Phase::Serving => {
+                self.phase = Phase::Drained { since: now };
+                CommandReply::Success("drained")
+            }
+            Phase::Drained { .. } => CommandReply::Success("drained already"),
+            Phase::Stopping { .. } => CommandReply::Success("stopping, it empties for good"),
+        }
+    }
+
+    fn resume(&mut self) -> CommandReply {
+        match self.phase {
+            Phase::Starting { .. } => {
+                self.phase = Phase::Starting { drain_after_startup: false };
+                CommandReply::Success("starting, to serve once up")
+            }
+            Phase::Serving => CommandReply::Success("serving already"),
+            Phase::Drained { .. } => {
+                self.phase = Phase::Serving;
+                CommandReply::Success("serving")
+            }
+            Phase::Stopping { .. } => CommandReply::Failure("stopping"),
+        }
+    }
+
+    /// Whether the node accepts new clients.
+    pub fn is_ready(&self) -> bool {
+        self.phase == Phase::Serving
+    }
+
+    /// Whether client connections are being closed: each response closes its connection.
+    pub fn is_draining(&self) -> bool {
+        match self.phase {
+            Phase::Drained { .. } | Phase::Stopping { .. } => true,
+            Phase::Starting { .. } | Phase::Serving => false,
+        }
+    }
+
+    /// When idle client connections are closed; `None` while they may stay open.
+    pub fn idle_close_at(&self) -> Option<Instant> {
+        match self.phase {
+            Phase::Drained { since } => Some(shutdown::drain_idle_close_at(since)),
+            Phase::Stopping { since } => Some(shutdown::shutdown_idle_close_at(since)),
+            Phase::Starting { .. } | Phase::Serving => None,
+        }
+    }
+
+    /// Whether the node shuts down and connections without a request are closed at once, also new ones.
+    pub fn closes_idle_immediately(&self, now: Instant) -> bool {
+        let is_stopping = matches!(self.phase, Phase::Stopping { .. });
+        is_stopping && self.idle_close_at().is_some_and(|close_at| now >= close_at)
+    }
+
+    /// When a request that has begun must have been read, beside its other deadlines; `None` without such a
+    /// deadline. `longest_client_timeout` is the longest time that any client waits for its answer.
+    pub fn request_read_deadline(&self, longest_client_timeout: Duration) -> Option<Instant> {
+        match self.phase {
+            Phase::Drained { since } => Some(shutdown::drain_request_read_deadline(since)),
+            // A request that began before idle connections were closed is still read while it can be
+            // answered.
+            Phase::Stopping { since } => {
+                Some(shutdown::shutdown_request_read_deadline(since, longest_client_timeout))
+            }
+            Phase::Starting { .. } | Phase::Serving => None,
+        }
+    }
+
+    /// When a request that was completely received at `received_at` must be answered even if its client would
+    /// wait longer, because the process may be killed afterwards; `None` without such a deadline.
+    /// `longest_client_timeout` is the longest time that any client waits for its answer.
+    pub fn answer_deadline(&self, received_at: Instant, longest_client_timeout: Duration) -> Option<Instant> {
+        match self.phase {
+            Phase::Stopping { since } if shutdown::is_late_request(since, received_at) => {
+                Some(shutdown::shutdown_answer_deadline(since, longest_client_timeout))
+            }
+            Phase::Stopping { .. } | Phase::Drained { .. } | Phase::Starting { .. } | Phase::Serving => None,
+        }
+    }
+}
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -157,7 +157,7 @@
         let desk = Rc::new(ops::Desk::new(engine.clone(), standing.clone(), members));
         tasks.spawn_urgent(ops::serve(desk, tasks.clone(), ops));
     }
-    standing.loaded(Instant::now());
+    standing.startup_completed(Instant::now());
     let at = at.map_or("none".to_string(), |at| at.to_string());
     info!(name = config.name, ops = %at, ?queue, %listen, "ready");
 
@@ -264,7 +264,7 @@
                 Signal::Reload => self.reload(&mut config, &env, &moves),
                 Signal::Stop => {
                     info!("shutdown requested");
-                    self.standing.stop(Instant::now());
+                    self.standing.begin_shutdown(Instant::now());
                 }
             }
         }
@@ -312,7 +312,7 @@
     /// stop, but where another process shares the queue it takes them, and has more time to answer them.
     async fn accepted_enough(&self, queue: Queue) {
         let enough = |node: &Lifecycle| match (node.phase(), queue) {
-            (Phase::Stopping { .. }, Queue::Own) => node.idle_until(),
+            (Phase::Stopping { .. }, Queue::Own) => node.idle_close_at(),
             (Phase::Stopping { since }, Queue::Shared) => Some(since),
             (Phase::Starting { .. } | Phase::Serving | Phase::Drained { .. }, _) => None,
         };
