--- /dev/null
+++ b/crates/frontend-http1/src/counters.rs
@@ -0,0 +1,28 @@
+//! Counters of the front end.
+
+use sorrelhaven_engine::Count;
+
+/// What the front end counts, beside the engine's counters.
+#[derive(Default)]
+pub struct Counters {
+    /// Downstream connections accepted.
+    pub downstream_connections: Count,
+    /// Requests rejected by the front end because they violate the protocol.
+    pub malformed_requests: Count,
+    /// Connections without a request in progress that were closed for lack of file descriptors.
+    pub evicted_connections: Count,
+    /// Failed `accept` calls, and accepted connections that could not be registered with the event loop.
+    pub accepts_failed: Count,
+}
+
+impl Counters {
+    /// All counters with their metric names, in display order.
+    pub fn metrics(&self) -> [(&'static str, u64); 4] {
+        [
+            ("downstream_connections", self.downstream_connections.get()),
+            ("malformed_requests", self.malformed_requests.get()),
+            ("evicted_connections", self.evicted_connections.get()),
+            ("accepts_failed", self.accepts_failed.get()),
+        ]
+    }
+}
--- /dev/null
+++ b/crates/frontend-http1/src/listen.rs
@@ -0,0 +1,47 @@
+//! Opens the listening socket for clients.
+
+use async_io::Async;
+use sorrelhaven_wire::{SocketCall, SocketFailure, classify};
+use std::io;
+use std::net::{SocketAddr, TcpListener};
+use std::time::{Duration, Instant};
+
+/// How long opening the listener is retried while the machine lacks resources.
+const LISTEN_RETRY_TIMEOUT: Duration = Duration::from_secs(3);
+/// The pause between two attempts to listen.
+const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(10);
+/// Length of the accept queue. The kernel drops connections beyond it, and a client whose SYN is dropped
+/// retransmits it a second later: a burst of hundreds must not delay clients that long.
+const ACCEPT_QUEUE_LENGTH: i32 = 1024;
+
+/// Listens on `address`. A lack of memory or buffers is retried for [`LISTEN_RETRY_TIMEOUT`]: a transient
+/// shortage must not prevent a start.
+///
+/// # Errors
+/// The error of the last `bind` or `listen` call.
+pub fn listen(address: SocketAddr) -> io::Result<Async<TcpListener>> {
+    let retry_until = Instant::now() + LISTEN_RETRY_TIMEOUT;
+    loop {
+        let error = match listen_once(address) {
+            Ok(listener) => return Ok(listener),
+            Err(error) => error,
+        };
+        if Instant::now() >= retry_until {
+            return Err(error);
+        }
+        match classify(SocketCall::Listen, &error) {
+            SocketFailure::Interrupted => {}
+            // Blocks the thread: no task runs yet.
+            SocketFailure::Shortage => std::thread::sleep(LISTEN_RETRY_INTERVAL),
+            SocketFailure::NotReady | SocketFailure::DescriptorLimit | SocketFailure::Connection => {
+                return Err(error);
+            }
+        }
+    }
+}
+
+fn listen_once(address: SocketAddr) -> io::Result<Async<TcpListener>> {
+    let listener = Async::<TcpListener>::bind(address)?;
+    rustix::net::listen(&listener, ACCEPT_QUEUE_LENGTH)?;
+    Ok(listener)
+}
--- /dev/null
+++ b/crates/frontend-http1/src/parsed_request.rs
@@ -0,0 +1,187 @@
+//! Reads a request's head and validates it against the protocol.
+
+use crate::frontend::Frontend;
+use crate::request_draft::RequestDraft;
+use crate::response::Response;
+use sorrelhaven_config::stable_hash;
+use sorrelhaven_dispatcher::Micros;
+use sorrelhaven_lifecycle::Lifecycle;
+use sorrelhaven_wire::{Body, Connection, Head, StartLine, WireError};
+
+/// Subtracted from the client's timeout for the network's round trip: the answer must arrive before the
+/// client gives up.
+const ROUND_TRIP_ALLOWANCE_MICROS: Micros = 3_000;
+/// The longest timeout that a client can ask for; longer ones are shortened to it.
+const MAX_TIMEOUT_MICROS: f64 = 3_600e6;
+/// Slots that a job occupies where the request does not say.
+const DEFAULT_SLOTS: f64 = 1.0;
+/// The path of the readiness check.
+const READINESS_PATH: &str = "/health/ready";
+/// The path of jobs.
+const JOB_PATH: &str = "/api";
+
+/// A request whose head has been read.
+pub struct ParsedRequest {
+    /// The job to be, or the response to everything that is no valid job.
+    pub draft: Result<RequestDraft, Response>,
+    /// How the body is framed.
+    pub body: Body,
+    /// The client waits for `100 Continue` before it sends the body.
+    pub expects_continue: bool,
+    /// The client keeps the connection open for another request.
+    pub keeps_alive: bool,
+}
+
+impl ParsedRequest {
+    /// Reads the head of the next request on the connection.
+    ///
+    /// # Errors
+    /// The head could not be read, or does not say unambiguously how the body is framed.
+    pub async fn read(frontend: &Frontend, connection: &mut Connection) -> Result<ParsedRequest, WireError> {
+        let head = connection.read_head(Head::parse_request).await?;
+        let received_at = frontend.engine.dispatcher_loop.clock.now();
+        let body = head.body()?;
+        let has_body = body != Body::Length(0);
+        let expects_continue =
+            has_body && head.get("Expect").is_some_and(|value| value.eq_ignore_ascii_case("100-continue"));
+        Ok(ParsedRequest {
+            draft: route(frontend, &head, received_at),
+            body,
+            expects_continue,
+            keeps_alive: head.keeps_alive(),
+        })
+    }
+}
+
+/// Selects what answers a request by its path and method.
+fn route(frontend: &Frontend, head: &Head, received_at: Micros) -> Result<RequestDraft, Response> {
+    let StartLine::Request { method, target } = &head.start else {
+        return Err(Response::protocol_error(400, "not a request"));
+    };
+    let path = target.split('?').next().unwrap_or_default();
+    match (path, method.as_str()) {
+        (READINESS_PATH, "GET") => Err(readiness(frontend)),
+        (READINESS_PATH, _) => Err(Response::method_not_allowed("GET")),
+        (JOB_PATH, "POST") => {
+            let headers = JobHeaders { frontend, head };
+            headers.draft(method, target, received_at)
+        }
+        (JOB_PATH, _) => Err(Response::method_not_allowed("POST")),
+        _ => Err(Response::new(404)),
+    }
+}
+
+fn readiness(frontend: &Frontend) -> Response {
+    let is_ready = frontend.lifecycle.read(Lifecycle::is_ready);
+    Response::new(if is_ready { 200 } else { 503 })
+}
+
+/// The headers of a job, which are validated one by one.
+struct JobHeaders<'a> {
+    frontend: &'a Frontend,
+    head: &'a Head,
+}
+
+impl JobHeaders<'_> {
+    /// The draft, or the response that names the first header at fault.
+    fn draft(&self, method: &str, target: &str, received_at: Micros) -> Result<RequestDraft, Response> {
+        let id = self.required("Request-Id")?.into();
+        let class = self.class()?;
+        let tenant = self.tenant()?;
+        let timeout = self.timeout()?;
+        let work_hint = self.work_hint()?;
+        let slots = self.slots()?;
+        if self.frontend.classes[class].keyed {
+            self.required("Idempotency-Key")?;
+        }
+        Ok(RequestDraft {
+            class,
+            tenant,
+            deadline: received_at.saturating_add((timeout - ROUND_TRIP_ALLOWANCE_MICROS).max(0)),
+            work_hint,
+            slots,
+            is_retry: self.head.get("Client-Retry") == Some("1"),
+            affinity_key: self.head.get("Affinity-Key").map_or(0, stable_hash),
+            id,
+            method: method.to_string(),
+            target: target.to_string(),
+            headers: self.forwarded(),
+        })
+    }
+
+    /// The value of a header that must be present exactly once and be printable ASCII without spaces: it is
+    /// forwarded, and the worker might use another one of two values.
+    fn required(&self, name: &str) -> Result<&str, Response> {
+        match self.head.only(name) {
+            Some(value) if !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_graphic()) => {
+                Ok(value)
+            }
+            _ => Err(invalid_header(name)),
+        }
+    }
+
+    fn class(&self) -> Result<usize, Response> {
+        let name = self.required("Request-Class")?;
+        let class = self.frontend.classes.iter().position(|class| class.name == name);
+        class.ok_or_else(|| invalid_header("Request-Class"))
+    }
+
+    fn tenant(&self) -> Result<usize, Response> {
+        let name = self.head.get("Tenant");
+        match self.frontend.tenants.iter().position(|tenant| Some(tenant.as_str()) == name) {
+            Some(tenant) => Ok(tenant),
+            None if self.frontend.tenants.is_empty() => Ok(0),
+            None => Err(invalid_header("Tenant")),
+        }
+    }
+
+    fn timeout(&self) -> Result<Micros, Response> {
+        parse_timeout(self.required("Request-Timeout")?).ok_or_else(|| invalid_header("Request-Timeout"))
+    }
+
+    fn work_hint(&self) -> Result<Option<Micros>, Response> {
+        let Some(text) = self.head.get("Work-Hint") else { return Ok(None) };
+        text.parse::<Micros>().map(Some).map_err(|_| invalid_header("Work-Hint"))
+    }
+
+    fn slots(&self) -> Result<f64, Response> {
+        let info = self.head.get("Request-Info").unwrap_or_default();
+        parse_slots(info).ok_or_else(|| invalid_header("Request-Info"))
+    }
+
+    /// The headers that travel on to the worker.
+    fn forwarded(&self) -> Vec<(&'static str, String)> {
+        let names = ["Idempotency-Key", "Content-Type"];
+        let present = |name| self.head.get(name).map(|value| (name, value.to_string()));
+        names.into_iter().filter_map(present).collect()
+    }
+}
+
+fn invalid_header(name: &str) -> Response {
+    Response::protocol_error(400, &format!("{name} is missing or does not read"))
+}
+
+/// Parses a duration: a number with the unit `m` (milliseconds) or `u` (microseconds).
+fn parse_timeout(text: &str) -> Option<Micros> {
+    let micros = match (text.strip_suffix('m'), text.strip_suffix('u')) {
+        (Some(number), _) => number.parse::<f64>().ok()? * 1e3,
+        (None, Some(number)) => number.parse::<f64>().ok()?,
+        (None, None) => return None,
+    };
+    let is_valid = micros.is_finite() && micros >= 0.0;
+    is_valid.then(|| micros.min(MAX_TIMEOUT_MICROS) as Micros)
+}
+
+/// Parses the slots that a job occupies: `slots=`, or its alias `width=`, among the comma-separated fields of
+/// `Request-Info`. [`DEFAULT_SLOTS`] where neither is present; `None` where it or a field before it is
+/// malformed.
+fn parse_slots(info: &str) -> Option<f64> {
+    for field in info.split(',').filter(|field| !field.trim().is_empty()) {
+        let (name, value) = field.split_once('=')?;
+        if matches!(name.trim(), "slots" | "width") {
+            let slots = value.trim().parse::<f64>().ok()?;
+            return (slots.is_finite() && slots >= 0.0).then_some(slots);
+        }
+    }
+    Some(DEFAULT_SLOTS)
+}
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -16,7 +16,7 @@
 use sorrelhaven_body_store::{Directory, Disk};
 use sorrelhaven_config::{Config, Operator};
 use sorrelhaven_engine::Engine;
-use sorrelhaven_frontend_http1::{self as front, Front, Queue};
+use sorrelhaven_frontend_http1::{self as frontend_http1, AcceptQueue, Frontend};
 use sorrelhaven_handover::ProcessRegistry;
 use sorrelhaven_lifecycle::{Lifecycle, LifecycleHandle, Phase};
 use std::cell::Cell;
@@ -128,7 +128,7 @@
     let disk = disk(&config)?;
     let engine = Engine::new(&config, disk);
     let standing = Rc::<LifecycleHandle>::default();
-    let front = Front::new(engine.clone(), &config, standing.clone());
+    let frontend = Frontend::new(engine.clone(), &config, standing.clone());
     let peers = Others::start(&config)?.map(Rc::new);
     // The operators are answered from here on.
     let ops = match config.ops {
@@ -136,14 +136,16 @@
         None => None,
     };
     let (listener, queue) = match inherited {
-        Some(listener) => (Async::new(listener).map_err(|e| format!("RELAY_FD: {e}"))?, Queue::Shared),
-        None => (front::listen(listen).map_err(|e| format!("listen: {listen}: {e}"))?, Queue::Own),
+        Some(listener) => (Async::new(listener).map_err(|e| format!("RELAY_FD: {e}"))?, AcceptQueue::Shared),
+        None => {
+            (frontend_http1::listen(listen).map_err(|e| format!("listen: {listen}: {e}"))?, AcceptQueue::Own)
+        }
     };
     let listen = listener.get_ref().local_addr().unwrap_or(listen);
     // Where another process may serve the same clients, both are one node to the limits.
     let seats = match queue {
-        Queue::Own => None,
-        Queue::Shared => ProcessRegistry::take(&std::env::temp_dir(), &config.name)
+        AcceptQueue::Own => None,
+        AcceptQueue::Shared => ProcessRegistry::take(&std::env::temp_dir(), &config.name)
             .inspect_err(|error| warn!(%error, "cannot count the other processes of this node"))
             .ok(),
     };
@@ -163,10 +165,10 @@
 
     let (moves, moved) = async_channel::unbounded();
     engine.start(discovery, seq, moved);
-    let at = front.clone();
-    tasks.spawn(async move { at.send_away().await });
+    let at = frontend.clone();
+    tasks.spawn(async move { at.close_idle_connections().await });
     let (sockets, others) = (Cell::new(config.sockets), Cell::new(0));
-    let node = Rc::new(Node { engine, front, standing, format, sockets, others });
+    let node = Rc::new(Node { engine, frontend, standing, format, sockets, others });
     if let Some(seats) = seats {
         node.others.set(seats.others());
         node.divide();
@@ -201,10 +203,10 @@
     Ok(Some(Arc::new(directory)))
 }
 
-/// The engine with its front.
+/// The engine with its frontend.
 struct Node {
     engine: Rc<Engine>,
-    front: Rc<Front>,
+    frontend: Rc<Frontend>,
     standing: Rc<LifecycleHandle>,
     format: LogFormat,
     /// Descriptors that all processes of this node may hold.
@@ -216,8 +218,8 @@
 impl Node {
     /// Prints the counters, on one line.
     fn count(&self) {
-        let Node { engine, front, .. } = self;
-        let metrics = engine.counters.metrics().into_iter().chain(front.counters.metrics());
+        let Node { engine, frontend, .. } = self;
+        let metrics = engine.counters.metrics().into_iter().chain(frontend.counters.metrics());
         let metrics = metrics.chain(engine.bodies.metrics());
         match self.format {
             LogFormat::Text => {
@@ -235,7 +237,7 @@
     /// Divides the descriptors among the processes of this node.
     fn divide(&self) {
         self.engine.upstreams.pool.resize(self.sockets.get() / (1 + self.others.get()));
-        self.front.shed();
+        self.frontend.evict_excess_connections();
     }
 
     /// Counts the other processes of this node, for ever.
@@ -301,22 +303,22 @@
     }
 
     /// Serves until it is told to stop and all that was taken is answered.
-    async fn serve(&self, listener: Async<TcpListener>, queue: Queue) {
-        front::accept(self.front.clone(), listener, queue, self.accepted_enough(queue)).await;
-        while self.front.open_links() > 0 || self.engine.dispatcher_loop.registered_requests() > 0 {
+    async fn serve(&self, listener: Async<TcpListener>, queue: AcceptQueue) {
+        frontend_http1::accept(self.frontend.clone(), listener, queue, self.accepted_enough(queue)).await;
+        while self.frontend.open_connections() > 0 || self.engine.dispatcher_loop.registered_requests() > 0 {
             Timer::after(CLOSING_LOOK).await;
         }
     }
 
     /// Waits until no more client links are to be accepted. Clients still come for a while after the node was told to
     /// stop, but where another process shares the queue it takes them, and has more time to answer them.
-    async fn accepted_enough(&self, queue: Queue) {
+    async fn accepted_enough(&self, queue: AcceptQueue) {
         let enough = |node: &Lifecycle| match (node.phase(), queue) {
-            (Phase::Stopping { .. }, Queue::Own) => node.idle_close_at(),
-            (Phase::Stopping { since }, Queue::Shared) => Some(since),
+            (Phase::Stopping { .. }, AcceptQueue::Own) => node.idle_close_at(),
+            (Phase::Stopping { since }, AcceptQueue::Shared) => Some(since),
             (Phase::Starting { .. } | Phase::Serving | Phase::Drained { .. }, _) => None,
         };
-        self.front.reached(enough).await;
+        self.frontend.lifecycle_deadline_passed(enough).await;
         info!(?queue, "stopped accepting connections");
     }
 }
