--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -99,7 +99,7 @@
 /// The clients' listening socket where the platform holds it.
 fn inherited(env: &impl Fn(&str) -> Option<String>) -> Result<Option<TcpListener>, String> {
     let number = sorrelhaven_config::listen_fd(env).map_err(|fault| fault.to_string())?;
-    let listener = number.map(sorrelhaven_handover::listener).transpose();
+    let listener = number.map(sorrelhaven_handover::inherited_listener).transpose();
     listener.map_err(|fault| format!("RELAY_FD: {fault}"))
 }
 
@@ -145,7 +145,7 @@
     // Where another process may serve the same clients, both are one node to the limits.
     let seats = match queue {
         AcceptQueue::Own => None,
-        AcceptQueue::Shared => ProcessRegistry::take(&std::env::temp_dir(), &config.name)
+        AcceptQueue::Shared => ProcessRegistry::register(&std::env::temp_dir(), &config.name)
             .inspect_err(|error| warn!(%error, "cannot count the other processes of this node"))
             .ok(),
     };
@@ -170,7 +170,7 @@
     let (sockets, others) = (Cell::new(config.sockets), Cell::new(0));
     let node = Rc::new(Node { engine, frontend, standing, format, sockets, others });
     if let Some(seats) = seats {
-        node.others.set(seats.others());
+        node.others.set(seats.other_processes());
         node.divide();
         let at = node.clone();
         tasks.spawn_urgent(async move { at.count_others(seats).await });
@@ -243,7 +243,7 @@
     /// Counts the other processes of this node, for ever.
     async fn count_others(&self, seats: ProcessRegistry) {
         loop {
-            let others = seats.others();
+            let others = seats.other_processes();
             if self.others.replace(others) != others {
                 info!(others, "process count changed");
                 self.divide();
