--- a/crates/admin/tests/scrape.rs
+++ b/crates/admin/tests/scrape.rs
@@ -28,16 +28,16 @@
 fn case() -> impl Strategy<Value = Case> {
     let acts = [
         WorkerBehavior::Done,
-        WorkerBehavior::Takes(5),
+        WorkerBehavior::DoneAfterMillis(5),
         WorkerBehavior::Failed,
-        WorkerBehavior::Returned,
-        WorkerBehavior::Lost,
-        WorkerBehavior::Unusable,
-        WorkerBehavior::Cuts,
-        WorkerBehavior::Garbage,
-        WorkerBehavior::OtherId,
-        WorkerBehavior::BreaksBefore,
-        WorkerBehavior::BreaksAfter,
+        WorkerBehavior::Rejected,
+        WorkerBehavior::Killed,
+        WorkerBehavior::InvalidRequest,
+        WorkerBehavior::Truncated,
+        WorkerBehavior::Malformed,
+        WorkerBehavior::WrongRequestId,
+        WorkerBehavior::ResetDuringBody,
+        WorkerBehavior::ResetAfterBody,
         WorkerBehavior::Silent,
     ];
     let leaves = prop_oneof![3 => Just(None), 1 => (0u8..60).prop_map(Some)];
@@ -159,7 +159,7 @@
         prop_assert!(counted[0] >= served && counted[1] >= refused && counted[2] >= failed);
         prop_assert_eq!(metrics.in_progress, 0);
         // Each run was written whole; what a box turned away was, too.
-        prop_assert!(metrics.upstream_tries >= boxes.runs().len() as u64);
+        prop_assert!(metrics.upstream_tries >= boxes.executed_requests().len() as u64);
         Ok(())
     });
     assert!(steps.get() > 1_000, "{} scrapes", steps.get());
--- a/crates/body-store/tests/directory.rs
+++ b/crates/body-store/tests/directory.rs
@@ -52,12 +52,12 @@
         std::fs::write(scratch.0.join(name), "half a bo").expect("a file");
     }
     let directory = Directory::open(&scratch.0, "n0").expect("a sound directory");
-    assert_eq!(scratch.names(".").len(), 5, "to look at it changes nothing");
+    assert_eq!(scratch.file_names(".").len(), 5, "to look at it changes nothing");
     assert_eq!((directory.sweep().expect("a listing"), directory.is_full()), (2, false));
-    assert_eq!(scratch.names("."), ["notes.txt", others[1], others[0]]);
+    assert_eq!(scratch.file_names("."), ["notes.txt", others[1], others[0]]);
     let file = directory.create().expect("a file");
     file.write_at(b"a body", 0).expect("room");
-    assert_eq!(scratch.names(".").len(), 3, "a file has no name");
+    assert_eq!(scratch.file_names(".").len(), 3, "a file has no name");
     let mut back = [0; 4];
     file.read_at(&mut back, 2).expect("it is there");
     assert_eq!(&back, b"body");
--- a/crates/node/benches/bodies.rs
+++ b/crates/node/benches/bodies.rs
@@ -52,7 +52,7 @@
 
 fn ask(id: &str, body: Vec<u8>) -> TestRequest {
     let mut ask = TestRequest::new(id, "renewal-check", body);
-    (ask.patience, ask.hint) = (Duration::from_secs(5), Some(20_000));
+    (ask.timeout, ask.work_hint_micros) = (Duration::from_secs(5), Some(20_000));
     ask
 }
 
@@ -164,7 +164,7 @@
         ("beside bodies not kept", 64, [1, 32, 1]),
     ] {
         let boxes = FakeWorkers::new(96);
-        boxes.usual(WorkerBehavior::Takes(20));
+        boxes.set_default_behavior(WorkerBehavior::DoneAfterMillis(20));
         let node = start(scratch, &boxes, bounds.map(|b| b * MIB));
         let stop = AtomicBool::new(false);
         let next = AtomicU64::new(0);
@@ -186,7 +186,9 @@
                         while Instant::now() < until {
                             let id = format!("small-{c}-{}", took.len());
                             match ask(&id, vec![1; 1_000]).send(&node.address) {
-                                Ok(reply) if reply.status == 200 => took.push(reply.took.as_secs_f64() * 1e3),
+                                Ok(reply) if reply.status == 200 => {
+                                    took.push(reply.elapsed.as_secs_f64() * 1e3)
+                                }
                                 _ => lost += 1,
                             }
                         }
--- a/crates/node/benches/scrape.rs
+++ b/crates/node/benches/scrape.rs
@@ -52,7 +52,7 @@
 
 fn run(executors: usize) {
     let boxes = FakeWorkers::new(10);
-    boxes.usual(WorkerBehavior::Takes(2));
+    boxes.set_default_behavior(WorkerBehavior::DoneAfterMillis(2));
     // Each box stands for many executors: the list, and what the node knows, is as long as it says.
     let addresses: Vec<_> = boxes.addresses.iter().copied().cycle().take(executors).collect();
     let scratch = ScratchDir::new("scrape");
@@ -75,12 +75,12 @@
                     }
                     let mut ask =
                         TestRequest::new(&format!("q-{client}-{n}"), "renewal-check", vec![b'x'; 200]);
-                    ask.hint = Some(2_000);
+                    ask.work_hint_micros = Some(2_000);
                     let now = phase.load(Ordering::Relaxed);
                     let reply = ask.send_on(&mut stream).expect("an answer");
                     assert_eq!(reply.status, 200);
                     if let Some(phase) = phases.lock().expect("a phase").get_mut(now) {
-                        phase.took.push(reply.took);
+                        phase.took.push(reply.elapsed);
                     }
                 }
             });
@@ -95,7 +95,7 @@
             while Instant::now() < end {
                 if scrapes == 1 {
                     let begun = Instant::now();
-                    let text = node.call("show-stat");
+                    let text = node.admin_call("show-stat");
                     assert!(text.ends_with("EOT\n"));
                     shown.push((begun.elapsed(), text.len()));
                 }
--- a/crates/node/tests/bodies.rs
+++ b/crates/node/tests/bodies.rs
@@ -75,10 +75,10 @@
 const ENDINGS: [(&str, WorkerBehavior); 7] = [
     ("done", WorkerBehavior::Done),
     ("failed", WorkerBehavior::Failed),
-    ("lost", WorkerBehavior::Lost),
-    ("turned away", WorkerBehavior::Returned),
-    ("broke before the last byte", WorkerBehavior::BreaksBefore),
-    ("broke after the last byte", WorkerBehavior::BreaksAfter),
+    ("lost", WorkerBehavior::Killed),
+    ("turned away", WorkerBehavior::Rejected),
+    ("broke before the last byte", WorkerBehavior::ResetDuringBody),
+    ("broke after the last byte", WorkerBehavior::ResetAfterBody),
     ("silent", WorkerBehavior::Silent),
 ];
 
@@ -146,7 +146,7 @@
 fn walk(class: &str, length: usize, end: &str, act: WorkerBehavior) -> String {
     let site = Site::new("cell", 2);
     let mut length = length;
-    if act == WorkerBehavior::BreaksBefore {
+    if act == WorkerBehavior::ResetDuringBody {
         // What the system's buffers take is written at once: to break before that takes longer bodies.
         length = [6 * MIB, 12 * MIB, 24 * MIB][STEPS.iter().position(|s| s.2 == end).expect("a step")];
         site.operator([8 * MIB, 64 * MIB, 16 * MIB, 64 * MIB], 40 * MIB, "stream");
@@ -158,20 +158,23 @@
     let body = sample_bytes(length, 7);
     let mut ask = TestRequest::new("q-1", class, body.clone());
     if act == WorkerBehavior::Silent {
-        ask.patience = Duration::from_millis(700);
+        ask.timeout = Duration::from_millis(700);
     }
     let reply = ask.send(&node.address).expect("an answer");
     let longest =
-        if act == WorkerBehavior::Silent { ask.patience + SLACK } else { Duration::from_millis(700) };
-    assert!(reply.took < longest, "{class} {act:?}: {:?}", reply.took);
-    let runs = site.boxes.runs_of("q-1");
-    assert!(runs.iter().all(|r| (r.length, r.sum) == (length, checksum(&body))), "a run of half a body");
+        if act == WorkerBehavior::Silent { ask.timeout + SLACK } else { Duration::from_millis(700) };
+    assert!(reply.elapsed < longest, "{class} {act:?}: {:?}", reply.elapsed);
+    let runs = site.boxes.executions_of("q-1");
+    assert!(
+        runs.iter().all(|r| (r.body_length, r.body_checksum) == (length, checksum(&body))),
+        "a run of half a body"
+    );
     assert_eq!(reply.status == 200, reply.body == result(&body));
     assert_eq!(reply.status == 503, reply.retry_after == Some(2.0));
     // Where the answer came before the last of the body, its end is told as that.
-    let ends: u64 = [end, "body_request_concluded"].iter().map(|name| node.figure(name)).sum();
+    let ends: u64 = [end, "body_request_concluded"].iter().map(|name| node.counter(name)).sum();
     assert_eq!(ends, 1, "it was kept elsewhere");
-    node.end();
+    node.terminate();
     format!("{}, {} run{}", reply.status, runs.len(), if runs.len() == 1 { "" } else { "s" })
 }
 
@@ -182,7 +185,7 @@
     let site = Site::new("again", 2);
     site.operator([64 * KIB, 8 * MIB, 16 * MIB, 64 * MIB], 16 * MIB, "stream");
     let mut node = site.start();
-    site.boxes.script(&[WorkerBehavior::BreaksAfter]);
+    site.boxes.script(&[WorkerBehavior::ResetAfterBody]);
     let body = sample_bytes(8 * MIB, 3);
     for chunked in [false, true] {
         let mut ask = TestRequest::new(if chunked { "q-2" } else { "q-1" }, "licence-issue", body.clone());
@@ -190,14 +193,17 @@
         let reply = ask.send(&node.address).expect("an answer");
         assert_eq!((reply.status, reply.body), (200, result(&body)));
     }
-    let runs = site.boxes.runs_of("q-1");
-    assert!(runs.len() == 2 && runs[0].at != runs[1].at && runs[0].sum == runs[1].sum, "{runs:?}");
+    let runs = site.boxes.executions_of("q-1");
+    assert!(
+        runs.len() == 2 && runs[0].worker != runs[1].worker && runs[0].body_checksum == runs[1].body_checksum,
+        "{runs:?}"
+    );
     assert_eq!(
-        (node.figure("body_in_file"), node.figure("file_bytes")),
+        (node.counter("body_in_file"), node.counter("file_bytes")),
         (2, 0),
         "a file goes with its request"
     );
-    assert_eq!(site.scratch.names("spool"), [""; 0], "a file has no name");
+    assert_eq!(site.scratch.file_names("spool"), [""; 0], "a file has no name");
 }
 
 /// A `fee-charge` whose body is not kept meets every ending that a box can bring about: one run at most, one answer,
@@ -208,17 +214,17 @@
     let cases = [
         (WorkerBehavior::Done, "ok", 200),
         (WorkerBehavior::Failed, "error", 502),
-        (WorkerBehavior::Garbage, "error", 502),
-        (WorkerBehavior::OtherId, "error", 502),
-        (WorkerBehavior::Huge, "error", 502),
-        (WorkerBehavior::Returned, "worker_rejected", 503),
-        (WorkerBehavior::ReturnedEarly, "worker_rejected", 503),
-        (WorkerBehavior::Unusable, "invalid_request", 502),
-        (WorkerBehavior::Lost, "reset", 502),
-        (WorkerBehavior::BreaksAfter, "reset", 502),
-        (WorkerBehavior::Cuts, "reset", 502),
-        (WorkerBehavior::BreaksBefore, "connect_failed", 503),
-        (WorkerBehavior::ReadsNothing, "connect_failed", 503),
+        (WorkerBehavior::Malformed, "error", 502),
+        (WorkerBehavior::WrongRequestId, "error", 502),
+        (WorkerBehavior::ResponseTooLarge, "error", 502),
+        (WorkerBehavior::Rejected, "worker_rejected", 503),
+        (WorkerBehavior::RejectedBeforeBody, "worker_rejected", 503),
+        (WorkerBehavior::InvalidRequest, "invalid_request", 502),
+        (WorkerBehavior::Killed, "reset", 502),
+        (WorkerBehavior::ResetAfterBody, "reset", 502),
+        (WorkerBehavior::Truncated, "reset", 502),
+        (WorkerBehavior::ResetDuringBody, "connect_failed", 503),
+        (WorkerBehavior::StopsReading, "connect_failed", 503),
         (WorkerBehavior::Silent, "timeout", 502),
     ];
     // More than the system's buffers take, so that what breaks in the middle is known to.
@@ -229,16 +235,16 @@
         let mut node = site.start();
         site.boxes.script(&[act]);
         let mut ask = TestRequest::new("q-1", "fee-charge", body.clone());
-        let waits = matches!(act, WorkerBehavior::Silent | WorkerBehavior::ReadsNothing);
-        ask.patience = Duration::from_millis(if waits { 1_500 } else { 8_000 });
+        let waits = matches!(act, WorkerBehavior::Silent | WorkerBehavior::StopsReading);
+        ask.timeout = Duration::from_millis(if waits { 1_500 } else { 8_000 });
         let reply = ask.send(&node.address).expect("an answer");
         assert_eq!(reply.status, status, "{act:?}");
         assert!(
-            reply.took < ask.patience + SLACK && (waits || reply.took < Duration::from_secs(2)),
+            reply.elapsed < ask.timeout + SLACK && (waits || reply.elapsed < Duration::from_secs(2)),
             "{act:?}"
         );
-        assert_eq!((node.figure("attempts"), node.figure(outcome)), (1, 1), "{act:?}: {outcome}");
-        let runs = site.boxes.runs_of("q-1").len();
+        assert_eq!((node.counter("attempts"), node.counter(outcome)), (1, 1), "{act:?}: {outcome}");
+        let runs = site.boxes.executions_of("q-1").len();
         assert!(runs <= 1 && (status != 503 || runs == 0), "{act:?}: {runs} runs");
     }
 }
@@ -250,12 +256,12 @@
     let site = Site::new("early", 2);
     site.operator([MIB, 8 * MIB, 16 * MIB, 64 * MIB], 16 * MIB, "stream");
     let mut node = site.start();
-    site.boxes.script(&[WorkerBehavior::ReturnedEarly]);
+    site.boxes.script(&[WorkerBehavior::RejectedBeforeBody]);
     let body = sample_bytes(12 * MIB, 1);
     let reply = TestRequest::new("q-1", "fee-charge", body.clone()).send(&node.address).expect("an answer");
     assert_eq!((reply.status, reply.body), (200, result(&body)));
-    assert_eq!((node.figure("worker_rejected"), node.figure("connect_failed")), (1, 0));
-    assert_eq!(site.boxes.runs_of("q-1").len(), 1);
+    assert_eq!((node.counter("worker_rejected"), node.counter("connect_failed")), (1, 0));
+    assert_eq!(site.boxes.executions_of("q-1").len(), 1);
 }
 
 /// A connection that is refused has passed nothing on: another box is tried also for a body that is not kept.
@@ -292,11 +298,11 @@
             let reply = ask.send(&node.address).expect("an answer");
             assert_eq!(reply.status, status, "{id}");
             assert_eq!(reply.retry_after, (status == 503).then_some(2.0));
-            assert!(reply.took < Duration::from_millis(700));
-            assert_eq!(site.boxes.runs_of(&id).len(), usize::from(status == 200), "{id}");
+            assert!(reply.elapsed < Duration::from_millis(700));
+            assert_eq!(site.boxes.executions_of(&id).len(), usize::from(status == 200), "{id}");
         }
     }
-    assert_eq!((node.figure("body_budget_exhausted"), node.figure("rejected")), (2, 2));
+    assert_eq!((node.counter("body_budget_exhausted"), node.counter("rejected")), (2, 2));
 }
 
 /// A body that is too long is known by its head, and by its chunks as soon as they are too many.
@@ -317,8 +323,8 @@
     // The answer may be lost to the reset that what is left unread makes; a run may not be.
     assert!(ask.send(&node.address).is_ok_and(|r| r.status == 413));
     thread::sleep(Duration::from_millis(50));
-    assert_eq!(site.boxes.runs(), []);
-    assert_eq!(node.figure("body_too_large"), 2);
+    assert_eq!(site.boxes.executed_requests(), []);
+    assert_eq!(node.counter("body_too_large"), 2);
 }
 
 /// `Expect: 100-continue`: told to send where the body is taken; what is refused or too long is told without it.
@@ -331,7 +337,7 @@
     for length in [4 * KIB, 100 * KIB, 400 * KIB] {
         let body = sample_bytes(length, 5);
         let mut ask = TestRequest::new(&format!("q-{length}"), "fee-charge", body.clone());
-        ask.expects = true;
+        ask.expect_continue = true;
         let reply = ask.send(&node.address).expect("an answer");
         assert_eq!((reply.status, reply.body), (200, result(&body)), "{length}");
     }
@@ -344,13 +350,13 @@
             .replace("\"total_bytes\":67108864", "\"total_bytes\":262144"),
     );
     node.signal("HUP");
-    node.line("configuration reloaded");
+    node.wait_for_log_line("configuration reloaded");
     for (length, status) in [(2 * MIB, 413), (250 * KIB, 503)] {
         let mut ask = TestRequest::new("q-long", "fee-charge", sample_bytes(length, 5));
-        ask.expects = true;
+        ask.expect_continue = true;
         assert_eq!(ask.send(&node.address).expect("an answer").status, status);
     }
-    assert_eq!(site.boxes.runs().len(), 3);
+    assert_eq!(site.boxes.executed_requests().len(), 3);
 }
 
 /// A client that stops in mid-body frees everything at once, and its box sees a broken request, never a whole one.
@@ -373,18 +379,18 @@
         clients.push(stream);
     }
     let until = Instant::now() + Duration::from_secs(5);
-    while node.figure("file_bytes") < 100 * KIB as u64
-        || node.figure("attempts") < 2
-        || site.boxes.begun() < 2
+    while node.counter("file_bytes") < 100 * KIB as u64
+        || node.counter("attempts") < 2
+        || site.boxes.received_requests() < 2
     {
         assert!(Instant::now() < until, "the bodies have not come");
     }
     drop(clients);
-    while site.boxes.broken() < 2 || node.figure("body_client_disconnected") < 4 {
-        assert!(Instant::now() < until, "{} broken", site.boxes.broken());
+    while site.boxes.incomplete_requests() < 2 || node.counter("body_client_disconnected") < 4 {
+        assert!(Instant::now() < until, "{} broken", site.boxes.incomplete_requests());
     }
-    assert_eq!((node.figure("memory_bytes"), node.figure("file_bytes")), (0, 0));
-    assert_eq!(site.boxes.runs(), [], "no box had one whole");
+    assert_eq!((node.counter("memory_bytes"), node.counter("file_bytes")), (0, 0));
+    assert_eq!(site.boxes.executed_requests(), [], "no box had one whole");
     let reply =
         TestRequest::new("q-9", "fee-charge", sample_bytes(9, 1)).send(&node.address).expect("an answer");
     assert_eq!(reply.status, 200);
@@ -416,11 +422,13 @@
             .send(&node.address)
             .expect("an answer");
         assert_eq!((reply.status, reply.body), (200, result(&body)), "usual client {usual}");
-        assert!(reply.took < Duration::from_millis(300), "{:?}", reply.took);
+        assert!(reply.elapsed < Duration::from_millis(300), "{:?}", reply.elapsed);
         usual += 1;
         if usual % 8 == 0 {
             slow.iter_mut().for_each(|s| _ = s.write_all(b"x"));
-            assert!(node.figure("memory_bytes") <= MIB as u64 && node.figure("file_bytes") <= 4 * MIB as u64);
+            assert!(
+                node.counter("memory_bytes") <= MIB as u64 && node.counter("file_bytes") <= 4 * MIB as u64
+            );
         }
     }
     assert!(usual > 50, "{usual} usual requests");
@@ -435,8 +443,8 @@
         );
     }
     assert!(begun.elapsed() < Duration::from_secs(5), "{:?}", begun.elapsed());
-    assert_eq!((node.figure("memory_bytes"), node.figure("file_bytes")), (0, 0));
-    assert_eq!(site.boxes.runs().len(), usual as usize, "no slow one ran");
+    assert_eq!((node.counter("memory_bytes"), node.counter("file_bytes")), (0, 0));
+    assert_eq!(site.boxes.executed_requests().len(), usual as usize, "no slow one ran");
 }
 
 /// SIGHUP shrinks the budgets under load, a bad file changes nothing, and SIGTERM with files open finishes all.
@@ -446,7 +454,7 @@
     let site = Site::new("signals", 2);
     site.operator([MIB, 16 * MIB, 8 * MIB, 128 * MIB], 8 * MIB, "stream");
     let mut node = site.start();
-    site.boxes.usual(WorkerBehavior::StalledListener);
+    site.boxes.set_default_behavior(WorkerBehavior::PausedUntilReleased);
     let asks = (0..22).map(|i| {
         let body = sample_bytes(if i < 8 { 3 * MIB } else { 900 * KIB }, i);
         let expected = result(&body);
@@ -464,33 +472,33 @@
     let mut clients = Vec::new();
     for (i, ask) in asks.by_ref().take(16).enumerate() {
         clients.push(client(ask));
-        while site.boxes.runs().len() <= i {
+        while site.boxes.executed_requests().len() <= i {
             assert!(Instant::now() < until, "body {i} has not come");
         }
     }
-    while node.figure("memory_bytes") < 5 * MIB as u64 || node.figure("file_bytes") < 20 * MIB as u64 {
+    while node.counter("memory_bytes") < 5 * MIB as u64 || node.counter("file_bytes") < 20 * MIB as u64 {
         assert!(Instant::now() < until, "the bodies have not come");
     }
     site.scratch.write("operator.json", r#"{"bodies":{"unkept":"drop"}}"#);
     node.signal("HUP");
-    assert!(node.line("configuration unchanged").contains("bodies.unkept: unknown variant"));
-    assert!(node.figure("memory_bytes") > 0);
+    assert!(node.wait_for_log_line("configuration unchanged").contains("bodies.unkept: unknown variant"));
+    assert!(node.counter("memory_bytes") > 0);
     // These come while the budgets shrink.
     clients.extend(asks.map(client));
     site.operator([64 * KIB, MIB, 8 * MIB, 128 * MIB], 8 * MIB, "stream");
     node.signal("HUP");
-    node.line("configuration reloaded");
-    while node.figure("memory_bytes") > MIB as u64 {
+    node.wait_for_log_line("configuration reloaded");
+    while node.counter("memory_bytes") > MIB as u64 {
         assert!(Instant::now() < until, "what is in memory does not step down");
     }
-    assert!(node.figure("bodies_spilled") >= 4);
-    while node.figure("requests_sent") < 22 {
+    assert!(node.counter("bodies_spilled") >= 4);
+    while node.counter("requests_sent") < 22 {
         assert!(Instant::now() < until, "those that came during the change are not whole");
     }
     node.signal("TERM");
-    assert_eq!(node.figure("in_progress"), 22, "what was asked to end goes on until its answers come");
+    assert_eq!(node.counter("in_progress"), 22, "what was asked to end goes on until its answers come");
     site.boxes.release();
-    let rest = node.end();
+    let rest = node.terminate();
     for client in clients {
         let (reply, expected) = client.join().expect("a client");
         assert_eq!((reply.status, reply.body), (200, expected));
@@ -524,8 +532,8 @@
         let (reply, expected) = client.join().expect("a client");
         assert_eq!((reply.status, reply.body), (200, expected));
     }
-    assert!(node.figure("not_stored_disk_full") >= 1);
-    assert!(site.boxes.runs().iter().all(|r| site.boxes.runs_of(&r.id).len() == 1));
+    assert!(node.counter("not_stored_disk_full") >= 1);
+    assert!(site.boxes.executed_requests().iter().all(|r| site.boxes.executions_of(&r.id).len() == 1));
 }
 
 /// A disk that is full at the start is a warning that names the key; bodies go on without files.
@@ -540,13 +548,15 @@
         shell
     };
     let mut node = site.begin(program());
-    let warned =
-        node.early().iter().any(|l| l.contains("WARN") && l.contains("bodies.files.directory: it is full"));
-    assert!(warned, "{:?}", node.early());
+    let warned = node
+        .startup_log()
+        .iter()
+        .any(|l| l.contains("WARN") && l.contains("bodies.files.directory: it is full"));
+    assert!(warned, "{:?}", node.startup_log());
     let body = sample_bytes(100 * KIB, 1);
     let reply = TestRequest::new("q-1", "fee-charge", body.clone()).send(&node.address).expect("an answer");
     assert_eq!((reply.status, reply.body), (200, result(&body)));
-    assert_eq!((node.figure("body_streamed"), node.figure("not_stored_disk_full")), (1, 1));
+    assert_eq!((node.counter("body_streamed"), node.counter("not_stored_disk_full")), (1, 1));
 }
 
 /// A directory that can't be used ends the start with one line that names the key, and a reload changes nothing.
@@ -578,11 +588,11 @@
             assert!(said.contains("bodies.files.directory: ") && said.contains(what), "{said}");
         }
         running.signal("HUP");
-        let line = running.line("configuration unchanged");
+        let line = running.wait_for_log_line("configuration unchanged");
         assert!(line.contains("bodies.files.directory: ") && line.contains(what), "{line}");
     }
     let reply = TestRequest::new("q-1", "fee-charge", sample_bytes(100 * KIB, 1))
         .send(&running.address)
         .expect("an answer");
-    assert_eq!((reply.status, running.figure("body_in_file")), (200, 1), "the old directory is in use");
+    assert_eq!((reply.status, running.counter("body_in_file")), (200, 1), "the old directory is in use");
 }
--- a/crates/node/tests/crash.rs
+++ b/crates/node/tests/crash.rs
@@ -44,11 +44,11 @@
         let mut node =
             Program::start(Command::new(env!("CARGO_BIN_EXE_sorrelhaven")), &config, Some(&operator));
         assert_eq!(
-            scratch.names("spool"),
+            scratch.file_names("spool"),
             ["sorrelhaven-body.n01.1.0.part"],
             "a start sweeps its own and no other"
         );
-        swept += node.swept();
+        swept += node.leftovers_removed();
         let stop = Arc::new(AtomicBool::new(false));
         let clients: Vec<_> = (0..CLIENTS)
             .map(|_| {
@@ -58,9 +58,9 @@
                     while !stop.load(Ordering::Relaxed) {
                         let n = next.fetch_add(1, Ordering::Relaxed);
                         let ask = TestRequest::new(&format!("pay-{n}"), AT_MOST_ONCE_CLASS, body(n));
-                        checker.asked(&ask);
+                        checker.record_request(&ask);
                         match ask.send(&address) {
-                            Ok(reply) => checker.answered(&ask.id, reply.status),
+                            Ok(reply) => checker.record_response(&ask.id, reply.status),
                             Err(_) => return,
                         }
                     }
@@ -75,13 +75,13 @@
         node.child.wait().expect("it has ended");
         stop.store(true, Ordering::Relaxed);
         clients.into_iter().for_each(|c| c.join().expect("a client"));
-        left += scratch.names("spool").len() - 1;
+        left += scratch.file_names("spool").len() - 1;
         // A file that was made and not yet unlinked, half written: what a kill between the two steps leaves.
         scratch.write("spool/sorrelhaven-body.n0.1.7.part", "half a bo");
     }
-    let runs = boxes.runs();
-    assert_eq!(checker.faults(&runs), [""; 0]);
-    let (sent, served) = checker.counts();
+    let runs = boxes.executed_requests();
+    assert_eq!(checker.violations(&runs), [""; 0]);
+    let (sent, served) = checker.totals();
     assert!(served as u64 > kills && runs.len() >= served);
     println!(
         "{kills} kills: {sent} payments sent, {} run, {} served, none twice; {left} names left by kills, {swept} swept",
--- a/crates/node/tests/crossings.rs
+++ b/crates/node/tests/crossings.rs
@@ -50,16 +50,16 @@
 }
 
 /// A client that has sent its request, all of it.
-fn asked(node: &Program, id: &str, class: &str, patience: u64) -> TcpStream {
+fn asked(node: &Program, id: &str, class: &str, timeout: u64) -> TcpStream {
     let mut stream = TcpStream::connect(&node.address).expect("it listens");
-    ask_on(&mut stream, id, class, patience).expect("it reads");
+    ask_on(&mut stream, id, class, timeout).expect("it reads");
     stream
 }
 
 /// Sends a request on an open link, all of it.
-fn ask_on(stream: &mut TcpStream, id: &str, class: &str, patience: u64) -> std::io::Result<()> {
+fn ask_on(stream: &mut TcpStream, id: &str, class: &str, timeout: u64) -> std::io::Result<()> {
     let mut ask = TestRequest::new(id, class, b"body".to_vec());
-    ask.patience = Duration::from_millis(patience);
+    ask.timeout = Duration::from_millis(timeout);
     stream.set_read_timeout(Some(BOUND)).expect("a socket");
     stream.write_all((ask.head() + "body").as_bytes())
 }
@@ -67,7 +67,7 @@
 /// Waits until one of the node's counters has come to this.
 fn until(node: &mut Program, name: &str, count: u64) {
     let begun = Instant::now();
-    while node.figure(name) < count {
+    while node.counter(name) < count {
         assert!(begun.elapsed() < BOUND, "{name} never came to {count}");
     }
 }
@@ -109,7 +109,7 @@
         Leaves::ByClose | Leaves::BehindMuch => drop(client),
     }
     let begun = Instant::now();
-    while node.figure("client_gone") == before {
+    while node.counter("client_gone") == before {
         assert!(
             begun.elapsed() < Duration::from_secs(5),
             "the node does not see that its client left {way:?}"
@@ -173,14 +173,14 @@
     for (n, (client, way)) in clients.into_iter().zip(WAYS).enumerate() {
         leave(&mut node, client, way, n as u64);
     }
-    assert_eq!(node.figure("client_gone_waiting"), 3);
+    assert_eq!(node.counter("client_gone_waiting"), 3);
     let executor = held.release().expect("a listener");
     let mut client = asked(&node, "stays", "safe", 30_000);
     let (request, mut link) = first(&executor);
     assert!(request.contains("Request-Id: stays\r\n"), "{request}");
     link.write_all(done("stays").as_bytes()).expect("the node reads");
     assert_eq!(TestResponse::read(&mut client, Instant::now()).expect("an answer").status, 200);
-    assert_eq!((node.figure("sent_after_client_gone"), node.figure("requests_sent")), (0, 1));
+    assert_eq!((node.counter("sent_after_client_gone"), node.counter("requests_sent")), (0, 1));
 }
 
 /// An executor is told to leave while a link to it comes up: nothing is sent on that link.
@@ -200,7 +200,7 @@
     assert_eq!(next(&mut link), None, "nothing comes, and the link ends");
     // It has never run: it is throttled, as there is no other to send it to.
     assert_eq!(TestResponse::read(&mut client, Instant::now()).expect("an answer").status, 503);
-    assert_eq!((node.figure("connect_failed"), node.figure("requests_sent")), (1, 0));
+    assert_eq!((node.counter("connect_failed"), node.counter("requests_sent")), (1, 0));
 }
 
 /// A request waits in the node, as no executor takes work; its client leaves, and then there is one.
@@ -221,7 +221,7 @@
     let _client = asked(&node, "stays", "safe", 30_000);
     let (request, _) = first(&executor);
     assert!(request.contains("Request-Id: stays\r\n"), "{request}");
-    assert_eq!((node.figure("client_gone_waiting"), node.figure("attempts")), (3, 1));
+    assert_eq!((node.counter("client_gone_waiting"), node.counter("attempts")), (3, 1));
 }
 
 /// A client sends its request and leaves before the node has read any of it.
@@ -249,7 +249,7 @@
         client.write_all(&[b'x'; 40_000]).expect("the system takes it");
         leave(&mut node, client, way, 0);
         assert_eq!(next(&mut link), None, "the node ends the link");
-        assert_eq!((node.figure("cancelled"), node.figure("client_gone_waiting")), (1, 0));
+        assert_eq!((node.counter("cancelled"), node.counter("client_gone_waiting")), (1, 0));
     }
 }
 
@@ -265,19 +265,19 @@
     let started = format!("{CHUNKED_RESPONSE_HEAD}{}", chunk(started));
     early_link.write_all(started.as_bytes()).expect("the node reads");
     let mut ask = TestRequest::new("late", "once", b"body".to_vec());
-    ask.patience = Duration::from_secs(30);
+    ask.timeout = Duration::from_secs(30);
     let mut late = TcpStream::connect(&node.address).expect("it listens");
     late.set_read_timeout(Some(BOUND)).expect("a socket");
     late.write_all((ask.head() + "bo").as_bytes()).expect("it reads");
     node.signal("TERM");
     let told = Instant::now();
-    node.line("shutdown requested");
+    node.wait_for_log_line("shutdown requested");
     node.signal("HUP");
-    node.line("configuration reloaded");
+    node.wait_for_log_line("configuration reloaded");
     node.signal("TERM");
-    node.line("shutdown requested");
+    node.wait_for_log_line("shutdown requested");
     // Idle links are closed, nobody new is accepted, and the time is over in which what comes may be cut off.
-    node.line("stopped accepting connections");
+    node.wait_for_log_line("stopped accepting connections");
     while told.elapsed() < Duration::from_millis(800) {
         std::thread::yield_now();
     }
@@ -286,7 +286,7 @@
     assert!(request.contains("Request-Id: late\r\n"), "{request}");
     // Its executor says nothing. It may have run, so it fails, and in time.
     let reply = TestResponse::read(&mut late, told).expect("an answer");
-    assert_eq!((reply.status, reply.close), (502, true));
+    assert_eq!((reply.status, reply.connection_close), (502, true));
     assert!(told.elapsed() < Duration::from_millis(3_700), "{:?}", told.elapsed());
     early_link
         .write_all(done("early").trim_start_matches(CHUNKED_RESPONSE_HEAD).as_bytes())
@@ -353,7 +353,7 @@
         link.write_all(done("stays").as_bytes()).expect("the node reads");
         assert_eq!(TestResponse::read(&mut stays, Instant::now()).expect("an answer").status, 200);
         assert_eq!(
-            (node.figure("attempts"), node.figure("sent_after_client_gone"), node.figure("in_progress")),
+            (node.counter("attempts"), node.counter("sent_after_client_gone"), node.counter("in_progress")),
             (2, 0, 0)
         );
     }
@@ -367,13 +367,13 @@
     let mut client = asked(&node, "held", "once", 5_000);
     until(&mut node, "upstream_connections", 1);
     node.signal("TERM");
-    node.line("shutdown requested");
+    node.wait_for_log_line("shutdown requested");
     let executor = held.release().expect("a listener");
     let (request, mut link) = first(&executor);
     assert!(request.contains("Request-Id: held\r\n"), "{request}");
     link.write_all(done("held").as_bytes()).expect("the node reads");
     let reply = TestResponse::read(&mut client, Instant::now()).expect("an answer");
-    assert_eq!((reply.status, reply.close), (200, true));
+    assert_eq!((reply.status, reply.connection_close), (200, true));
     assert!(node.child.wait().expect("it ends").success());
 }
 
@@ -394,7 +394,7 @@
     link.write_all(done("two").as_bytes()).expect("the node reads");
     assert_eq!(TestResponse::read(&mut resting, Instant::now()).expect("an answer").status, 200);
     node.signal("TERM");
-    node.line("shutdown requested");
+    node.wait_for_log_line("shutdown requested");
     // The link is still open: taken, and answered as the last one on it.
     ask(&mut client, "three").expect("it reads");
     assert!(next(&mut link).expect("it is sent on").contains("Request-Id: three\r\n"));
@@ -402,12 +402,12 @@
     ask(&mut client, "four").expect("the system takes it");
     link.write_all(done("three").as_bytes()).expect("the node reads");
     let reply = TestResponse::read(&mut client, Instant::now()).expect("an answer");
-    assert_eq!((reply.status, reply.close), (200, true));
+    assert_eq!((reply.status, reply.connection_close), (200, true));
     // The one that rests is ended by the node; what was written to it in that moment meets a closed link.
     let mut end = [0];
     assert!(matches!(resting.read(&mut end), Ok(0) | Err(_)), "the resting link ends");
     let _ = ask(&mut resting, "five");
-    let counters = node.line("admitted=");
+    let counters = node.wait_for_log_line("admitted=");
     assert!(counters.contains("admitted=3 served=3 ") && counters.contains("attempts=3 "), "{counters}");
     assert!(node.child.wait().expect("it ends").success());
 }
@@ -435,10 +435,10 @@
     until(&mut node, "upstream_connections", 2);
     let reply = TestResponse::read(&mut client, begun).expect("an answer");
     assert_eq!(reply.status, 503, "a repeat is harmless where it is dropped everywhere");
-    assert!(reply.took < Duration::from_secs(5), "{:?}", reply.took);
+    assert!(reply.elapsed < Duration::from_secs(5), "{:?}", reply.elapsed);
     let executor = held.release().expect("a listener");
     let _client = asked(&node, "stays", "safe", 30_000);
     let (request, _link) = first(&executor);
     assert!(request.contains("Request-Id: stays\r\n"), "{request}");
-    assert_eq!((node.figure("reset"), node.figure("not_sent")), (1, 1));
+    assert_eq!((node.counter("reset"), node.counter("not_sent")), (1, 1));
 }
--- a/crates/node/tests/faults.rs
+++ b/crates/node/tests/faults.rs
@@ -47,14 +47,14 @@
                         return unserved;
                     }
                     let ask = TestRequest::new(&format!("pay-{number}"), AT_MOST_ONCE_CLASS, vec![b'x'; 300]);
-                    checker.asked(&ask);
+                    checker.record_request(&ask);
                     let paid = TcpStream::connect(&address).and_then(|mut connection| {
                         thread::sleep(pause);
                         ask.send_on(&mut connection)
                     });
                     match paid {
                         Ok(reply) => {
-                            checker.answered(&ask.id, reply.status);
+                            checker.record_response(&ask.id, reply.status);
                             if reply.status != 200 {
                                 unserved.push(format!("{} {}", ask.id, reply.status));
                             }
@@ -69,22 +69,23 @@
         (checker, unserved)
     }
 
-    /// Ends the node; every fault of the plan must have been injected_faults, and no rule broken.
+    /// Ends the node; every fault of the plan must have been injected, and no rule broken.
     fn end(self, checker: &Checker) {
-        self.program.end();
+        self.program.terminate();
         let injected_faults = injected_faults(&self.scratch);
         assert!(
             injected_faults.values().all(|&count| count > 0),
             "not all calls were reached: {injected_faults:?}"
         );
-        assert_eq!(checker.faults(&self.executors.runs()), [""; 0]);
+        assert_eq!(checker.violations(&self.executors.executed_requests()), [""; 0]);
     }
 }
 
 /// Interrupted reads and writes are begun again: the connection and the request on it are as before.
 #[test]
 fn interrupted_reads_and_writes_cost_no_request() {
-    let plan = FaultPlan::calls("read:EINTR:10;recv:EINTR:10;send:EINTR:10;write:EINTR:10;poll:EINTR:10");
+    let plan =
+        FaultPlan::failing_calls("read:EINTR:10;recv:EINTR:10;send:EINTR:10;write:EINTR:10;poll:EINTR:10");
     let node = Node::healthy("interrupted", &plan);
     let (checker, unserved) = node.pay(400, Duration::ZERO);
     assert_eq!(unserved, [""; 0]);
@@ -94,7 +95,7 @@
 /// An accept that fails for a moment costs nobody a connection: neither the one that waits nor another.
 #[test]
 fn accepts_that_fail_for_a_moment_cost_no_request() {
-    let plan = FaultPlan::calls(
+    let plan = FaultPlan::failing_calls(
         "accept:ECONNABORTED:40;accept:ENFILE:40;accept:ENOBUFS:40;accept:EINTR:40;accept:EPROTO:40",
     );
     let node = Node::healthy("accepts", &plan);
@@ -106,7 +107,7 @@
 /// A wait for events that is interrupted is begun again.
 #[test]
 fn interrupted_waits_for_events_cost_no_request() {
-    let node = Node::healthy("waits", &FaultPlan::calls("epoll_wait:EINTR:5"));
+    let node = Node::healthy("waits", &FaultPlan::failing_calls("epoll_wait:EINTR:5"));
     let (checker, unserved) = node.pay(400, Duration::ZERO);
     assert_eq!(unserved, [""; 0]);
     node.end(&checker);
@@ -115,7 +116,7 @@
 /// What four executors were sent, of which the last has just started, by a node whose wall clock is off.
 fn sent_to_the_cold_one(off_ms: i64) -> usize {
     let executors = FakeWorkers::new(4);
-    executors.usual(WorkerBehavior::Takes(10));
+    executors.set_default_behavior(WorkerBehavior::DoneAfterMillis(10));
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time").as_millis();
     let config = workers_config(&executors.addresses);
     let young = format!("{}\",\"health\"", executors.addresses[3]);
@@ -124,10 +125,10 @@
     let slow_start =
         r#""invariants":{"cold":20000000,"startCapacity":0.15,"fall":1000000,"overloadFactor":3.0}"#;
     let config = config.replace(r#""invariants":{}"#, slow_start);
-    let node = Node::start("clock", &FaultPlan::clock_off(off_ms), executors, &config);
+    let node = Node::start("clock", &FaultPlan::with_clock_offset(off_ms), executors, &config);
     let (checker, unserved) = node.pay(160, Duration::ZERO);
     assert_eq!(unserved, [""; 0]);
-    let cold = node.executors.runs().iter().filter(|run| run.at == 3).count();
+    let cold = node.executors.executed_requests().iter().filter(|run| run.worker == 3).count();
     node.end(&checker);
     cold
 }
@@ -146,18 +147,18 @@
 /// Signals come in series while transfers are short, those of the node to itself too: none is lost, and it ends.
 #[test]
 fn short_transfers_lose_no_signal() {
-    let plan = FaultPlan::calls("send:SHORT:2;recv:SHORT:2");
+    let plan = FaultPlan::failing_calls("send:SHORT:2;recv:SHORT:2");
     let node = Node::healthy("signals", &plan);
     let (checker, unserved) = node.pay(60, Duration::ZERO);
     assert_eq!(unserved, [""; 0]);
-    assert_eq!(checker.faults(&node.executors.runs()), [""; 0]);
+    assert_eq!(checker.violations(&node.executors.executed_requests()), [""; 0]);
     for _ in 0..3 {
         node.program.signal("HUP");
         node.program.signal("USR1");
         thread::sleep(Duration::from_millis(50));
     }
     let told = Instant::now();
-    let log = node.program.end();
+    let log = node.program.terminate();
     assert!(told.elapsed() < Duration::from_secs(5), "it ended {:?} after SIGTERM", told.elapsed());
     assert_eq!(log.matches("configuration reloaded").count(), 3, "{log}");
     assert_eq!(log.matches(" admitted=").count(), 4, "three times as asked, and the last line: {log}");
--- a/crates/node/tests/large_fleet.rs
+++ b/crates/node/tests/large_fleet.rs
@@ -3,7 +3,7 @@
 
 use sorrelhaven_test_support::{
     CHUNKED_RESPONSE_HEAD, CpuShare, FakeWorkers, Program, ScratchDir, TestRequest, WorkerBehavior, chunk,
-    processor_time, read_request_target,
+    cpu_time, read_request_target,
 };
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -125,8 +125,8 @@
 fn ask(number: usize, address: &str, heard: &Heard) {
     let class = ["licence-issue", "fee-charge"][number % 2];
     let mut ask = TestRequest::new(&format!("q-{number}"), class, vec![b'x'; 200]);
-    ask.patience = Duration::from_secs(5);
-    ask.hint = Some(40_000);
+    ask.timeout = Duration::from_secs(5);
+    ask.work_hint_micros = Some(40_000);
     // One request in seven is about the same object, one in ten about another.
     let mut rng = fastrand::Rng::with_seed(number as u64);
     ask.affinity = Some(match rng.u8(0..100) {
@@ -135,7 +135,7 @@
         _ => format!("{:010x}", rng.u32(0..500)),
     });
     match ask.send(address) {
-        Ok(reply) if reply.took <= ask.patience + SLACK => {
+        Ok(reply) if reply.elapsed <= ask.timeout + SLACK => {
             heard.answered.fetch_add(1, Ordering::Relaxed);
             heard.served.fetch_add(usize::from(reply.status == 200), Ordering::Relaxed);
         }
@@ -164,7 +164,7 @@
 /// Plays [`LASTS`]: within [`TROUBLE`] most executors hang and a release replaces half of the list.
 fn play(run: &ExecutedRequest) -> Seen {
     let boxes = FakeWorkers::new(SERVERS);
-    boxes.usual(WorkerBehavior::Takes(40));
+    boxes.set_default_behavior(WorkerBehavior::DoneAfterMillis(40));
     let discovery = Discovery::new();
     let scratch = ScratchDir::new("large");
     let all: Vec<_> = (0..run.executors).map(|n| entry(n, &boxes.addresses, "in_service")).collect();
@@ -174,25 +174,26 @@
     let program = Program::start(command, &file, None);
     let process = program.child.id();
     let heard = Arc::<Heard>::default();
-    let share = run.share.map(|share| CpuShare::hold(process, share));
-    let (begun, before) = (Instant::now(), processor_time(process));
+    let share = run.share.map(|share| CpuShare::limit(process, share));
+    let (begun, before) = (Instant::now(), cpu_time(process));
     let clients = {
         let (heard, address) = (heard.clone(), program.address.clone());
         thread::spawn(move || ask_all(begun, &address, &heard))
     };
     let wait = |at: Duration| thread::sleep((begun + at).saturating_duration_since(Instant::now()));
     wait(TROUBLE[0]);
-    (0..HANGING).for_each(|server| boxes.usual_at(server, Some(WorkerBehavior::SilentThenReset(5_300))));
+    (0..HANGING)
+        .for_each(|server| boxes.set_worker_behavior(server, Some(WorkerBehavior::SilentThenReset(5_300))));
     let gap = (TROUBLE[1] - TROUBLE[0]) / PIECES as u32;
     for piece in 0..PIECES {
         discovery.say(&replaced(piece, run.executors, &boxes.addresses));
         wait(TROUBLE[0] + gap * (piece as u32 + 1));
     }
-    (0..HANGING).for_each(|server| boxes.usual_at(server, None));
+    (0..HANGING).for_each(|server| boxes.set_worker_behavior(server, None));
     clients.join().expect("the clients");
-    let used = processor_time(process) - before;
+    let used = cpu_time(process) - before;
     drop(share);
-    Seen { heard, used, counters: program.end() }
+    Seen { heard, used, counters: program.terminate() }
 }
 
 /// One piece of a release that replaces half of the list: old executors begin to drain, new ones are in service.
--- a/crates/node/tests/many.rs
+++ b/crates/node/tests/many.rs
@@ -83,13 +83,13 @@
     let mut command = Command::new("sh");
     // Its log is read at the end only, so it must not hold a line for each list.
     command.args(["-c", "ulimit -n 256; exec \"$0\"", env!("CARGO_BIN_EXE_sorrelhaven")]);
-    command.env("RUST_LOG", "info,sorrelhaven_engine::host_group=warn");
+    command.env("RUST_LOG", "info,sorrelhaven_engine::discovery_watch=warn");
     command.env("RELAY_OPS", "127.0.0.1:0");
     let node = Program::start(command, &file, None);
     let asks = |from: usize, to: usize| {
         for n in from..to {
             let ask = TestRequest {
-                hint: Some(20_000),
+                work_hint_micros: Some(20_000),
                 ..TestRequest::new(&format!("q-{n}"), "fee-charge", b"body".to_vec())
             };
             let reply = ask.send(&node.address).expect("an answer");
@@ -107,10 +107,10 @@
             let change = list(seq, false, std::slice::from_ref(host));
             send_chunk(&mut watch, &if seq % 3 == 0 { indented(&change) } else { change + "\n" });
         }
-        while node.shown("node_skipped_executors") != skipped as u64 {
+        while node.metric("node_skipped_executors") != skipped as u64 {
             thread::yield_now();
         }
-        assert_eq!(node.shown("node_known_executors"), EXECUTORS as u64);
+        assert_eq!(node.metric("node_known_executors"), EXECUTORS as u64);
         asks(seq, seq + 100);
     }
     // A list with one wrong entry is named, changes nothing, and the whole one is asked for.
@@ -120,13 +120,13 @@
     let mut fetched = opened(&agent);
     send_chunk(&mut fetched, &indented(&list(seq + 2, true, &hosts("in_service"))));
     asks(0, 100);
-    assert_eq!(node.shown("node_skipped_executors"), 0);
+    assert_eq!(node.metric("node_skipped_executors"), 0);
     let open = std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).expect("it lives").count();
     assert!(open < 256, "{open} descriptors");
     let most = status(&node, "VmHWM:");
     println!("{most} KiB at most, {open} descriptors");
     assert!(most < MEMORY_KB, "{most} KiB");
-    let log = node.end();
+    let log = node.terminate();
     let named = log.lines().filter(|l| l.contains("hosts[700].health") && l.contains("asleep")).count();
     assert_eq!(named, 1, "{log}");
 }
@@ -164,23 +164,23 @@
             let reply = ask.send(&address).expect("an answer");
             assert!([200, 503].contains(&reply.status), "{n}: {}", reply.status);
             // What is refused never ran.
-            assert_eq!(boxes.runs_of(&ask.id).len(), usize::from(reply.status == 200), "{n}");
-            assert!(reply.took.as_millis() < 1_000, "{n}: {:?}", reply.took);
+            assert_eq!(boxes.executions_of(&ask.id).len(), usize::from(reply.status == 200), "{n}");
+            assert!(reply.elapsed.as_millis() < 1_000, "{n}: {:?}", reply.elapsed);
             reply.status == 200
         });
         statuses.filter(|served| *served).count()
     };
     let (learning, learned) = (served(0, 30), served(30, 60));
-    let failed = node.figure("connect_failed");
+    let failed = node.counter("connect_failed");
     println!("{learning} of the first 30 served, {learned} of the next, {failed} links refused");
     assert!(learning >= 15 && learned == 30, "{learning} of the first 30 served, {learned} of the next");
     assert!((1..=64).contains(&failed), "{failed} links refused");
     send_chunk(&mut watch, &(list(2, true, &hosts[16..]) + "\n"));
-    node.line("workers=4");
+    node.wait_for_log_line("workers=4");
     assert_eq!(
-        (served(60, 90), node.figure("connect_failed")),
+        (served(60, 90), node.counter("connect_failed")),
         (30, failed),
         "nothing goes to those that are gone"
     );
-    node.end();
+    node.terminate();
 }
--- a/crates/node/tests/members.rs
+++ b/crates/node/tests/members.rs
@@ -1,6 +1,6 @@
 //! Five processes of the program that know each other, and what lies between them.
 
-use sorrelhaven_test_support::{FaultProxy, Faults, Program, ScratchDir};
+use sorrelhaven_test_support::{DatagramFaults, FaultProxy, Program, ScratchDir};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -51,14 +51,14 @@
         let platform = self.scratch.write(&format!("node{n}.json"), &platform);
         let mut command = Command::new(env!("CARGO_BIN_EXE_sorrelhaven"));
         command.env("RELAY_OPS", "127.0.0.1:0");
-        command.env("RUST_LOG", "info,sorrelhaven_engine::host_group=error");
+        command.env("RUST_LOG", "info,sorrelhaven_engine::discovery_watch=error");
         let node = Program::start(command, &platform, Some(&operator));
         // What it has sent until here came from nobody that the stand-in knows, and is lost.
         let line =
-            node.early().iter().find(|l| l.contains(" membership ")).expect("it says where it listens");
+            node.startup_log().iter().find(|l| l.contains(" membership ")).expect("it says where it listens");
         let field = |f: &str| f.strip_prefix("listen=").and_then(|at| at.parse().ok());
         let listen: SocketAddr = line.split_whitespace().find_map(field).expect("an address");
-        self.between.listens(n, listen);
+        self.between.register_listener(n, listen);
         self.listens.borrow_mut().insert(n, listen);
         node
     }
@@ -69,13 +69,13 @@
 
     /// What one holds of each: its latest life under each name.
     fn holds(&self, n: usize) -> Vec<String> {
-        let table = self.node(n).call("members");
+        let table = self.node(n).admin_call("members");
         (0..COUNT).map(|of| last(&table, of).map_or(String::new(), |row| row[3].clone())).collect()
     }
 
     /// The life that one holds another to be in.
     fn life(&self, n: usize, of: usize) -> u64 {
-        last(&self.node(n).call("members"), of).and_then(|row| row[1].parse().ok()).expect("a life")
+        last(&self.node(n).admin_call("members"), of).and_then(|row| row[1].parse().ok()).expect("a life")
     }
 
     fn until(&self, what: &str, holds: impl Fn(&Group) -> bool) -> Duration {
@@ -92,7 +92,7 @@
     }
 
     fn declared_dead(&self, n: usize) -> u64 {
-        self.node(n).shown("node_member_declared_dead")
+        self.node(n).metric("node_member_declared_dead")
     }
 }
 
@@ -122,7 +122,7 @@
 #[test]
 fn a_short_pause_kills_no_one() {
     let group = Group::new("nap", 7);
-    let probes = |g: &Group| g.node(0).shown("node_member_probes");
+    let probes = |g: &Group| g.node(0).metric("node_member_probes");
     for _ in 0..3 {
         let from = probes(&group);
         group.node(2).signal("STOP");
@@ -143,24 +143,30 @@
     group.node(2).signal("CONT");
     group.until("all know all", |g| (0..COUNT).all(|n| g.holds(n) == ["alive"; COUNT]));
     assert!([0, 1, 3, 4].iter().all(|&n| group.declared_dead(n) == 0));
-    assert!(group.node(2).shown("node_member_pauses") > 0);
+    assert!(group.node(2).metric("node_member_pauses") > 0);
 }
 
 /// Two against three, and then one again; with a fifth of all datagrams lost meanwhile, late and twice.
 #[test]
 fn two_that_were_parted_from_three_become_one_again() {
     let group = Group::new("parted", 3);
-    group.between.part(&[0, 1]);
+    group.between.partition(&[0, 1]);
     group.until("each side holds the other for dead", |g| {
         g.all_hold(&[0, 1], 3, "dead") && g.all_hold(&[2, 3, 4], 0, "dead")
     });
     assert!(group.all_hold(&[0], 1, "alive") && group.all_hold(&[2, 3], 4, "alive"));
     let ms = Duration::from_millis;
-    group.between.set_all(Faults { loss: 0.05, twice: 0.1, delay: ms(2), jitter: ms(20), cut: false });
+    group.between.set_all_faults(DatagramFaults {
+        loss: 0.05,
+        twice: 0.1,
+        delay: ms(2),
+        jitter: ms(20),
+        cut: false,
+    });
     let healed = group.until("all know all", |g| (0..COUNT).all(|n| g.holds(n) == ["alive"; COUNT]));
     println!("one again after {healed:?}");
     group.until("what comes twice is dropped", |g| {
-        (0..COUNT).map(|n| g.node(n).shown("node_member_dropped")).sum::<u64>() > 0
+        (0..COUNT).map(|n| g.node(n).metric("node_member_dropped")).sum::<u64>() > 0
     });
 }
 
@@ -168,7 +174,7 @@
 #[test]
 fn one_that_is_told_to_end_says_goodbye() {
     let mut group = Group::new("leaves", 4);
-    group.nodes[3].take().expect("it runs").end();
+    group.nodes[3].take().expect("it runs").terminate();
     group.until("n3 has left", |g| g.all_hold(&[0, 1, 2, 4], 3, "left"));
 }
 
@@ -177,13 +183,13 @@
 #[test]
 fn losses_and_a_cut_in_one_direction_kill_no_one() {
     let group = Group::new("losses", 5);
-    let lossy = |loss| Faults { loss, ..Faults::default() };
-    let cut = Faults { cut: true, ..Faults::default() };
-    let still = |g: &Group| (0..COUNT).map(|n| g.node(n).shown("node_member_probes")).sum::<u64>();
+    let lossy = |loss| DatagramFaults { loss, ..DatagramFaults::default() };
+    let cut = DatagramFaults { cut: true, ..DatagramFaults::default() };
+    let still = |g: &Group| (0..COUNT).map(|n| g.node(n).metric("node_member_probes")).sum::<u64>();
     for stage in 0..3 {
-        group.between.set_all(Faults::default());
+        group.between.set_all_faults(DatagramFaults::default());
         match stage {
-            0 => group.between.set_all(lossy(0.2)),
+            0 => group.between.set_all_faults(lossy(0.2)),
             1 => (0..COUNT).for_each(|to| group.between.set(2, to, lossy(0.4))),
             _ => group.between.set(0, 1, cut),
         }
@@ -192,7 +198,7 @@
         group.until("probes go on", |g| still(g) > from + 12 * COUNT as u64);
         assert_eq!((0..COUNT).map(|n| group.declared_dead(n)).sum::<u64>(), 0, "stage {stage}");
     }
-    group.between.set_all(Faults::default());
+    group.between.set_all_faults(DatagramFaults::default());
     group.until("all know all", |g| (0..COUNT).all(|n| g.holds(n) == ["alive"; COUNT]));
 }
 
@@ -201,12 +207,13 @@
 fn forged_cut_and_oversized_datagrams_are_counted_and_dropped() {
     let group = Group::new("forged", 6);
     let stranger = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let before = group.node(0).shown("node_member_dropped");
+    let before = group.node(0).metric("node_member_dropped");
     let to = *group.listens.borrow().get(&0).expect("it listens");
     let sizes = [0, 1, 32, 33, 34, 100, 1_392, 1_393, 9_000];
     for size in sizes {
         stranger.send_to(&vec![1; size], to).expect("sent");
     }
-    group.until("all are dropped", |g| g.node(0).shown("node_member_dropped") >= before + sizes.len() as u64);
+    group
+        .until("all are dropped", |g| g.node(0).metric("node_member_dropped") >= before + sizes.len() as u64);
     group.until("all know all", |g| (0..COUNT).all(|n| g.holds(n) == ["alive"; COUNT]));
 }
--- a/crates/node/tests/operations.rs
+++ b/crates/node/tests/operations.rs
@@ -46,9 +46,9 @@
 #[test]
 fn a_drain_empties_every_kind_of_link_and_resume_takes_clients_again() {
     let boxes = FakeWorkers::new(1);
-    boxes.script(&[WorkerBehavior::Done, WorkerBehavior::Takes(4_500)]);
+    boxes.script(&[WorkerBehavior::Done, WorkerBehavior::DoneAfterMillis(4_500)]);
     let (node, _scratch) = start(&boxes, "drain");
-    assert_eq!(node.call("ready"), "SUCCESS serving\n");
+    assert_eq!(node.admin_call("ready"), "SUCCESS serving\n");
     assert!(health(&node).starts_with("HTTP/1.1 200 "));
     let mut idle = connect(&node);
     assert_eq!(ask("idle").send_on(&mut idle).expect("an answer").status, 200);
@@ -56,7 +56,7 @@
     let mut silent = connect(&node);
     let address = node.address.clone();
     let long = thread::spawn(move || ask("long").send(&address).expect("an answer"));
-    while node.shown("node_in_progress") == 0 {
+    while node.metric("node_in_progress") == 0 {
         thread::yield_now();
     }
     let mut pieces = connect(&node);
@@ -64,9 +64,9 @@
     pieces.write_all(&text.as_bytes()[..40]).expect("it is written");
 
     let begun = Instant::now();
-    assert_eq!(node.call("drain"), "SUCCESS drained\n");
-    assert_eq!(node.call("ready"), "FAILURE drained\n");
-    assert_eq!(node.call("drain"), "SUCCESS drained already\n");
+    assert_eq!(node.admin_call("drain"), "SUCCESS drained\n");
+    assert_eq!(node.admin_call("ready"), "FAILURE drained\n");
+    assert_eq!(node.admin_call("drain"), "SUCCESS drained already\n");
     assert!(health(&node).starts_with("HTTP/1.1 503 "), "the front hears it at once");
     // A client that comes before the front has heard is served, and sent away.
     let mut late = connect(&node);
@@ -83,18 +83,18 @@
     assert_eq!(rest(&mut silent), "");
     let ended = begun.elapsed();
     assert!(ended >= Duration::from_secs(1) && ended < Duration::from_secs(2), "{ended:?}");
-    assert_eq!(node.shown("node_in_progress"), 1, "the long job goes on");
+    assert_eq!(node.metric("node_in_progress"), 1, "the long job goes on");
 
-    assert_eq!(node.call("resume"), "SUCCESS serving\n");
+    assert_eq!(node.admin_call("resume"), "SUCCESS serving\n");
     assert!(health(&node).starts_with("HTTP/1.1 200 "));
     let mut again = connect(&node);
     for id in ["again-1", "again-2"] {
         assert_eq!(ask(id).send_on(&mut again).expect("a link that stays").status, 200);
     }
     assert_eq!(long.join().expect("a client").status, 200);
-    assert_eq!(node.shown("node_passed"), 7);
-    assert_eq!(node.shown("node_upstream_tries"), 7);
-    node.end();
+    assert_eq!(node.metric("node_passed"), 7);
+    assert_eq!(node.metric("node_upstream_tries"), 7);
+    node.terminate();
 }
 
 /// A request that is begun and does not come on is not waited for until its job would count as late.
@@ -105,7 +105,7 @@
     let mut served = connect(&node);
     assert_eq!(ask("first").send_on(&mut served).expect("an answer").status, 200);
     let begun = Instant::now();
-    node.call("drain");
+    node.admin_call("drain");
     // Begun late enough that its own time would end after the drain's.
     thread::sleep(Duration::from_millis(900));
     let (head, body) = (ask("head").head(), ask("body").head());
@@ -116,30 +116,30 @@
         assert!(rest(link).starts_with("HTTP/1.1 408 "));
     }
     assert!(begun.elapsed() < Duration::from_millis(2_600), "{:?}", begun.elapsed());
-    assert!(boxes.runs_of("head").is_empty() && boxes.runs_of("body").is_empty());
-    node.end();
+    assert!(boxes.executions_of("head").is_empty() && boxes.executions_of("body").is_empty());
+    node.terminate();
 }
 
 /// Signals in the midst of a drain: a reload does not end it, SIGTERM ends the node and all that was taken is answered.
 #[test]
 fn a_drain_lives_through_a_reload_and_a_term_signal_ends_it() {
     let boxes = FakeWorkers::new(1);
-    boxes.script(&[WorkerBehavior::Takes(1_500)]);
+    boxes.script(&[WorkerBehavior::DoneAfterMillis(1_500)]);
     let (mut node, _scratch) = start(&boxes, "drain-term");
     let address = node.address.clone();
     let long = thread::spawn(move || ask("long").send(&address).expect("an answer"));
-    while node.shown("node_in_progress") == 0 {
+    while node.metric("node_in_progress") == 0 {
         thread::yield_now();
     }
-    node.call("drain");
+    node.admin_call("drain");
     node.signal("HUP");
-    node.line("configuration reloaded");
-    assert_eq!(node.call("ready"), "FAILURE drained\n");
+    node.wait_for_log_line("configuration reloaded");
+    assert_eq!(node.admin_call("ready"), "FAILURE drained\n");
     node.signal("TERM");
-    node.line("shutdown requested");
-    assert_eq!(node.call("resume"), "FAILURE stopping\n");
-    assert_eq!(node.call("drain"), "SUCCESS stopping, it empties for good\n");
-    assert_eq!(node.call("ready"), "FAILURE stopping\n");
+    node.wait_for_log_line("shutdown requested");
+    assert_eq!(node.admin_call("resume"), "FAILURE stopping\n");
+    assert_eq!(node.admin_call("drain"), "SUCCESS stopping, it empties for good\n");
+    assert_eq!(node.admin_call("ready"), "FAILURE stopping\n");
     assert_eq!(long.join().expect("a client").status, 200);
     assert!(node.child.wait().expect("it ends").success());
 }
@@ -158,7 +158,7 @@
 #[test]
 fn a_crowd_of_silent_callers_does_not_keep_an_operator_waiting() {
     let boxes = FakeWorkers::new(2);
-    boxes.usual(WorkerBehavior::Takes(2));
+    boxes.set_default_behavior(WorkerBehavior::DoneAfterMillis(2));
     let (node, _scratch) = start(&boxes, "crowd");
     let (stop, sent) = (AtomicBool::new(false), AtomicU64::new(0));
     thread::scope(|scope| {
@@ -182,13 +182,13 @@
         }
         let crowd: Vec<TcpStream> = (0..64)
             .map(|i| {
-                let mut caller = TcpStream::connect(&node.ops).expect("it listens");
+                let mut caller = TcpStream::connect(&node.admin_address).expect("it listens");
                 caller.write_all(&b"show-stat"[..i % 9]).expect("it is written");
                 caller
             })
             .collect();
         let begun = Instant::now();
-        let metrics = node.call("show-stat");
+        let metrics = node.admin_call("show-stat");
         let took = begun.elapsed();
         assert!(
             metrics.contains("node_passed{category=\"fee-charge\"}") && metrics.ends_with("\nEOT\n"),
@@ -198,7 +198,7 @@
         drop((crowd, ends));
     });
     assert!(sent.load(Ordering::Relaxed) >= 100);
-    node.end();
+    node.terminate();
 }
 
 /// Lines in pieces, no call, no line, no end, no text, and a caller that never reads: each has its answer or its end.
@@ -206,18 +206,18 @@
 fn every_odd_caller_has_its_answer_or_its_end() {
     let boxes = FakeWorkers::new(1);
     let (node, _scratch) = start(&boxes, "odd-callers");
-    let call = || TcpStream::connect(&node.ops).expect("it listens");
+    let call = || TcpStream::connect(&node.admin_address).expect("it listens");
     let mut pieces = call();
     pieces.set_nodelay(true).expect("a socket");
     for piece in ["sh", "ow-st", "at", "\r\n"] {
         pieces.write_all(piece.as_bytes()).expect("it is written");
         // Another caller in between: each has its own line.
-        assert_eq!(node.call("ready"), "SUCCESS serving\n");
+        assert_eq!(node.admin_call("ready"), "SUCCESS serving\n");
     }
     assert!(rest(&mut pieces).ends_with("\nEOT\n"));
-    assert!(node.call("help").starts_with("FAILURE unknown call \"help\"; there are ready,"));
-    assert!(node.call("").starts_with("FAILURE unknown call \"\""));
-    assert!(node.call(&"x".repeat(100_000)).starts_with("FAILURE a call holds at most 256 bytes"));
+    assert!(node.admin_call("help").starts_with("FAILURE unknown call \"help\"; there are ready,"));
+    assert!(node.admin_call("").starts_with("FAILURE unknown call \"\""));
+    assert!(node.admin_call(&"x".repeat(100_000)).starts_with("FAILURE a call holds at most 256 bytes"));
     let mut odd = call();
     odd.write_all(b"\xff\x00\xfe\n").expect("it is written");
     assert!(rest(&mut odd).starts_with("FAILURE unknown call"));
@@ -232,7 +232,7 @@
             never
         })
         .collect();
-    assert_eq!(node.call("ready"), "SUCCESS serving\n");
+    assert_eq!(node.admin_call("ready"), "SUCCESS serving\n");
     drop(never);
     let mut gone = call();
     gone.shutdown(Shutdown::Both).expect("a socket");
@@ -240,7 +240,7 @@
     let mut silent = call();
     silent.write_all(b"rea").expect("it is written");
     assert_eq!(rest(&mut silent), "FAILURE the call did not come whole in time\n");
-    node.end();
+    node.terminate();
 }
 
 /// A descriptor that is none to listen on, an address that is none: the start ends with a line that names the key.
--- a/crates/node/tests/program.rs
+++ b/crates/node/tests/program.rs
@@ -121,12 +121,12 @@
     let started = chunk(r#"{"id":"q-1","state":"started"}"#);
     job.write_all((HEAD.to_string() + &started).as_bytes()).expect("the node reads");
     node.signal("USR1");
-    let counters = node.line("admitted=");
+    let counters = node.wait_for_log_line("admitted=");
     assert!(counters.contains("admitted=1 served=0") && counters.contains("attempts=1 ok=0"), "{counters}");
 
     let mut idle = TcpStream::connect(&node.address).expect("it listens");
     node.signal("TERM");
-    node.line("shutdown requested");
+    node.wait_for_log_line("shutdown requested");
     idle.write_all(b"GET /nowhere HTTP/1.1\r\n\r\n").expect("an idle link still serves");
     assert!(read(&mut idle, "\r\n\r\n").starts_with("HTTP/1.1 404 "));
     assert_eq!(read(&mut idle, "never"), "", "the idle link ends");
@@ -134,7 +134,7 @@
     job.write_all((done + "0\r\n\r\n").as_bytes()).expect("the node reads");
     let answer = read(&mut client, "\r\n\r\nfine");
     assert!(answer.starts_with("HTTP/1.1 200 OK\r\n") && answer.contains("Connection: close"), "{answer}");
-    let counters = node.line("admitted=");
+    let counters = node.wait_for_log_line("admitted=");
     assert!(counters.contains("admitted=1 served=1") && counters.contains("attempts=1 ok=1"), "{counters}");
     assert!(node.child.wait().expect("it ends").success());
 }
@@ -155,12 +155,12 @@
 
     node.scratch.write("node.json", &text.replace("at_most_once", "often"));
     node.signal("HUP");
-    let fault = node.line("configuration unchanged");
+    let fault = node.wait_for_log_line("configuration unchanged");
     assert!(fault.contains("settings.grades[1].effect: unknown effect"), "{fault}");
     let moved = text.replace(&old_address, &new_address).replace("\"1f\"", "\"2f\"");
     node.scratch.write("node.json", &moved);
     node.signal("HUP");
-    assert!(node.line("restart required").contains("seed"));
+    assert!(node.wait_for_log_line("restart required").contains("seed"));
     // Another agent may count its versions in another way, so it is asked for all that it has.
     let (mut moved, _) = new.accept().expect("the node asks the new agent");
     assert!(read(&mut moved, "\r\n\r\n").starts_with("GET /registry/instances HTTP/1.1\r\n"));
@@ -175,7 +175,7 @@
     read(&mut job, "body");
     node.signal("HUP");
     node.signal("TERM");
-    node.line("shutdown requested");
+    node.wait_for_log_line("shutdown requested");
     job.write_all(done.as_bytes()).expect("the node reads");
     assert!(read(&mut client, "\r\n\r\nfine").starts_with("HTTP/1.1 200 OK\r\n"));
     assert!(node.child.wait().expect("it ends").success());
@@ -222,7 +222,7 @@
     drop(client);
     assert_eq!(read(&mut job, "never"), "", "the node ends the link");
     node.signal("USR1");
-    let counters = node.line("admitted=");
+    let counters = node.wait_for_log_line("admitted=");
     assert!(counters.contains("client_gone=1") && counters.contains("cancelled=1"), "{counters}");
 }
 
@@ -318,6 +318,6 @@
     shell.args(["-c", "ulimit -n 40; exec \"$0\"", env!("CARGO_BIN_EXE_sorrelhaven")]);
     let mut node = Running::begin(shell, &config("127.0.0.1:1", "at_most_once"), "emfile");
     let _crowd = crowd(&node, 80);
-    node.line("accept failed");
+    node.wait_for_log_line("accept failed");
     assert!(ready(&node).starts_with("HTTP/1.1 200 "));
 }
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -23,7 +23,7 @@
         let verdict = run(Path::new(env!("CARGO_BIN_EXE_sorrelhaven")), &plan);
         let faults = verdict.faults.len();
         println!(
-            "seed {seed}: {} asked, {} served, {} processes, {} faults injected_faults, {faults} rules broken",
+            "seed {seed}: {} asked, {} served, {} processes, {} faults injected, {faults} rules broken",
             verdict.asked, verdict.served, verdict.processes, verdict.injected_faults
         );
         assert!(verdict.served * 4 > verdict.asked, "too little is served to prove anything");
--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -26,7 +26,7 @@
     fn new(name: &str) -> Platform {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let (boxes, scratch) = (FakeWorkers::new(3), ScratchDir::new(name));
-        boxes.usual(WorkerBehavior::Takes(3));
+        boxes.set_default_behavior(WorkerBehavior::DoneAfterMillis(3));
         let config = scratch.write("node.json", &workers_config(&boxes.addresses));
         Platform { listener, boxes, scratch, config }
     }
@@ -43,7 +43,7 @@
     /// A process that has said yes.
     fn start(&self) -> Program {
         let program = Program::start(self.command(), &self.config, None);
-        assert_eq!(program.call("ready"), "SUCCESS serving\n");
+        assert_eq!(program.admin_call("ready"), "SUCCESS serving\n");
         program
     }
 }
@@ -80,7 +80,7 @@
                     }
                     let ask =
                         TestRequest::new(&format!("pay-{client}-{n}"), AT_MOST_ONCE_CLASS, b"body".to_vec());
-                    checker.asked(&ask);
+                    checker.record_request(&ask);
                     let mut reply = ask.send_on(&mut stream);
                     if reply.is_err() {
                         stream = connect();
@@ -90,10 +90,10 @@
                         }
                     }
                     if let Ok(reply) = reply {
-                        if reply.close {
+                        if reply.connection_close {
                             stream = connect();
                         }
-                        checker.answered(&ask.id, reply.status);
+                        checker.record_response(&ask.id, reply.status);
                         answered.fetch_add(1, Ordering::Relaxed);
                     } else {
                         assert!(!again, "{} was left without an answer on two links", ask.id);
@@ -119,8 +119,8 @@
     fn end(self, boxes: &FakeWorkers) -> (usize, usize, u64) {
         self.stop.store(true, Ordering::Relaxed);
         let again = self.clients.into_iter().map(|c| c.join().expect("a client")).sum();
-        assert_eq!(self.checker.faults(&boxes.runs()), [""; 0]);
-        let (asked, served) = self.checker.counts();
+        assert_eq!(self.checker.violations(&boxes.executed_requests()), [""; 0]);
+        let (asked, served) = self.checker.totals();
         (asked, served, again)
     }
 }
@@ -135,17 +135,17 @@
     for _ in 0..3 {
         let new = platform.start();
         load.more(200);
-        let log = old.end();
+        let log = old.terminate();
         assert!(log.contains("in_progress=0"), "it ends once all that it took is answered: {log}");
         old = new;
         load.more(200);
     }
-    assert!(old.shown("node_passed") > 0);
+    assert!(old.metric("node_passed") > 0);
     let (asked, served, again) = load.end(&platform.boxes);
     assert_eq!(asked, served, "each payment was served");
     // A close crosses a request only where a link had stood idle until then, and these never do for long.
     assert!(again <= 3, "{again} of {asked} were sent again");
-    old.end();
+    old.terminate();
 }
 
 /// A new process that ends before it can serve, by its own fault or killed, takes nothing with it.
@@ -156,8 +156,11 @@
     let load = Load::begin(&platform, true);
     load.more(100);
     let mut command = platform.command();
-    let taken =
-        command.env("RELAY_OPS", &old.ops).env("RELAY_CONFIG", &platform.config).output().expect("it ends");
+    let taken = command
+        .env("RELAY_OPS", &old.admin_address)
+        .env("RELAY_CONFIG", &platform.config)
+        .output()
+        .expect("it ends");
     assert!(!taken.status.success());
     assert!(String::from_utf8_lossy(&taken.stderr).contains("sorrelhaven: ops: "));
     for _ in 0..5 {
@@ -170,7 +173,7 @@
     }
     let (asked, served, again) = load.end(&platform.boxes);
     assert_eq!((asked, again), (served, 0));
-    old.end();
+    old.terminate();
 }
 
 /// The old one killed outright: its open requests end with their links, the new one serves all that comes.
@@ -187,7 +190,7 @@
     load.more(400);
     let (asked, served, _) = load.end(&platform.boxes);
     assert!(served + 2 * CLIENTS >= asked, "{served} of {asked}");
-    new.end();
+    new.terminate();
 }
 
 /// The two are one node to the limit on descriptors, also where a crowd of silent clients would fill either.
@@ -214,7 +217,7 @@
     assert_eq!(served.status, 200);
     assert!(held(&old) > LIMIT / 2, "a node alone uses what it may: {}", held(&old));
     let new = platform.start();
-    old.line("process count changed");
+    old.wait_for_log_line("process count changed");
     for round in 0..6 {
         clients.extend(crowd(50));
         let ask = TestRequest::new(&format!("beside-{round}"), AT_MOST_ONCE_CLASS, b"body".to_vec());
@@ -223,6 +226,6 @@
         assert!(a + b <= LIMIT, "round {round}: {a} and {b} of {LIMIT}");
     }
     drop(clients);
-    old.end();
-    new.end();
+    old.terminate();
+    new.terminate();
 }
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -36,8 +36,8 @@
         let id = format!("r-{number}-{request}");
         let length = [30, 30, 30, 3_000, 65_536][rng.usize(0..5)];
         let mut ask = TestRequest::new(&id, CLASSES[rng.usize(0..CLASSES.len())], vec![b'x'; length]);
-        ask.patience = Duration::from_millis([40, 300, 1_000, 2_500][rng.usize(0..4)]);
-        ask.hint = Some(5_000);
+        ask.timeout = Duration::from_millis([40, 300, 1_000, 2_500][rng.usize(0..4)]);
+        ask.work_hint_micros = Some(5_000);
         // A fifth of the requests are about one object.
         ask.affinity = Some(if rng.u8(0..5) == 0 { "popular".to_string() } else { rng.u32(..).to_string() });
         match rng.u8(0..20) {
@@ -50,7 +50,7 @@
 
 /// Asks and waits for the answer; gives the connection back where it can be used again.
 fn asks(place: &Place, shared: &Shared, ask: &TestRequest, resting: Option<TcpStream>) -> Option<TcpStream> {
-    shared.checker.asked(ask);
+    shared.checker.record_request(ask);
     let was_resting = resting.is_some();
     let (begun, life) = (Instant::now(), place.life());
     let mut stream = match resting {
@@ -60,11 +60,11 @@
     let _ = stream.set_nodelay(true);
     match ask.send_on(&mut stream) {
         Ok(reply) => {
-            shared.checker.answered(&ask.id, reply.status);
-            if reply.took > ask.patience + LATE {
-                shared.lose(format!("{} answered {} after {:?}", ask.id, reply.status, reply.took));
+            shared.checker.record_response(&ask.id, reply.status);
+            if reply.elapsed > ask.timeout + LATE {
+                shared.lose(format!("{} answered {} after {:?}", ask.id, reply.status, reply.elapsed));
             }
-            (!reply.close).then_some(stream)
+            (!reply.connection_close).then_some(stream)
         }
         // What a killed process had read may have run: it is not sent again, for it may be one that must not run twice.
         Err(_) if place.was_killed(&life) => None,
@@ -92,8 +92,8 @@
     let life = place.life();
     match ask.send_on(&mut stream) {
         Ok(reply) => {
-            shared.checker.answered(&ask.id, reply.status);
-            (!reply.close).then_some(stream)
+            shared.checker.record_response(&ask.id, reply.status);
+            (!reply.connection_close).then_some(stream)
         }
         Err(error) => {
             if !place.may_close(&life, begun, DOOR) {
@@ -106,7 +106,7 @@
 
 /// Asks, and closes before the answer.
 fn leaves(place: &Place, shared: &Shared, ask: &TestRequest, rng: &mut Rng) {
-    shared.checker.asked(ask);
+    shared.checker.record_request(ask);
     let Ok(mut stream) = TcpStream::connect(place.life().address) else { return };
     let mut bytes = ask.head().into_bytes();
     bytes.extend_from_slice(&ask.body);
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -97,7 +97,7 @@
     pub served: usize,
     /// Processes that were started.
     pub processes: usize,
-    /// Faults that the shim injected_faults into processes that ended by themselves.
+    /// Faults that the shim injected into processes that ended by themselves.
     pub injected_faults: u64,
 }
 
@@ -143,7 +143,7 @@
         let verdict = self.verdict.clone();
         program.signal("TERM");
         self.endings.push(thread::spawn(move || {
-            let log = program.end();
+            let log = program.terminate();
             let mut verdict = verdict.lock().unwrap_or_else(PoisonError::into_inner);
             if !log.contains(" invariant_violations=0 ") {
                 verdict.faults.push(format!("node {node}: an invariant was violated: {log}"));
@@ -188,11 +188,11 @@
 /// An executor says nothing for so long to the requests that it takes, and resets their connections then.
 fn hang(executors: &FakeWorkers, executor: usize, lasts: Duration) {
     let silent = WorkerBehavior::SilentThenReset(lasts.as_millis() as u64);
-    executors.usual_at(executor, Some(silent));
+    executors.set_worker_behavior(executor, Some(silent));
     let executors = executors.clone();
     thread::spawn(move || {
         thread::sleep(lasts);
-        executors.usual_at(executor, None);
+        executors.set_worker_behavior(executor, None);
     });
 }
 
@@ -210,7 +210,7 @@
 pub fn run(program: &Path, plan: &Plan) -> Verdict {
     let size = plan.size;
     let executors = FakeWorkers::new(size.executors);
-    executors.usual(WorkerBehavior::Takes(5));
+    executors.set_default_behavior(WorkerBehavior::DoneAfterMillis(5));
     let proxies: Vec<Proxy> = executors.addresses.iter().map(|address| Proxy::new(*address)).collect();
     let discovery =
         Discovery::new(&proxies.iter().map(|proxy| proxy.address).collect::<Vec<_>>(), size.entries);
@@ -246,16 +246,16 @@
     let crashed = endings.into_iter().filter_map(|ending| ending.join().err()).count();
     let mut verdict = std::mem::take(&mut *fleet.verdict.lock().unwrap_or_else(PoisonError::into_inner));
     verdict.faults.extend((0..crashed).map(|_| "a node did not end cleanly".to_string()));
-    verdict.faults.extend(shared.checker.faults(&executors.runs()));
+    verdict.faults.extend(shared.checker.violations(&executors.executed_requests()));
     verdict.faults.append(&mut shared.lost.lock().unwrap_or_else(PoisonError::into_inner));
-    (verdict.asked, verdict.served) = shared.checker.counts();
+    (verdict.asked, verdict.served) = shared.checker.totals();
     verdict.injected_faults = injected_faults(&fleet.scratch);
     verdict
 }
 
-/// All faults that the shim injected_faults into processes that ended by themselves.
+/// All faults that the shim injected into processes that ended by themselves.
 fn injected_faults(scratch: &ScratchDir) -> u64 {
-    let names = scratch.names(".").into_iter().filter(|name| name.starts_with("faults-"));
+    let names = scratch.file_names(".").into_iter().filter(|name| name.starts_with("faults-"));
     let counts = names.map(|name| std::fs::read_to_string(scratch.at(&name)).unwrap_or_default());
     let of = |text: String| -> u64 {
         text.lines().filter_map(|l| l.rsplit(' ').next()?.parse::<u64>().ok()).sum()
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -110,17 +110,17 @@
 
 const ACTS: [WorkerBehavior; 12] = [
     WorkerBehavior::Done,
-    WorkerBehavior::Takes(40),
-    WorkerBehavior::Takes(150),
+    WorkerBehavior::DoneAfterMillis(40),
+    WorkerBehavior::DoneAfterMillis(150),
     WorkerBehavior::Failed,
-    WorkerBehavior::Returned,
-    WorkerBehavior::ReturnedEarly,
-    WorkerBehavior::Lost,
-    WorkerBehavior::Cuts,
-    WorkerBehavior::Garbage,
-    WorkerBehavior::OtherId,
-    WorkerBehavior::BreaksBefore,
-    WorkerBehavior::BreaksAfter,
+    WorkerBehavior::Rejected,
+    WorkerBehavior::RejectedBeforeBody,
+    WorkerBehavior::Killed,
+    WorkerBehavior::Truncated,
+    WorkerBehavior::Malformed,
+    WorkerBehavior::WrongRequestId,
+    WorkerBehavior::ResetDuringBody,
+    WorkerBehavior::ResetAfterBody,
 ];
 
 impl Plan {
--- a/crates/test-support/src/checker.rs
+++ b/crates/test-support/src/checker.rs
@@ -26,27 +26,27 @@
     }
 
     /// A client asks this; to be told before the first byte is sent.
-    pub fn asked(&self, ask: &TestRequest) {
+    pub fn record_request(&self, ask: &TestRequest) {
         let (once, length, sum) = (ask.class == AT_MOST_ONCE_CLASS, ask.body.len(), checksum(&ask.body));
         self.asked_so_far().insert(ask.id.clone(), Asked { once, length, sum, answers: Vec::new() });
     }
 
     /// A client has heard this status for that id.
-    pub fn answered(&self, id: &str, status: u16) {
+    pub fn record_response(&self, id: &str, status: u16) {
         if let Some(asked) = self.asked_so_far().get_mut(id) {
             asked.answers.push(status);
         }
     }
 
     /// Requests asked, and those answered with 200.
-    pub fn counts(&self) -> (usize, usize) {
+    pub fn totals(&self) -> (usize, usize) {
         let asked = self.asked_so_far();
         (asked.len(), asked.values().filter(|a| a.answers.contains(&200)).count())
     }
 
     /// Each broken rule, a line each: a run of what no one asked, or of half a body; a payment that ran twice, or ran
     /// and was refused; a request with two answers, or served and not run.
-    pub fn faults(&self, runs: &[ExecutedRequest]) -> Vec<String> {
+    pub fn violations(&self, runs: &[ExecutedRequest]) -> Vec<String> {
         let asked = self.asked_so_far();
         let mut faults = Vec::new();
         let mut count: BTreeMap<&str, usize> = BTreeMap::new();
@@ -54,8 +54,8 @@
             *count.entry(&run.id).or_default() += 1;
             match asked.get(&run.id) {
                 None => faults.push(format!("{} ran and no one asked", run.id)),
-                Some(a) if (a.length, a.sum) != (run.length, run.sum) => {
-                    faults.push(format!("{} ran with another body, {} bytes", run.id, run.length));
+                Some(a) if (a.length, a.sum) != (run.body_length, run.body_checksum) => {
+                    faults.push(format!("{} ran with another body, {} bytes", run.id, run.body_length));
                 }
                 Some(_) => {}
             }
@@ -88,15 +88,15 @@
     fn every_broken_rule_is_found() {
         let run = |id: &str, body: &[u8]| ExecutedRequest {
             id: id.into(),
-            at: 0,
-            length: body.len(),
-            sum: checksum(body),
+            worker: 0,
+            body_length: body.len(),
+            body_checksum: checksum(body),
         };
         let case = |answers: &[u16], runs: &[ExecutedRequest]| {
             let checker = Checker::default();
-            checker.asked(&TestRequest::new("q", AT_MOST_ONCE_CLASS, b"body".to_vec()));
-            answers.iter().for_each(|s| checker.answered("q", *s));
-            checker.faults(runs)
+            checker.record_request(&TestRequest::new("q", AT_MOST_ONCE_CLASS, b"body".to_vec()));
+            answers.iter().for_each(|s| checker.record_response("q", *s));
+            checker.violations(runs)
         };
         let ran = run("q", b"body");
         assert_eq!(case(&[200], std::slice::from_ref(&ran)), [""; 0]);
--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -12,9 +12,9 @@
     /// Its class.
     pub class: String,
     /// How long the client waits.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// The client's guess at the work, in microseconds.
-    pub hint: Option<u64>,
+    pub work_hint_micros: Option<u64>,
     /// What it is about, if the client says so.
     pub affinity: Option<String>,
     /// Its body.
@@ -22,29 +22,39 @@
     /// It is sent in chunks, its length untold.
     pub chunked: bool,
     /// The client asks before it sends the body.
-    pub expects: bool,
+    pub expect_continue: bool,
 }
 
 impl TestRequest {
     /// A request with its length told.
     pub fn new(id: &str, class: &str, body: Vec<u8>) -> TestRequest {
-        let (id, class, patience) = (id.to_string(), class.to_string(), Duration::from_secs(5));
-        TestRequest { id, class, patience, hint: None, affinity: None, body, chunked: false, expects: false }
+        let (id, class, timeout) = (id.to_string(), class.to_string(), Duration::from_secs(5));
+        TestRequest {
+            id,
+            class,
+            timeout,
+            work_hint_micros: None,
+            affinity: None,
+            body,
+            chunked: false,
+            expect_continue: false,
+        }
     }
 
     /// Its head.
     pub fn head(&self) -> String {
-        let TestRequest { id, class, patience, hint, affinity, body, chunked, expects } = self;
+        let TestRequest { id, class, timeout, work_hint_micros, affinity, body, chunked, expect_continue } =
+            self;
         let mut head =
             format!("POST /api HTTP/1.1\r\nHost: n\r\nRequest-Id: {id}\r\nRequest-Class: {class}\r\n");
-        head += &format!("Request-Timeout: {}m\r\nIdempotency-Key: k-{id}\r\n", patience.as_millis());
-        if let Some(hint) = hint {
+        head += &format!("Request-Timeout: {}m\r\nIdempotency-Key: k-{id}\r\n", timeout.as_millis());
+        if let Some(hint) = work_hint_micros {
             head += &format!("Work-Hint: {hint}\r\n");
         }
         if let Some(key) = affinity {
             head += &format!("Affinity-Key: {key}\r\n");
         }
-        if *expects {
+        if *expect_continue {
             head += "Expect: 100-continue\r\n";
         }
         if *chunked {
@@ -70,9 +80,9 @@
     /// Those of the connection, where no answer came.
     pub fn send_on(&self, stream: &mut TcpStream) -> io::Result<TestResponse> {
         let begun = Instant::now();
-        stream.set_read_timeout(Some(self.patience + Duration::from_secs(5)))?;
+        stream.set_read_timeout(Some(self.timeout + Duration::from_secs(5)))?;
         stream.write_all(self.head().as_bytes())?;
-        if self.expects {
+        if self.expect_continue {
             let reply = TestResponse::read(stream, begun)?;
             if reply.status != 100 {
                 return Ok(reply);
@@ -113,11 +123,11 @@
     /// When to come back, in seconds.
     pub retry_after: Option<f64>,
     /// The connection ends with it.
-    pub close: bool,
+    pub connection_close: bool,
     /// Its body.
     pub body: String,
     /// Since the request's first byte.
-    pub took: Duration,
+    pub elapsed: Duration,
 }
 
 impl TestResponse {
@@ -140,7 +150,7 @@
         stream.read_exact(&mut body)?;
         let retry_after = get("Retry-After:").and_then(|r| r.parse().ok());
         let body = String::from_utf8_lossy(&body).into_owned();
-        let close = get("Connection:") == Some("close");
-        Ok(TestResponse { status, retry_after, close, body, took: begun.elapsed() })
+        let connection_close = get("Connection:") == Some("close");
+        Ok(TestResponse { status, retry_after, connection_close, body, elapsed: begun.elapsed() })
     }
 }
--- a/crates/test-support/src/fake_workers.rs
+++ b/crates/test-support/src/fake_workers.rs
@@ -14,33 +14,33 @@
     /// Runs it and gives its result, the length and checksum of the body.
     Done,
     /// Runs it for this many milliseconds, then as `Done`.
-    Takes(u64),
+    DoneAfterMillis(u64),
     /// Runs it, says that it has started, and ends it as `Done` once [`FakeWorkers::release`] is called.
-    StalledListener,
+    PausedUntilReleased,
     /// Runs it, and says that it failed.
     Failed,
     /// Answers 503 with `Not-Started: 1`, unrun.
-    Returned,
+    Rejected,
     /// Runs it, and says that it was killed.
-    Lost,
+    Killed,
     /// Answers 503 with `Not-Started: 1` from the head alone, and ends the connection with the body unread.
-    ReturnedEarly,
+    RejectedBeforeBody,
     /// Answers 400.
-    Unusable,
+    InvalidRequest,
     /// Runs it, says that it has started, and ends its answer.
-    Cuts,
+    Truncated,
     /// Runs it, and answers with what is no job line.
-    Garbage,
+    Malformed,
     /// Runs it, and answers for another request.
-    OtherId,
+    WrongRequestId,
     /// Runs it, and answers with a line that has no end.
-    Huge,
+    ResponseTooLarge,
     /// Reads the head and no more, for as long as the other side waits.
-    ReadsNothing,
+    StopsReading,
     /// Resets the connection in the middle of the body.
-    BreaksBefore,
+    ResetDuringBody,
     /// Runs it, and resets the connection without a word.
-    BreaksAfter,
+    ResetAfterBody,
     /// Runs it, and says nothing for as long as the other side waits.
     Silent,
     /// Runs it, says nothing for this many milliseconds, and resets the connection.
@@ -53,11 +53,11 @@
     /// The request's id.
     pub id: String,
     /// The box's number.
-    pub at: usize,
+    pub worker: usize,
     /// The length of the body.
-    pub length: usize,
+    pub body_length: usize,
     /// The checksum of the body, by [`checksum`].
-    pub sum: u64,
+    pub body_checksum: u64,
 }
 
 #[derive(Default)]
@@ -126,12 +126,12 @@
     }
 
     /// What is done with the requests beyond the script, instead of [`WorkerBehavior::Done`].
-    pub fn usual(&self, act: WorkerBehavior) {
+    pub fn set_default_behavior(&self, act: WorkerBehavior) {
         self.shared().usual = Some(act);
     }
 
     /// What one box does with the requests beyond the script, from now on; `None`: what all do.
-    pub fn usual_at(&self, at: usize, act: Option<WorkerBehavior>) {
+    pub fn set_worker_behavior(&self, at: usize, act: Option<WorkerBehavior>) {
         let mut shared = self.shared();
         match act {
             Some(act) => shared.usual_at.insert(at, act),
@@ -139,7 +139,7 @@
         };
     }
 
-    /// Lets what is [`WorkerBehavior::StalledListener`] end, now and from now on.
+    /// Lets what is [`WorkerBehavior::PausedUntilReleased`] end, now and from now on.
     pub fn release(&self) {
         self.shared().released = true;
         self.release.notify_all();
@@ -152,22 +152,22 @@
     }
 
     /// What they ran so far.
-    pub fn runs(&self) -> Vec<ExecutedRequest> {
+    pub fn executed_requests(&self) -> Vec<ExecutedRequest> {
         self.shared().runs.clone()
     }
 
     /// The runs of one request.
-    pub fn runs_of(&self, id: &str) -> Vec<ExecutedRequest> {
+    pub fn executions_of(&self, id: &str) -> Vec<ExecutedRequest> {
         self.shared().runs.iter().filter(|r| r.id == id).cloned().collect()
     }
 
     /// Requests whose head has come.
-    pub fn begun(&self) -> usize {
+    pub fn received_requests(&self) -> usize {
         self.shared().begun
     }
 
     /// Requests that ended before they were whole.
-    pub fn broken(&self) -> usize {
+    pub fn incomplete_requests(&self) -> usize {
         self.shared().broken
     }
 
@@ -186,15 +186,15 @@
                 shared.script.pop_front().unwrap_or(usual)
             };
             match act {
-                WorkerBehavior::BreaksBefore => {
+                WorkerBehavior::ResetDuringBody => {
                     let _ = reader.read(&mut [0; 16]);
                     return reset_connection(stream);
                 }
-                WorkerBehavior::ReturnedEarly => {
+                WorkerBehavior::RejectedBeforeBody => {
                     let _ = (&stream).write_all(NOT_STARTED);
                     return;
                 }
-                WorkerBehavior::ReadsNothing => {
+                WorkerBehavior::StopsReading => {
                     // It ends when the other side does, which shows as soon as what it wrote was read.
                     while stream.peek(&mut [0]).is_ok_and(|n| n > 0) && !closed(&stream) {
                         thread::sleep(Duration::from_millis(10));
@@ -207,13 +207,17 @@
                 self.shared().broken += 1;
                 return;
             };
-            if !matches!(act, WorkerBehavior::Returned | WorkerBehavior::Unusable) {
-                let run =
-                    ExecutedRequest { id: head.id.clone(), at, length: body.len(), sum: checksum(&body) };
+            if !matches!(act, WorkerBehavior::Rejected | WorkerBehavior::InvalidRequest) {
+                let run = ExecutedRequest {
+                    id: head.id.clone(),
+                    worker: at,
+                    body_length: body.len(),
+                    body_checksum: checksum(&body),
+                };
                 self.shared().runs.push(run);
             }
             match act {
-                WorkerBehavior::BreaksAfter => return reset_connection(stream),
+                WorkerBehavior::ResetAfterBody => return reset_connection(stream),
                 WorkerBehavior::SilentThenReset(milliseconds) => {
                     let _ = stream.set_read_timeout(Some(Duration::from_millis(milliseconds)));
                     let _ = reader.read(&mut [0; 1]);
@@ -232,10 +236,10 @@
     }
 
     fn answer(&self, mut stream: &TcpStream, id: &str, act: WorkerBehavior, body: &[u8]) -> io::Result<()> {
-        if act == WorkerBehavior::Returned {
+        if act == WorkerBehavior::Rejected {
             return stream.write_all(NOT_STARTED);
         }
-        if act == WorkerBehavior::Unusable {
+        if act == WorkerBehavior::InvalidRequest {
             return stream.write_all(b"HTTP/1.1 400 What\r\nContent-Length: 0\r\n\r\n");
         }
         stream.write_all(CHUNKED_RESPONSE_HEAD.as_bytes())?;
@@ -245,24 +249,26 @@
         };
         say("\"state\":\"started\"")?;
         match act {
-            WorkerBehavior::Cuts => {}
-            WorkerBehavior::Garbage => stream.write_all(b"5\r\nwhat\n\r\n")?,
-            WorkerBehavior::Huge => {
+            WorkerBehavior::Truncated => {}
+            WorkerBehavior::Malformed => stream.write_all(b"5\r\nwhat\n\r\n")?,
+            WorkerBehavior::ResponseTooLarge => {
                 let line = vec![b'x'; 300_000];
                 stream.write_all(format!("{:x}\r\n", line.len()).as_bytes())?;
                 stream.write_all(&line)?;
                 stream.write_all(b"\r\n")?;
             }
-            WorkerBehavior::OtherId => {
+            WorkerBehavior::WrongRequestId => {
                 let line = "{\"id\":\"another\",\"from\":\"s\",\"state\":\"done\",\"result\":\"1\"}\n";
                 stream.write_all(chunk(line).as_bytes())?;
             }
             WorkerBehavior::Failed => say("\"state\":\"failed\"")?,
-            WorkerBehavior::Lost => say("\"state\":\"lost\"")?,
+            WorkerBehavior::Killed => say("\"state\":\"lost\"")?,
             act => {
                 match act {
-                    WorkerBehavior::Takes(milliseconds) => thread::sleep(Duration::from_millis(milliseconds)),
-                    WorkerBehavior::StalledListener => self.held(),
+                    WorkerBehavior::DoneAfterMillis(milliseconds) => {
+                        thread::sleep(Duration::from_millis(milliseconds))
+                    }
+                    WorkerBehavior::PausedUntilReleased => self.held(),
                     _ => {}
                 }
                 say(&format!("\"state\":\"done\",\"result\":\"{} {:x}\"", body.len(), checksum(body)))?;
--- a/crates/test-support/src/fault_proxy.rs
+++ b/crates/test-support/src/fault_proxy.rs
@@ -18,7 +18,7 @@
 
 /// What happens to the datagrams of one direction. The default passes all at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Faults {
+pub struct DatagramFaults {
     /// None gets through.
     pub cut: bool,
     /// The share that is lost, 0 to 1.
@@ -45,7 +45,7 @@
 }
 
 struct Direction {
-    faults: Faults,
+    faults: DatagramFaults,
     carried: ProxyTraffic,
     rng: fastrand::Rng,
 }
@@ -113,8 +113,11 @@
         let many = if one_address { count } else { count * count };
         let sockets = (0..many).map(bind).collect::<io::Result<Vec<_>>>()?;
         let mut rng = fastrand::Rng::with_seed(seed);
-        let direction =
-            |_| Direction { faults: Faults::default(), carried: ProxyTraffic::default(), rng: rng.fork() };
+        let direction = |_| Direction {
+            faults: DatagramFaults::default(),
+            carried: ProxyTraffic::default(),
+            rng: rng.fork(),
+        };
         let state = State {
             at: vec![None; count],
             directions: (0..count * count).map(direction).collect(),
@@ -148,22 +151,22 @@
     }
 
     /// Process `number` listens there, now or again after a restart; what comes for it before is lost.
-    pub fn listens(&self, number: usize, at: SocketAddr) {
+    pub fn register_listener(&self, number: usize, at: SocketAddr) {
         self.shared.state().at[number] = Some(at);
     }
 
     /// From now on the datagrams of one direction fare so. What is under way still arrives, unless it is cut.
-    pub fn set(&self, from: usize, to: usize, faults: Faults) {
+    pub fn set(&self, from: usize, to: usize, faults: DatagramFaults) {
         self.shared.state().directions[from * self.shared.count + to].faults = faults;
     }
 
     /// The same for all directions.
-    pub fn set_all(&self, faults: Faults) {
+    pub fn set_all_faults(&self, faults: DatagramFaults) {
         self.shared.state().directions.iter_mut().for_each(|d| d.faults = faults);
     }
 
     /// Cuts all directions between the processes of a side and the others, and opens all within each.
-    pub fn part(&self, side: &[usize]) {
+    pub fn partition(&self, side: &[usize]) {
         let count = self.shared.count;
         for (n, direction) in self.shared.state().directions.iter_mut().enumerate() {
             direction.faults.cut = side.contains(&(n / count)) != side.contains(&(n % count));
@@ -171,7 +174,7 @@
     }
 
     /// What a direction has carried.
-    pub fn carried(&self, from: usize, to: usize) -> ProxyTraffic {
+    pub fn traffic(&self, from: usize, to: usize) -> ProxyTraffic {
         self.shared.state().directions[from * self.shared.count + to].carried
     }
 }
@@ -192,7 +195,7 @@
     /// that one fault switched on does not change what another does later.
     fn fate(&mut self) -> Vec<Duration> {
         let (lost, twice) = (self.rng.f64() < self.faults.loss, self.rng.f64() < self.faults.twice);
-        let Faults { cut, delay, jitter, .. } = self.faults;
+        let DatagramFaults { cut, delay, jitter, .. } = self.faults;
         let takes = [self.rng.f64(), self.rng.f64()].map(|draw| delay + jitter.mul_f64(draw));
         let copies = if cut || lost { 0 } else { 1 + usize::from(twice) };
         takes.into_iter().take(copies).collect()
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -22,9 +22,9 @@
 pub use fake_workers::{
     ExecutedRequest, FakeWorkers, WorkerBehavior, checksum, reset_connection, sample_bytes,
 };
-pub use fault_proxy::{FaultProxy, Faults, ProxyTraffic};
+pub use fault_proxy::{DatagramFaults, FaultProxy, ProxyTraffic};
 pub use preload::{FaultPlan, injected_faults};
 pub use program::{Program, ScratchDir};
 pub use settings::{single_worker_config, workers_config};
-pub use share::{CpuShare, processor_time};
+pub use share::{CpuShare, cpu_time};
 pub use unreachable::{RefusingPort, StalledListener};
--- a/crates/test-support/src/preload.rs
+++ b/crates/test-support/src/preload.rs
@@ -26,12 +26,12 @@
 
 impl FaultPlan {
     /// A plan of failing calls.
-    pub fn calls(calls: &str) -> FaultPlan {
+    pub fn failing_calls(calls: &str) -> FaultPlan {
         FaultPlan { calls: calls.to_string(), seed: 1, ..FaultPlan::default() }
     }
 
     /// A wall clock that is off by so many milliseconds from the start.
-    pub fn clock_off(step_ms: i64) -> FaultPlan {
+    pub fn with_clock_offset(step_ms: i64) -> FaultPlan {
         FaultPlan { clock: format!("0:{step_ms}"), ..FaultPlan::default() }
     }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// How often each fault was injected_faults into a program that has ended, by call and error.
+/// How often each fault was injected into a program that has ended, by call and error.
 pub fn injected_faults(scratch: &ScratchDir) -> BTreeMap<String, u64> {
     let text = std::fs::read_to_string(scratch.at("faults")).expect("the program has ended");
     let line = |line: &str| {
--- a/crates/test-support/src/program.rs
+++ b/crates/test-support/src/program.rs
@@ -30,7 +30,7 @@
     }
 
     /// The names in a directory of it, sorted.
-    pub fn names(&self, directory: &str) -> Vec<String> {
+    pub fn file_names(&self, directory: &str) -> Vec<String> {
         let entries = std::fs::read_dir(self.at(directory)).expect("a directory");
         let mut names: Vec<String> =
             entries.map(|e| e.expect("an entry").file_name().to_string_lossy().into_owned()).collect();
@@ -63,11 +63,11 @@
     /// The process.
     pub child: Child,
     log: BufReader<ChildStderr>,
-    early: Vec<String>,
+    startup_log: Vec<String>,
     /// Where it listens.
     pub address: String,
     /// Where its operators call; `none` where it has no such address.
-    pub ops: String,
+    pub admin_address: String,
 }
 
 impl Program {
@@ -84,24 +84,29 @@
         }
         let mut child = command.stderr(Stdio::piped()).spawn().expect("the program starts");
         let log = BufReader::new(child.stderr.take().expect("its log"));
-        let mut program =
-            Program { child, log, early: Vec::new(), address: String::new(), ops: String::new() };
+        let mut program = Program {
+            child,
+            log,
+            startup_log: Vec::new(),
+            address: String::new(),
+            admin_address: String::new(),
+        };
         let line = loop {
-            let line = program.line("");
+            let line = program.wait_for_log_line("");
             if line.contains(" ready ") {
                 break line;
             }
-            program.early.push(line);
+            program.startup_log.push(line);
         };
         let field =
             |name: &str| line.split_whitespace().find_map(|f| f.strip_prefix(name)).unwrap_or_default();
-        program.ops = field("ops=").to_string();
+        program.admin_address = field("ops=").to_string();
         program.address = line.rsplit("listen=").next().expect("its address").trim().to_string();
         program
     }
 
     /// The next line of the log that holds `word`.
-    pub fn line(&mut self, word: &str) -> String {
+    pub fn wait_for_log_line(&mut self, word: &str) -> String {
         let mut line = String::new();
         while self.log.read_line(&mut line).expect("its log") > 0 {
             if line.contains(word) {
@@ -113,19 +118,19 @@
     }
 
     /// What its log said before it was ready.
-    pub fn early(&self) -> &[String] {
-        &self.early
+    pub fn startup_log(&self) -> &[String] {
+        &self.startup_log
     }
 
     /// The leftovers that it swept at its start.
-    pub fn swept(&self) -> u64 {
-        let swept = self.early.iter().find_map(|line| line.split("swept=").nth(1));
+    pub fn leftovers_removed(&self) -> u64 {
+        let swept = self.startup_log.iter().find_map(|line| line.split("swept=").nth(1));
         swept.and_then(|swept| swept.trim().parse().ok()).unwrap_or(0)
     }
 
     /// What its operators are answered who call so.
-    pub fn call(&self, call: &str) -> String {
-        let mut stream = std::net::TcpStream::connect(&self.ops).expect("its operators' address");
+    pub fn admin_call(&self, call: &str) -> String {
+        let mut stream = std::net::TcpStream::connect(&self.admin_address).expect("its operators' address");
         stream.write_all(format!("{call}\n").as_bytes()).expect("it reads");
         // Far beyond what it owes: a node that never answers must not hold up the tests for ever.
         stream.set_read_timeout(Some(std::time::Duration::from_secs(20))).expect("a socket");
@@ -135,8 +140,8 @@
     }
 
     /// One of the metrics that it shows its operators, over all classes.
-    pub fn shown(&self, name: &str) -> u64 {
-        let text = self.call("show-stat");
+    pub fn metric(&self, name: &str) -> u64 {
+        let text = self.admin_call("show-stat");
         let of = |line: &str| {
             let (key, figure) = line.rsplit_once(' ')?;
             (key.split('{').next() == Some(name)).then(|| figure.parse::<u64>().expect("a figure"))
@@ -151,15 +156,15 @@
     }
 
     /// A figure of its counters now.
-    pub fn figure(&mut self, name: &str) -> u64 {
+    pub fn counter(&mut self, name: &str) -> u64 {
         self.signal("USR1");
-        let line = self.line("admitted=");
+        let line = self.wait_for_log_line("admitted=");
         let found = line.split_whitespace().find_map(|f| f.strip_prefix(&format!("{name}=")));
         found.and_then(|f| f.parse().ok()).unwrap_or_else(|| panic!("no {name} in {line}"))
     }
 
     /// Asks it to end, and gives what is left of its log; panics where it does not end cleanly.
-    pub fn end(mut self) -> String {
+    pub fn terminate(mut self) -> String {
         self.signal("TERM");
         // One that never ends must not hold up the tests for ever: its log ends with it.
         let (id, (ended, watch)) = (self.child.id().to_string(), std::sync::mpsc::channel::<()>());
--- a/crates/test-support/src/share.rs
+++ b/crates/test-support/src/share.rs
@@ -20,7 +20,7 @@
 
 impl CpuShare {
     /// Holds the process of this number to `share` of a core, from 0 to 1.
-    pub fn hold(process: u32, share: f64) -> CpuShare {
+    pub fn limit(process: u32, share: f64) -> CpuShare {
         let done = Arc::new(AtomicBool::new(false));
         let seen = done.clone();
         let keeper = thread::spawn(move || keep(process, share, &seen));
@@ -39,10 +39,10 @@
 
 fn keep(process: u32, share: f64, done: &AtomicBool) {
     let Some(pid) = i32::try_from(process).ok().and_then(Pid::from_raw) else { return };
-    let (mut began, mut used) = (Instant::now(), processor_time(process));
+    let (mut began, mut used) = (Instant::now(), cpu_time(process));
     while !done.load(Ordering::Relaxed) {
         let allowed = began.elapsed().mul_f64(share);
-        let spent = processor_time(process).saturating_sub(used);
+        let spent = cpu_time(process).saturating_sub(used);
         if spent > allowed {
             let pause = (spent - allowed).div_f64(share);
             let _ = kill_process(pid, Signal::STOP);
@@ -51,7 +51,7 @@
         }
         // What was not used is not saved up.
         if began.elapsed() > PERIOD {
-            (began, used) = (Instant::now(), processor_time(process));
+            (began, used) = (Instant::now(), cpu_time(process));
         }
         thread::sleep(LOOK);
     }
@@ -59,7 +59,7 @@
 }
 
 /// The processor time that all threads of a process have used.
-pub fn processor_time(process: u32) -> Duration {
+pub fn cpu_time(process: u32) -> Duration {
     let threads = std::fs::read_dir(format!("/proc/{process}/task")).into_iter().flatten().flatten();
     let time = |thread: std::fs::DirEntry| {
         let text = std::fs::read_to_string(thread.path().join("schedstat")).ok()?;
--- a/crates/test-support/tests/fault_proxy.rs
+++ b/crates/test-support/tests/fault_proxy.rs
@@ -1,6 +1,6 @@
 //! The stand-in between processes does to datagrams what it was told, and the same with the same seed.
 
-use sorrelhaven_test_support::{FaultProxy, Faults};
+use sorrelhaven_test_support::{DatagramFaults, FaultProxy};
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
     let ends = [0, 1].map(|n| {
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
         socket.set_read_timeout(Some(Duration::from_millis(300))).expect("a bound");
-        between.listens(n, socket.local_addr().expect("an address"));
+        between.register_listener(n, socket.local_addr().expect("an address"));
         socket
     });
     (between, ends)
@@ -38,19 +38,19 @@
     let all: Vec<u8> = (0..50).collect();
     assert_eq!(send(&between, &ends, 0, 50), all);
     assert_eq!(send(&between, &ends, 1, 50), all);
-    let carried = between.carried(0, 1);
+    let carried = between.traffic(0, 1);
     assert_eq!((carried.came, carried.went, carried.bytes), (50, 50, 50));
 }
 
 #[test]
 fn a_cut_in_one_direction_leaves_the_other_and_heals() {
     let (between, ends) = pair(2);
-    between.set(0, 1, Faults { cut: true, ..Faults::default() });
+    between.set(0, 1, DatagramFaults { cut: true, ..DatagramFaults::default() });
     assert!(send(&between, &ends, 0, 20).is_empty());
     assert_eq!(send(&between, &ends, 1, 20).len(), 20);
-    between.part(&[0, 1]);
+    between.partition(&[0, 1]);
     assert_eq!(send(&between, &ends, 0, 20).len(), 20);
-    between.part(&[0]);
+    between.partition(&[0]);
     assert_eq!((send(&between, &ends, 0, 9).len(), send(&between, &ends, 1, 9).len()), (0, 0));
 }
 
@@ -58,7 +58,7 @@
 fn loss_and_repeats_follow_from_the_seed() {
     let run = |seed| {
         let (between, ends) = pair(seed);
-        between.set_all(Faults { loss: 0.3, twice: 0.2, ..Faults::default() });
+        between.set_all_faults(DatagramFaults { loss: 0.3, twice: 0.2, ..DatagramFaults::default() });
         send(&between, &ends, 0, 200)
     };
     let (first, again, other) = (run(3), run(3), run(4));
@@ -72,9 +72,12 @@
 #[test]
 fn jitter_reorders_and_loses_nothing() {
     let (between, ends) = pair(5);
-    let faults =
-        Faults { delay: Duration::from_millis(20), jitter: Duration::from_millis(50), ..Faults::default() };
-    between.set_all(faults);
+    let faults = DatagramFaults {
+        delay: Duration::from_millis(20),
+        jitter: Duration::from_millis(50),
+        ..DatagramFaults::default()
+    };
+    between.set_all_faults(faults);
     let mut arrived = send(&between, &ends, 0, 100);
     assert!(!arrived.is_sorted(), "none overtook another");
     arrived.sort_unstable();
@@ -87,9 +90,9 @@
     let sender = UdpSocket::bind("127.0.0.1:0").expect("a port");
     sender.send_to(&[1], between.address(0, 1).expect("an address")).expect("sent");
     let by = Instant::now() + Duration::from_secs(5);
-    while between.carried(0, 1).lost == 0 && Instant::now() < by {
+    while between.traffic(0, 1).lost == 0 && Instant::now() < by {
         std::thread::yield_now();
     }
-    let carried = between.carried(0, 1);
+    let carried = between.traffic(0, 1);
     assert_eq!((carried.came, carried.went, carried.lost), (1, 0, 1));
 }
