--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -6,12 +6,17 @@
 //! below it hold the decisions, one concern each.
 
 mod admission;
+mod arrival_statistics;
+mod attempt_timers;
 mod capacity;
+mod discovery_retry;
 mod fleet;
 mod health;
+mod pending_queue;
 mod permission;
 mod prediction;
 mod requests;
+mod retry_budget;
 mod selection;
 mod slow_start;
 mod state;
@@ -20,8 +25,13 @@
 use crate::interface::*;
 use crate::nearest::{Candidate, Snapshot, looked_at};
 use crate::record::{Epc, Keys, Kind};
+use arrival_statistics::ArrivalStatistics;
+use attempt_timers::AttemptTimers;
+use discovery_retry::DiscoveryRetry;
+use pending_queue::PendingQueue;
+use retry_budget::RetryBudget;
 use state::{Attempt, Request, Sent, Worker};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, VecDeque};
 
 /// The least N: below it one failed worker would be too large a share, and big and small jobs share lanes.
 const N_LEAST: f64 = 8.0;
@@ -33,8 +43,6 @@
 const START_GRACE: Micros = 25_000;
 /// How many times too long a job's expected time may be.
 const HINT_ERROR: f64 = 2.0;
-/// Withdrawn attempts allowed per request, less the price of waste, and saved up at most: each adds load.
-const REPEATS: f64 = 0.1;
 /// What a worker fetches for a job whose key it has not had of late takes this share of a mean job.
 const FETCH: f64 = 0.45;
 /// The arrivals over which a key's share is taken.
@@ -66,20 +74,14 @@
     set: Vec<WorkerId>,
     set_stale: bool,
     n: usize,
-    arrivals: f64,
-    gap: f64,
-    mean_size: f64,
-    last_arrival: Micros,
+    arrivals: ArrivalStatistics,
     order: Vec<Vec<WorkerId>>,
     stale: Vec<bool>,
     requests: BTreeMap<RequestId, Request>,
-    held: Vec<(Micros, RequestId)>,
-    checks: BTreeSet<(Micros, RequestId)>,
-    armed: Micros,
-    s_max: f64,
-    try_length: Vec<Micros>,
-    watch_failures: u32,
-    repeats: f64,
+    pending: PendingQueue,
+    timers: AttemptTimers,
+    discovery_retry: DiscoveryRetry,
+    retry_budget: RetryBudget,
     recent: VecDeque<u64>,
 }
 
@@ -95,9 +97,8 @@
             n: 2 * N_LEAST as usize,
             order: vec![Vec::new(); classes],
             stale: vec![true; classes],
-            armed: Micros::MAX,
-            try_length: vec![0; classes],
-            repeats: 10.0 * (REPEATS - settings.penalties.wasted_work).max(0.0),
+            arrivals: ArrivalStatistics::new(classes),
+            retry_budget: RetryBudget::new(settings.penalties.wasted_work),
             settings,
             ..Dispatcher::default()
         }
@@ -138,20 +139,17 @@
             Event::BodyConsumed(id) => self.requests.get_mut(&id).into_iter().for_each(|r| r.spent = true),
             Event::ClientDisconnected(request) => self.forget(request, actions),
             Event::Timer(WATCH) => actions.push(Action::WatchWorkerList),
-            // A timer that was overtaken by an earlier one has nothing left to do, and must not set another.
-            Event::Timer(_) if now < self.armed => return,
+            Event::Timer(_) if !self.timers.on_fired(now) => return,
             Event::Timer(_) => {
-                self.armed = Micros::MAX;
-                while let Some(&(_, id)) = self.checks.first().filter(|c| c.0 <= now) {
-                    self.checks.pop_first();
-                    self.check(now, id, actions);
+                while let Some(request) = self.timers.pop_due(now) {
+                    self.on_attempt_timer(now, request, actions);
                 }
             }
         }
         if freed {
-            self.place_held(now, actions);
+            self.place_pending(now, actions);
         }
-        self.arm(now, actions);
+        self.arm_next_timer(now, actions);
     }
 
     /// How this dispatcher regards the workers in the list at this moment.
--- a/crates/dispatcher/src/dispatcher/capacity.rs
+++ b/crates/dispatcher/src/dispatcher/capacity.rs
@@ -4,26 +4,14 @@
 
 /// The top N is so many times the jobs running at once: a queue known for longer than that has changed.
 const N_PER_JOB: f64 = 3.0;
-/// The request rate and the mean size follow over about this many requests.
-const RATE_HISTORY: f64 = 50.0;
 /// The paper's α: one time-out halves a worker's EPC.
 const ALPHA: f64 = 1.0;
-/// S_max is the size that this share of jobs stay under: one outlier must not empty the top lanes.
-const SIZE_RANK: f64 = 0.9;
-/// How far S_max moves with one arrival, in mean sizes.
-const SIZE_STEP: f64 = 0.2;
 
 impl Dispatcher {
     /// Follows the work that arrives, and N with it.
     pub(super) fn note_arrival(&mut self, now: Micros, size: f64) {
-        let gap = (now - self.last_arrival).clamp(1, 1_000_000) as f64;
-        self.last_arrival = now;
-        self.arrivals = (self.arrivals + 1.0).min(RATE_HISTORY);
-        self.gap += (gap - self.gap) / self.arrivals;
-        self.mean_size += (size - self.mean_size) / self.arrivals;
-        let step = self.mean_size * if size > self.s_max { SIZE_RANK } else { SIZE_RANK - 1.0 };
-        self.s_max = (self.s_max + step * SIZE_STEP).max(self.mean_size);
-        let n = (N_PER_JOB * self.mean_size / self.gap).max(N_LEAST).ceil();
+        self.arrivals.record(now, size);
+        let n = (N_PER_JOB * self.arrivals.mean_size() / self.arrivals.mean_gap()).max(N_LEAST).ceil();
         if n > 1.3 * self.n as f64 || n < 0.7 * self.n as f64 {
             self.n = n as usize;
             self.near_stale = true;
--- a/crates/dispatcher/src/dispatcher/fleet.rs
+++ b/crates/dispatcher/src/dispatcher/fleet.rs
@@ -4,8 +4,6 @@
 
 /// The set is chosen anew after this long: workers warm up.
 const SET_KEPT: Micros = 1_000_000;
-/// The first pause before the list is asked for again; it doubles up to 16 times.
-const WATCH_PAUSE: Micros = 250_000;
 /// Beyond so many times `ZONE` a zone is large: a dispatcher sees little of what goes to its workers.
 const LARGE: f64 = 2.0;
 /// A kind out of all range must not claim room for all below it.
@@ -15,10 +13,8 @@
     pub(super) fn on_members(&mut self, members: WorkerListUpdate, actions: &mut Vec<Action>) {
         let (entries, full, cached) = match members {
             WorkerListUpdate::Failed => {
-                let pause = WATCH_PAUSE << self.watch_failures.min(4);
-                let jitter = self.rng.i64(0..pause / 2 + 1);
-                self.watch_failures += 1;
-                return actions.push(Action::SetTimer { delay: pause + jitter, token: WATCH });
+                let delay = self.discovery_retry.next_pause(&mut self.rng);
+                return actions.push(Action::SetTimer { delay, token: WATCH });
             }
             WorkerListUpdate::Delta(entries) => (entries, false, false),
             WorkerListUpdate::Full(entries) => (entries, true, false),
@@ -31,7 +27,7 @@
         if cached && self.settings.polls_discovery {
             actions.push(Action::WatchWorkerList);
         } else {
-            self.watch_failures = 0;
+            self.discovery_retry.record_success();
         }
         let all = (0..self.workers.len() as u32).map(WorkerId);
         self.ready = all.filter(|&id| self.worker(id).ready()).collect();
@@ -44,7 +40,7 @@
 
     pub(super) fn on_entry(&mut self, entry: WorkerEntry) {
         let classes = self.settings.classes.len();
-        let draw = self.rng.f64() * self.mean_size;
+        let draw = self.rng.f64() * self.arrivals.mean_size();
         let w = self.worker_mut(entry.worker);
         w.epc.resize(classes, Epc::default());
         w.full.resize(classes, (0, 0));
--- /dev/null
+++ b/crates/dispatcher/src/dispatcher/pending_queue.rs
@@ -0,0 +1,59 @@
+//! The queue of requests that wait until a worker has room.
+
+use crate::interface::{Micros, RequestId};
+
+/// Added to the start time of a request that can hardly be in time: it sorts behind all that can.
+const LATE_OFFSET: Micros = 1 << 60;
+
+/// A request in the queue.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct PendingRequest {
+    /// The latest useful start, plus [`LATE_OFFSET`] if that can hardly be met.
+    start_by: Micros,
+    request: RequestId,
+}
+
+/// Requests that wait for room, the most urgent first.
+#[derive(Default)]
+pub(super) struct PendingQueue {
+    by_urgency: Vec<PendingRequest>,
+}
+
+impl PendingQueue {
+    /// Queues a request that must start by `start_by` to be in time. `margin` is what its times may err by: a
+    /// request that is late by then goes behind all others, so that a backlog does not make every request
+    /// wait until it is late.
+    pub(super) fn enqueue(&mut self, now: Micros, request: RequestId, start_by: Micros, margin: Micros) {
+        let cautious = start_by - margin;
+        let start_by = if cautious > now { cautious } else { start_by.saturating_add(LATE_OFFSET) };
+        let pending = PendingRequest { start_by, request };
+        let position = self.by_urgency.partition_point(|other| *other < pending);
+        self.by_urgency.insert(position, pending);
+    }
+
+    /// Removes and returns the first request whose start time has passed since it was queued.
+    pub(super) fn pop_late(&mut self, now: Micros) -> Option<RequestId> {
+        self.by_urgency.first().filter(|pending| pending.start_by <= now)?;
+        Some(self.by_urgency.remove(0).request)
+    }
+
+    /// The request at a position, 0 the most urgent.
+    pub(super) fn get(&self, position: usize) -> Option<RequestId> {
+        self.by_urgency.get(position).map(|pending| pending.request)
+    }
+
+    /// Removes the request at a position that is in the queue.
+    pub(super) fn remove_at(&mut self, position: usize) {
+        self.by_urgency.remove(position);
+    }
+
+    /// Removes a request, if it is queued.
+    pub(super) fn remove(&mut self, request: RequestId) {
+        self.by_urgency.retain(|pending| pending.request != request);
+    }
+
+    /// Whether no request other than this one is more urgent.
+    pub(super) fn is_next(&self, request: RequestId) -> bool {
+        self.get(0).is_none_or(|first| first == request)
+    }
+}
--- a/crates/dispatcher/src/dispatcher/prediction.rs
+++ b/crates/dispatcher/src/dispatcher/prediction.rs
@@ -19,7 +19,7 @@
             let done = a.started.map_or(0.0, |at| (now - at) as f64 * c);
             cost += a.width * (a.size - done).max(a.size * 0.1);
         }
-        let fetch = if r.key == 0 || w.keys.holds(r.key) { 0.0 } else { FETCH * self.mean_size };
+        let fetch = if r.key == 0 || w.keys.holds(r.key) { 0.0 } else { FETCH * self.arrivals.mean_size() };
         let run = r.size / c + fetch;
         let rest = cost / (c * slots) + run;
         let fits = w.out() + r.width <= slots;
@@ -67,14 +67,17 @@
         let w = self.worker(id);
         let beyond = 1.0 - self.kind(w).slots / f64::from(self.settings.instances.max(1));
         let per_core = (self.size(w) / w.entry.weight.max(1e-6) - 1.0).max(0.0);
-        per_core * beyond.max(0.0) * self.mean_size / self.penalised(w, r.class, now)
+        per_core * beyond.max(0.0) * self.arrivals.mean_size() / self.penalised(w, r.class, now)
     }
 
     /// When a job sent now would end, where a crossing that has a price counts as so much time.
     pub(super) fn ends(&self, r: &Request, id: WorkerId, now: Micros) -> f64 {
         let crosses = self.worker(id).entry.zone != self.settings.zone;
-        let price =
-            if crosses { self.settings.penalties.cross_zone * CROSSING * self.mean_size } else { 0.0 };
+        let price = if crosses {
+            self.settings.penalties.cross_zone * CROSSING * self.arrivals.mean_size()
+        } else {
+            0.0
+        };
         self.predicted(r, id, now).0 + price
     }
 
--- a/crates/dispatcher/src/dispatcher/requests.rs
+++ b/crates/dispatcher/src/dispatcher/requests.rs
@@ -4,8 +4,6 @@
 
 /// β as a share of T_init. With `R_MAX` it leaves half of T_init, so a time-out never shrinks to nothing.
 const BETA: f64 = 0.125;
-/// The most withdrawn attempts that are saved up.
-const REPEATS_MOST: f64 = 10.0;
 /// The keys that a worker is taken to keep for each slot.
 const KEPT_PER_SLOT: f64 = 1.3;
 
@@ -14,11 +12,11 @@
         let class = a.class.min(self.settings.classes.len() - 1);
         let spec = &self.settings.classes[class];
         let hint = a.work_hint.filter(|&h| h > 0).map(|h| h as f64);
-        let size = hint.unwrap_or(self.s_max.max(1.0)).min(1e12);
+        let size = hint.unwrap_or(self.arrivals.largest_lane_size().max(1.0)).min(1e12);
         // A client's further tries count from its first, by `due`; one that marks none may be in a hurry.
-        self.try_length[class] = self.try_length[class].max(a.deadline.saturating_sub(now));
+        let patience = self.arrivals.record_patience(class, a.deadline.saturating_sub(now));
         let first = self.settings.marks_retry && !a.is_retry;
-        let origin = if first { now } else { now.min(a.deadline.saturating_sub(self.try_length[class])) };
+        let origin = if first { now } else { now.min(a.deadline.saturating_sub(patience)) };
         let aim = origin
             .saturating_add(spec.latency_objective)
             .saturating_add((spec.objective_stretch * size) as Micros)
@@ -40,8 +38,7 @@
         self.recent.push_back(a.affinity_key);
         self.recent.drain(..self.recent.len().saturating_sub(SHARE_HISTORY));
         self.note_arrival(now, size);
-        self.repeats =
-            (self.repeats + (REPEATS - self.settings.penalties.wasted_work).max(0.0)).min(REPEATS_MOST);
+        self.retry_budget.record_arrival();
         self.place(now, a.request, actions);
     }
 
@@ -53,8 +50,8 @@
         } else if let Some(worker) = self.pick(id, now) {
             self.send(now, id, worker, actions);
         } else {
-            self.hold(now, id);
-            self.check_at(id, self.latest_start(id));
+            self.enqueue(now, id);
+            self.timers.schedule(id, self.latest_start(id));
         }
     }
 
@@ -80,7 +77,7 @@
         w.in_flight.push(Attempt { request, number, class, size, width, sent: now, wanted, started });
         w.cold = (debt, now);
         actions.push(Action::Send { request, worker, timeout: 0, send_by: before });
-        self.check_at(id, check);
+        self.timers.schedule(id, check);
     }
 
     pub(super) fn attempt(&mut self, (request, number, worker): Sent) -> Option<&mut Attempt> {
@@ -148,8 +145,8 @@
     /// Drops a request that has its final answer, and stops the work still outstanding for it.
     pub(super) fn forget(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(r) = self.requests.remove(&id) else { return };
-        self.checks.remove(&(r.check, id));
-        self.held.retain(|h| h.1 != id);
+        self.timers.cancel(id);
+        self.pending.remove(id);
         let may = self.settings.limits.cancel && !r.streaming && !r.cancelled;
         actions.extend(r.out.filter(|_| may).map(|(_, attempt)| Action::Cancel { request: id, attempt }));
     }
--- a/crates/dispatcher/src/dispatcher/selection.rs
+++ b/crates/dispatcher/src/dispatcher/selection.rs
@@ -14,7 +14,9 @@
             return n / 2;
         }
         let all = (n * (n + 1) / 2) as f64;
-        (1..n).find(|&x| r.size <= (x * (x + 1) / 2) as f64 / all * self.s_max).map_or(n - 1, |x| x - 1)
+        (1..n)
+            .find(|&x| r.size <= (x * (x + 1) / 2) as f64 / all * self.arrivals.largest_lane_size())
+            .map_or(n - 1, |x| x - 1)
     }
 
     /// A key's homes, nearest first, alike in a zone but for their number: as few places as its jobs fill.
@@ -59,13 +61,13 @@
             top = fresh.into_iter().filter(|&w| self.trial_due(r, w, now)).collect();
         }
         // What would be late anyway takes an open worker only if nothing else waits for one.
-        let alone = self.held.first().is_none_or(|h| h.1 == id);
+        let alone = self.pending.is_next(id);
         let usual = |w| self.usual(self.worker(w), class, now);
         let fit = |w| self.starts_at_once(r, w, now, usual(w)) && self.worth_sending(r, w, now, false);
         let n = top.len();
         let rival = *top.get((draw * n as f64) as usize)?;
         let lane = top[n - 1 - self.lane(r, n)];
-        let spared = HOME_HAS * self.beyond / self.apart * FETCH * self.mean_size;
+        let spared = HOME_HAS * self.beyond / self.apart * FETCH * self.arrivals.mean_size();
         let has = |w| homes.contains(&w) && !self.worker(w).keys.holds(r.key);
         let ends = |w| self.ends(r, w, now) - if has(w) { spared } else { 0.0 };
         let beside = |w| ends(w) + self.others(r, w, now);
--- a/crates/dispatcher/src/dispatcher/slow_start.rs
+++ b/crates/dispatcher/src/dispatcher/slow_start.rs
@@ -32,7 +32,7 @@
 
     /// What a send counts against a cold worker: a hint far under the mean is likelier wrong than right.
     pub(super) fn cold_cost(&self, r: &Request) -> f64 {
-        (r.size * r.width).max(self.mean_size * COLD_FLOOR)
+        (r.size * r.width).max(self.arrivals.mean_size() * COLD_FLOOR)
     }
 
     /// What this dispatcher has sent a cold worker beyond its share; below 0 where it has sent less.
@@ -47,7 +47,8 @@
         let w = self.worker(id);
         let rules = &self.settings.slow_start;
         let all = f64::from(self.settings.instances);
-        let carried = all * self.mean_size / self.gap.max(1.0) * self.size(w) / self.ratings.max(1e-9);
+        let carried = all * self.arrivals.mean_size() / self.arrivals.mean_gap().max(1.0) * self.size(w)
+            / self.ratings.max(1e-9);
         let capacity = carried * self.warmth(w, now);
         let chance = if self.set.contains(&id) { self.per_weight * self.weight(id, now) } else { 1.0 };
         let holders = (all * chance.min(1.0)).max(1.0);
--- a/crates/dispatcher/src/dispatcher/state.rs
+++ b/crates/dispatcher/src/dispatcher/state.rs
@@ -78,5 +78,4 @@
     pub(super) cancelled: bool,
     pub(super) ran: Option<(WorkerId, Micros)>,
     pub(super) tried: Vec<WorkerId>,
-    pub(super) check: Micros,
 }
