--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -1,103 +1,95 @@
-//! All decisions of a dispatcher. The interface, its types, events and actions, is in `src/interface.rs`.
+//! All decisions of a dispatcher. Its interface, types, events and actions, is in [`crate::interface`].
 //!
-//! The ordinary path is OXTHAS: workers rank by Estimated Processing Capacity (EPC), thresholds in integer
-//! progression over S_max give each job a lane by its size, and the lane worker meets one random rival.
-//! Each departure from it says what it guards against and when it acts. This file routes events; the modules
-//! below it hold the decisions, one concern each.
+//! The ordinary path is OXTHAS: workers rank by their Estimated Processing Capacity (EPC), thresholds in
+//! integer progression over S_max give each job a lane by its size, and the lane's worker is compared with
+//! one random rival. Each departure from it says what it guards against and when it acts. [`Dispatcher`]
+//! routes events; the modules below it hold the decisions, one concern each, and each owns its part of the
+//! state.
 
-mod admission;
+mod affinity;
 mod arrival_statistics;
+mod attempt;
+mod attempt_timeout;
 mod attempt_timers;
+mod cached_keys;
 mod capacity;
+mod context;
+mod decayed_mean;
 mod discovery_retry;
-mod fleet;
 mod health;
+mod machine_kind;
+mod observations;
+mod pending;
 mod pending_queue;
 mod permission;
 mod prediction;
+mod ranking;
+mod rendezvous;
+mod request;
 mod requests;
 mod retry_budget;
 mod selection;
 mod slow_start;
-mod state;
-mod timeouts;
+mod subset;
+mod worker;
+mod worker_list;
+mod worker_table;
 
-use crate::interface::*;
-use crate::nearest::{Candidate, Snapshot, looked_at};
-use crate::record::{Epc, Keys, Kind};
+use crate::interface::{
+    Action, Class, Event, Lifecycle, Micros, RequestId, Settings, WorkerCounts, WorkerId, WorkerStatus,
+};
+use affinity::AffinityIndex;
 use arrival_statistics::ArrivalStatistics;
+use attempt::{AttemptId, AttemptResult};
 use attempt_timers::AttemptTimers;
+use capacity::CapacityEstimator;
+use context::DecisionContext;
 use discovery_retry::DiscoveryRetry;
+use health::HealthTracker;
 use pending_queue::PendingQueue;
+use ranking::Ranking;
+use request::Request;
 use retry_budget::RetryBudget;
-use state::{Attempt, Request, Sent, Worker};
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
+use subset::WorkerSubset;
+use worker_table::WorkerTable;
 
-/// The least N: below it one failed worker would be too large a share, and big and small jobs share lanes.
-const N_LEAST: f64 = 8.0;
-/// Completions after which an observation has lost two thirds of its weight: EPC must follow the load.
-const HISTORY: f64 = 20.0;
-/// How many observations the prior of an EPC counts for, so that one odd job does not rank a worker.
-const PRIOR: f64 = 2.0;
-/// A start notice takes a connection, a handshake and two crossings; one later than this tells of a queue.
-const START_GRACE: Micros = 25_000;
-/// How many times too long a job's expected time may be.
-const HINT_ERROR: f64 = 2.0;
-/// What a worker fetches for a job whose key it has not had of late takes this share of a mean job.
-const FETCH: f64 = 0.45;
-/// The arrivals over which a key's share is taken.
-const SHARE_HISTORY: usize = 100;
-/// Workers of a zone from which on it prefers its own as homes.
-const ZONE: f64 = 4.0;
-/// The timer token of the list; that of the checks is beside them.
-const WATCH: u64 = 1;
+/// The token of the timer for all times set for requests.
+const ATTEMPT_TIMER: u64 = 0;
+/// The token of the timer after which the worker list is asked for again.
+const DISCOVERY_TIMER: u64 = 1;
 
 /// Decides for one dispatcher.
 #[derive(Default)]
 pub struct Dispatcher {
     settings: Settings,
     rng: fastrand::Rng,
-    workers: Vec<Worker>,
-    kinds: Vec<Kind>,
-    fleet: Epc,
-    ratings: f64,
-    per_weight: f64,
-    apart: f64,
-    beyond: f64,
-    set_until: Micros,
-    shared_timeouts: u32,
-    ready: Vec<WorkerId>,
-    snapshot: Snapshot,
-    near: Vec<WorkerId>,
-    near_stale: bool,
-    of_kind: Vec<Vec<WorkerId>>,
-    set: Vec<WorkerId>,
-    set_stale: bool,
-    n: usize,
+    workers: WorkerTable,
+    capacity: CapacityEstimator,
+    health: HealthTracker,
     arrivals: ArrivalStatistics,
-    order: Vec<Vec<WorkerId>>,
-    stale: Vec<bool>,
+    affinity: AffinityIndex,
+    subset: WorkerSubset,
+    ranking: Ranking,
     requests: BTreeMap<RequestId, Request>,
     pending: PendingQueue,
     timers: AttemptTimers,
-    discovery_retry: DiscoveryRetry,
     retry_budget: RetryBudget,
-    recent: VecDeque<u64>,
+    discovery_retry: DiscoveryRetry,
 }
 
 impl Dispatcher {
     /// A dispatcher that knows its settings and nothing else; equal seeds and events give equal actions.
     pub fn new(mut settings: Settings, seed: u64) -> Self {
-        // A class out of range is the host's slip: the strictest stand-in keeps the rules for it.
+        // A class out of range is the host's error: the strictest one stands in, so that the rules are kept.
         settings.classes.push(Class { late_fraction: 1.0, ..Class::default() });
         let classes = settings.classes.len();
         Dispatcher {
             rng: fastrand::Rng::with_seed(seed),
-            kinds: vec![Kind::default(); settings.worker_kinds.max(1)],
-            n: 2 * N_LEAST as usize,
-            order: vec![Vec::new(); classes],
-            stale: vec![true; classes],
+            workers: WorkerTable::new(&settings),
             arrivals: ArrivalStatistics::new(classes),
+            affinity: AffinityIndex::new(settings.instance),
+            ranking: Ranking::new(classes),
             retry_budget: RetryBudget::new(settings.penalties.wasted_work),
             settings,
             ..Dispatcher::default()
@@ -106,69 +98,107 @@
 
     /// Takes one event and appends what is to be done about it, in order.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        let freed = !matches!(
+        if let Event::Timer(token) = event
+            && token != DISCOVERY_TIMER
+            && !self.timers.on_fired(now)
+        {
+            return;
+        }
+        let may_free_room = !matches!(
             event,
             Event::Arrival(_) | Event::AttemptProgress { .. } | Event::ClientDisconnected(_)
         );
+        self.route(now, event, actions);
+        if may_free_room {
+            self.place_pending(now, actions);
+        }
+        self.arm_next_timer(now, actions);
+    }
+
+    fn route(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::WorkerList(members) => self.on_members(members, actions),
-            Event::Arrival(arrival) => self.on_arrival(now, arrival, actions),
+            Event::WorkerList(update) => self.on_worker_list(update, actions),
+            Event::Arrival(arrival) => self.on_arrival(now, &arrival, actions),
             Event::AttemptStarted { request, attempt, worker } => {
-                self.on_started(now, (request, attempt, worker))
+                self.on_attempt_started(now, AttemptId { request, number: attempt, worker });
             }
             Event::AttemptProgress { .. } | Event::ProbeEnded { .. } => {}
             Event::ResponseStreaming { request, attempt, worker } => {
-                self.on_started(now, (request, attempt, worker));
-                self.requests.get_mut(&request).into_iter().for_each(|r| r.streaming = true);
+                self.on_attempt_started(now, AttemptId { request, number: attempt, worker });
+                self.update_request(request, |request| request.is_streaming = true);
             }
             Event::AttemptEnded {
                 request,
                 attempt,
                 worker,
                 outcome,
-                elapsed: took,
-                request_concluded: closed,
-                load_report: report,
+                elapsed,
+                request_concluded,
+                load_report,
             } => {
-                self.on_report(worker, &report);
-                self.on_outcome(now, (request, attempt, worker), (outcome, took, closed), actions);
-            }
-            Event::RequestSent { request: r, attempt: n, worker: w } => {
-                self.attempt((r, n, w)).into_iter().for_each(|a| a.sent = now)
+                self.on_load_report(worker, &load_report);
+                let id = AttemptId { request, number: attempt, worker };
+                let result = AttemptResult { outcome, elapsed, request_concluded };
+                self.on_attempt_ended(now, id, &result, actions);
             }
-            Event::BodyConsumed(id) => self.requests.get_mut(&id).into_iter().for_each(|r| r.spent = true),
-            Event::ClientDisconnected(request) => self.forget(request, actions),
-            Event::Timer(WATCH) => actions.push(Action::WatchWorkerList),
-            Event::Timer(_) if !self.timers.on_fired(now) => return,
-            Event::Timer(_) => {
-                while let Some(request) = self.timers.pop_due(now) {
-                    self.on_attempt_timer(now, request, actions);
+            Event::RequestSent { request, attempt, worker } => {
+                let id = AttemptId { request, number: attempt, worker };
+                if let Some(attempt) = self.workers.get_mut(worker).attempt_mut(id) {
+                    attempt.sent_at = now;
                 }
             }
+            Event::BodyConsumed(id) => self.update_request(id, |request| request.body_consumed = true),
+            Event::ClientDisconnected(id) => self.forget(id, actions),
+            Event::Timer(DISCOVERY_TIMER) => actions.push(Action::WatchWorkerList),
+            Event::Timer(_) => self.on_timer(now, actions),
         }
-        if freed {
-            self.place_pending(now, actions);
+    }
+
+    fn on_timer(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        while let Some(request) = self.timers.pop_due(now) {
+            self.on_attempt_timer(now, request, actions);
+        }
+    }
+
+    fn update_request(&mut self, id: RequestId, update: impl FnOnce(&mut Request)) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            update(request);
+        }
+    }
+
+    /// What decisions are made from.
+    fn context(&self) -> DecisionContext<'_> {
+        DecisionContext {
+            settings: &self.settings,
+            workers: &self.workers,
+            health: &self.health,
+            arrivals: &self.arrivals,
+            subset: &self.subset,
         }
-        self.arm_next_timer(now, actions);
     }
 
     /// How this dispatcher regards the workers in the list at this moment.
     pub fn worker_counts(&self, now: Micros) -> WorkerCounts {
-        let listed = |&id: &WorkerId| self.worker(id).entry.lifecycle != Lifecycle::Gone;
-        (0..self.workers.len() as u32)
-            .map(WorkerId)
-            .filter(listed)
+        self.workers
+            .ids()
+            .filter(|&id| self.workers.get(id).entry.lifecycle != Lifecycle::Gone)
             .map(|id| self.worker_status(id, now))
             .collect()
     }
 
     fn worker_status(&self, id: WorkerId, now: Micros) -> WorkerStatus {
-        let mut classes = 0..self.settings.classes.len() - 1;
-        match self.worker(id) {
-            w if !w.ready() => WorkerStatus::Draining,
-            w if !self.sound(id) || now < w.trial_at => WorkerStatus::Ejected,
-            _ if classes.all(|class| !self.takes(id, class, now)) => WorkerStatus::Saturated,
-            _ => WorkerStatus::Available,
+        let context = self.context();
+        let worker = self.workers.get(id);
+        if !worker.is_ready() {
+            return WorkerStatus::Draining;
+        }
+        if !context.is_healthy(id) || !worker.health.probe_pause_is_over(now) {
+            return WorkerStatus::Ejected;
+        }
+        let mut listed_classes = 0..self.settings.classes.len() - 1;
+        if listed_classes.all(|class| !context.accepts_class(id, class, now)) {
+            return WorkerStatus::Saturated;
         }
+        WorkerStatus::Available
     }
 }
--- /dev/null
+++ b/crates/dispatcher/src/dispatcher/attempt.rs
@@ -0,0 +1,46 @@
+//! An attempt: one send of a request to one worker.
+
+use crate::interface::{Micros, Outcome, RequestId, WorkerId};
+
+/// A start notice takes a connection, a handshake and two network crossings; a later one indicates a queue.
+pub(super) const START_GRACE: Micros = 25_000;
+
+/// Which attempt of which request, and the worker it was sent to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct AttemptId {
+    pub(super) request: RequestId,
+    /// Counts the attempts of the request, from 0.
+    pub(super) number: u32,
+    pub(super) worker: WorkerId,
+}
+
+/// An attempt that has no outcome yet.
+pub(super) struct Attempt {
+    pub(super) id: AttemptId,
+    pub(super) class: usize,
+    /// The job's expected running time on a standard core, in microseconds.
+    pub(super) size: f64,
+    /// The slots that it takes.
+    pub(super) slots: f64,
+    /// When it was sent; for a long body, when the last byte was.
+    pub(super) sent_at: Micros,
+    /// An answer after this time is worth nothing.
+    pub(super) useful_until: Micros,
+    pub(super) started_at: Option<Micros>,
+}
+
+impl Attempt {
+    /// How long it has waited for its start, or did until now.
+    pub(super) fn waited(&self, now: Micros) -> f64 {
+        (now - self.sent_at) as f64
+    }
+}
+
+/// How the host reports that an attempt ended.
+pub(super) struct AttemptResult {
+    pub(super) outcome: Outcome,
+    /// The time since it was sent.
+    pub(super) elapsed: Micros,
+    /// The request has its final answer.
+    pub(super) request_concluded: bool,
+}
--- /dev/null
+++ b/crates/dispatcher/src/dispatcher/attempt_timeout.rs
@@ -0,0 +1,80 @@
+//! What follows when the time set for a request has come and its attempt has not started.
+
+use crate::dispatcher::attempt::{AttemptId, START_GRACE};
+use crate::dispatcher::{ATTEMPT_TIMER, Dispatcher};
+use crate::interface::{Action, Idempotency, Micros, RequestId};
+
+/// The pause before a request whose attempt has not started is looked at again.
+const RECHECK_INTERVAL: Micros = 3 * START_GRACE;
+
+impl Dispatcher {
+    /// Looks at a request at the time that was set for it.
+    pub(super) fn on_attempt_timer(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id).filter(|request| !request.is_streaming) else { return };
+        match request.outstanding {
+            // An outstanding attempt is answered by its own timeout, which comes soon after the deadline.
+            Some(_) if now >= request.deadline => {}
+            Some(attempt) => self.check_attempt(now, attempt, actions),
+            None if now >= request.deadline => self.give_up(id, actions),
+            None => self.check_pending(now, id, actions),
+        }
+    }
+
+    fn check_pending(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
+        let latest_start = self.latest_start(id);
+        if now >= latest_start {
+            self.give_up(id, actions);
+        } else {
+            self.timers.schedule(id, latest_start);
+        }
+    }
+
+    /// Withdraws an attempt that has not started in time, if the request may be retried at another worker. A
+    /// worker that has shown life since the send is only behind, and keeps it.
+    fn check_attempt(&mut self, now: Micros, id: AttemptId, actions: &mut Vec<Action>) {
+        if !self.may_withdraw(now, id) {
+            return;
+        }
+        let Some(request) = self.requests.get(&id.request) else { return };
+        let useful_until = request.useful_until;
+        if now >= useful_until {
+            return self.give_up(id.request, actions);
+        }
+        let worker = self.workers.get(id.worker);
+        let Some(attempt) = worker.unstarted().find(|attempt| attempt.id == id) else { return };
+        let is_alive = worker.health.has_shown_life_since(attempt.sent_at);
+        let other = if is_alive { None } else { self.choose_worker(id.request, now) };
+        if other.is_some_and(|other| other != id.worker) && self.retry_budget.try_spend() {
+            self.withdraw(id, actions);
+        } else {
+            let recheck_at = (now + RECHECK_INTERVAL).min(useful_until).max(now + 1);
+            self.timers.schedule(id.request, recheck_at);
+        }
+    }
+
+    /// Whether an attempt may be withdrawn in order to send its request elsewhere.
+    fn may_withdraw(&self, now: Micros, id: AttemptId) -> bool {
+        let Some(request) = self.requests.get(&id.request) else { return false };
+        let context = self.context();
+        let not_started = self.workers.get(id.worker).unstarted().any(|attempt| attempt.id == id);
+        self.settings.limits.cancel
+            && self.settings.reports_start
+            && !request.is_withdrawn
+            && context.class(request).idempotency != Idempotency::NotIdempotent
+            && context.may_retry(request, now)
+            && not_started
+    }
+
+    fn withdraw(&mut self, id: AttemptId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(&id.request) else { return };
+        request.is_withdrawn = true;
+        actions.push(Action::Cancel { request: id.request, attempt: id.number });
+    }
+
+    /// Keeps one host timer set for the earliest time.
+    pub(super) fn arm_next_timer(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        if let Some(delay) = self.timers.arm(now, self.settings.tick) {
+            actions.push(Action::SetTimer { delay, token: ATTEMPT_TIMER });
+        }
+    }
+}
--- a/crates/dispatcher/src/dispatcher/health.rs
+++ b/crates/dispatcher/src/dispatcher/health.rs
@@ -1,103 +1,183 @@
-//! What the end of an attempt says of its worker, and whether a worker may be used.
-
-use super::*;
-
-/// The most time-outs that count against a worker: a long outage must not take as long to forgive.
-const R_MAX: u32 = 4;
-/// The first pause before a failed worker is tried again; it doubles with each further time-out.
-const TRIAL_PAUSE: Micros = 250_000;
-/// Doublings of that pause where a trial that finds the worker full still costs the job.
-const LOSSY_TRIALS: u32 = 3;
-/// What a worker showed within this time counts: one that lives is not dead for a connection that breaks.
-const LIFE: Micros = 1_000_000;
-
-impl Dispatcher {
-    /// Counts what an attempt's end says of its worker.
-    pub(super) fn learn(&mut self, now: Micros, id: WorkerId, a: &Attempt, outcome: Outcome, took: Micros) {
-        // A cold worker seen to be slower than its warmth explains is slow, and its record says so.
-        let warmth = self.warmth(self.worker(id), now);
-        match outcome {
-            Outcome::Ok => {
-                let known = self.epc(self.worker(id), a.class);
-                let most = if warmth < 1.0 { known } else { 4.0 * known };
-                let ratio = (a.size / took.max(1) as f64 / warmth).min(most);
-                let w = self.worker_mut(id);
-                w.alive = now;
-                let kind = w.entry.kind;
-                w.epc.get_mut(a.class).into_iter().for_each(|e| e.add(ratio, HISTORY));
-                w.full.get_mut(a.class).into_iter().for_each(|f| f.0 = f.0.saturating_sub(1));
-                let cleared = now <= a.wanted && std::mem::take(&mut w.timeouts) > 0;
-                self.set_stale |= cleared;
-                if warmth >= 1.0 {
-                    self.fleet.add(ratio, 4.0 * HISTORY);
-                    self.kinds[kind].epc.add(ratio, 2.0 * HISTORY);
-                }
-                self.estimate(id);
-                self.stale.fill(true);
-            }
-            Outcome::NotSent | Outcome::InvalidRequest => {}
-            // A connection has broken, not a worker that lives: of one that has died the next connect tells.
-            Outcome::Reset if self.worker(id).alive > now - LIFE => {}
-            // The answer was lost, not the job: the worker has shown life after it should have ended.
-            Outcome::Timeout
-                if a.started.is_some_and(|at| self.worker(id).alive > at + 3 * a.size as Micros) => {}
-            // Withdrawn before it started, the job may well be queued there still.
-            Outcome::Cancelled if a.started.is_some() || now - a.sent < 3 * START_GRACE => {}
-            // A worker that has shown life since is not at fault: its queue is as long as the job waited.
-            Outcome::Cancelled if self.worker(id).alive > a.sent => {
-                let w = self.worker_mut(id);
-                w.wait[a.class] = (w.wait_now(a.class, now, 0.0).max((now - a.sent) as f64), now);
-            }
-            Outcome::Rejected => {
-                let effect = self.settings.classes[a.class].idempotency;
-                let lossy =
-                    self.settings.limits.rejection_may_have_run && effect == Idempotency::NotIdempotent;
-                // A full queue is taken to be longer than this job could have waited, fast as the answer was.
-                let w = self.worker_mut(id);
-                let longest = a.wanted.saturating_sub(now) as f64;
-                w.wait[a.class] = (w.wait_now(a.class, now, 0.0).max(longest), now);
-                // It may turn away one class alone: that class stays away, longer where this cost the job.
-                if let Some(f) = w.full.get_mut(a.class) {
-                    let doublings = f.0 + 1 + LOSSY_TRIALS * u32::from(lossy);
-                    *f = ((f.0 + 1).min(R_MAX), now + (TRIAL_PAUSE << doublings));
-                }
-                self.set_stale = true;
-            }
-            _ => {
-                // Where many share a worker, few starts are seen, and only those of jobs that had their turn.
-                if self.beyond > 0.0 && outcome == Outcome::Timeout && a.started.is_none() {
-                    self.note_wait(now, id, a.class, (now - a.sent) as f64);
-                }
-                let shared = self.shared_timeouts;
-                self.set_stale = true;
-                let w = self.worker_mut(id);
-                w.timeouts = (w.timeouts + 1).min(R_MAX);
-                w.trial_at = now + (TRIAL_PAUSE << w.timeouts.saturating_sub(shared));
-            }
+//! Which workers have failed or rejected work recently, and what the end of an attempt says of its worker.
+
+use crate::dispatcher::attempt::{Attempt, START_GRACE};
+use crate::dispatcher::worker::Worker;
+use crate::interface::{Micros, Outcome};
+
+/// The most failures that count against a worker: a long outage must not take as long to forgive.
+pub(super) const MAX_FAILURES: u32 = 4;
+/// The pause before a failed worker is probed with a job; it doubles with each further failure.
+const PROBE_INTERVAL: Micros = 250_000;
+/// Further doublings of that pause where a rejection costs the job, since it may have run.
+const LOSSY_REJECTION_DOUBLINGS: u32 = 3;
+/// A worker that answered within this time is alive, whatever happens to one of its connections.
+const ALIVE_INTERVAL: Micros = 1_000_000;
+/// How many times its size a job may run before its answer is taken to be lost.
+const LOST_ANSWER_FACTOR: Micros = 3;
+
+/// The recent rejections of one class by one worker.
+#[derive(Clone, Copy, Default)]
+struct RejectionBackoff {
+    rejections: u32,
+    /// The class is not sent there before this time.
+    until: Micros,
+}
+
+/// Failures, rejections and signs of life of one worker.
+#[derive(Default)]
+pub(super) struct WorkerHealth {
+    /// The paper's R: recent failures, up to [`MAX_FAILURES`].
+    failures: u32,
+    /// When a failed worker may be probed.
+    probe_at: Micros,
+    last_sign_of_life: Micros,
+    /// By class.
+    rejections: Vec<RejectionBackoff>,
+}
+
+impl WorkerHealth {
+    /// Makes room for so many classes.
+    pub(super) fn resize(&mut self, classes: usize) {
+        self.rejections.resize(classes, RejectionBackoff::default());
+    }
+
+    /// Forgets failures and rejections: a new process has started.
+    pub(super) fn reset(&mut self) {
+        self.failures = 0;
+        self.rejections.fill(RejectionBackoff::default());
+    }
+
+    /// Recent failures.
+    pub(super) fn failures(&self) -> u32 {
+        self.failures
+    }
+
+    /// Whether the pause after the last failure is over.
+    pub(super) fn probe_pause_is_over(&self, now: Micros) -> bool {
+        now >= self.probe_at
+    }
+
+    /// Whether the worker has shown after this time that it runs.
+    pub(super) fn has_shown_life_since(&self, time: Micros) -> bool {
+        self.last_sign_of_life > time
+    }
+
+    /// The worker has shown that it runs.
+    pub(super) fn record_sign_of_life(&mut self, now: Micros) {
+        self.last_sign_of_life = now;
+    }
+
+    /// Whether the worker has not rejected this class recently.
+    pub(super) fn accepts(&self, class: usize, now: Micros) -> bool {
+        self.rejections.get(class).is_none_or(|backoff| backoff.until <= now)
+    }
+
+    /// Whether the worker has rejected any class recently.
+    pub(super) fn has_rejected(&self, now: Micros) -> bool {
+        self.rejections.iter().any(|backoff| backoff.until > now)
+    }
+
+    /// A job of this class was served. True if it clears the worker of failures, which a late answer does
+    /// not.
+    pub(super) fn record_success(&mut self, class: usize, now: Micros, in_time: bool) -> bool {
+        self.record_sign_of_life(now);
+        if let Some(backoff) = self.rejections.get_mut(class) {
+            backoff.rejections = backoff.rejections.saturating_sub(1);
+        }
+        in_time && std::mem::take(&mut self.failures) > 0
+    }
+
+    /// A job of this class was rejected; other classes may still be accepted.
+    pub(super) fn record_rejection(&mut self, class: usize, now: Micros, lost_the_job: bool) {
+        if let Some(backoff) = self.rejections.get_mut(class) {
+            let rejections = backoff.rejections + 1;
+            let doublings = rejections + LOSSY_REJECTION_DOUBLINGS * u32::from(lost_the_job);
+            backoff.rejections = rejections.min(MAX_FAILURES);
+            backoff.until = now + (PROBE_INTERVAL << doublings);
         }
     }
 
-    pub(super) fn sound(&self, id: WorkerId) -> bool {
-        self.excess(self.worker(id)) == 0
+    fn record_failure(&mut self, now: Micros, common_failures: u32) {
+        self.failures = (self.failures + 1).min(MAX_FAILURES);
+        self.probe_at = now + (PROBE_INTERVAL << self.failures.saturating_sub(common_failures));
+    }
+}
+
+/// Judges the failures of a worker by those of the others: a fault that all share is no one's in particular.
+#[derive(Default)]
+pub(super) struct HealthTracker {
+    /// The failures of the median worker.
+    common_failures: u32,
+}
+
+impl HealthTracker {
+    /// Sets the failures that are common from those of each worker in use.
+    pub(super) fn update_common_failures(&mut self, mut failures: Vec<u32>) {
+        failures.sort_unstable();
+        self.common_failures = failures.get(failures.len() / 2).copied().unwrap_or(0);
+    }
+
+    /// The failures of a worker beyond the common ones.
+    pub(super) fn excess_failures(&self, worker: &Worker) -> u32 {
+        worker.health.failures().saturating_sub(self.common_failures)
     }
 
-    /// Whether a worker is of the kind that runs this class.
-    pub(super) fn runs(&self, id: WorkerId, class: usize) -> bool {
-        self.settings.classes[class].worker_kind.is_none_or(|k| k == self.worker(id).entry.kind)
+    /// Whether a worker has failed no more than the median one.
+    pub(super) fn is_healthy(&self, worker: &Worker) -> bool {
+        self.excess_failures(worker) == 0
     }
 
-    /// Whether a worker runs this class and has not turned it away of late.
-    pub(super) fn takes(&self, id: WorkerId, class: usize, now: Micros) -> bool {
-        self.runs(id, class) && self.worker(id).full.get(class).is_none_or(|f| f.1 <= now)
+    /// Counts a failure of a worker.
+    pub(super) fn record_failure(&self, worker: &mut Worker, now: Micros) {
+        worker.health.record_failure(now, self.common_failures);
     }
+}
+
+/// What the end of an attempt says of its worker.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum WorkerEvidence {
+    /// It served the job.
+    Served,
+    /// Nothing.
+    Neutral,
+    /// It lives, and its queue is as long as the job has waited.
+    Queueing,
+    /// Its queue is full.
+    Full,
+    /// It failed.
+    Failed,
+}
 
-    /// Whether one job may try a worker that has failed: nothing else would show that it is back.
-    pub(super) fn trial_due(&self, r: &Request, id: WorkerId, now: Micros) -> bool {
-        let w = self.worker(id);
-        let left = r.wanted.saturating_sub(now) as f64 - r.size / self.epc(w, r.class);
-        self.excess(w) > 0
-            && now >= w.trial_at
-            && w.in_flight.is_empty()
-            && w.wait_now(r.class, now, 0.0) <= left.max(0.0)
+impl WorkerEvidence {
+    /// Judges an attempt that ended now by what the worker has shown since.
+    pub(super) fn of(worker: &Worker, attempt: &Attempt, outcome: Outcome, now: Micros) -> WorkerEvidence {
+        let health = &worker.health;
+        match outcome {
+            Outcome::Ok => WorkerEvidence::Served,
+            Outcome::Rejected => WorkerEvidence::Full,
+            Outcome::NotSent | Outcome::InvalidRequest => WorkerEvidence::Neutral,
+            // The connection broke. If the worker is dead as well, the next connect will show it.
+            Outcome::Reset if health.has_shown_life_since(now - ALIVE_INTERVAL) => WorkerEvidence::Neutral,
+            Outcome::Timeout if answer_was_lost(worker, attempt) => WorkerEvidence::Neutral,
+            Outcome::Cancelled => Self::of_withdrawn(worker, attempt, now),
+            _ => WorkerEvidence::Failed,
+        }
     }
+
+    fn of_withdrawn(worker: &Worker, attempt: &Attempt, now: Micros) -> WorkerEvidence {
+        if attempt.started_at.is_some() || now - attempt.sent_at < 3 * START_GRACE {
+            return WorkerEvidence::Neutral;
+        }
+        if worker.health.has_shown_life_since(attempt.sent_at) {
+            return WorkerEvidence::Queueing;
+        }
+        WorkerEvidence::Failed
+    }
+}
+
+/// Whether the worker has shown life after the time at which the attempt should have ended.
+fn answer_was_lost(worker: &Worker, attempt: &Attempt) -> bool {
+    attempt.started_at.is_some_and(|started_at| {
+        worker.health.has_shown_life_since(started_at + LOST_ANSWER_FACTOR * attempt.size as Micros)
+    })
 }
--- /dev/null
+++ b/crates/dispatcher/src/dispatcher/observations.rs
@@ -0,0 +1,108 @@
+//! What start notices, attempt ends and load reports say of a worker.
+
+use crate::dispatcher::Dispatcher;
+use crate::dispatcher::attempt::{Attempt, AttemptId};
+use crate::dispatcher::health::WorkerEvidence;
+use crate::interface::{Idempotency, Micros, Outcome, WorkerId};
+
+/// How many times its estimate a worker's capacity is taken to be at most, after one job.
+const MAX_CAPACITY_JUMP: f64 = 4.0;
+/// The most free slots that a load report is believed.
+const MAX_REPORTED_SLOTS: f64 = 1024.0;
+
+impl Dispatcher {
+    /// A worker has started a job.
+    pub(super) fn on_attempt_started(&mut self, now: Micros, id: AttemptId) {
+        let worker = self.workers.get_mut(id.worker);
+        worker.health.record_sign_of_life(now);
+        let Some(attempt) = worker.attempt_mut(id) else { return };
+        if attempt.started_at.is_none() {
+            attempt.started_at = Some(now);
+            let (class, waited) = (attempt.class, attempt.waited(now));
+            self.record_wait(now, id.worker, class, waited);
+        }
+        let running = self.workers.get(id.worker).running_slots();
+        self.workers.kind_mut(id.worker).record_running(running);
+    }
+
+    /// A load report came with an answer: how many slots are free, at some earlier time.
+    pub(super) fn on_load_report(&mut self, id: WorkerId, report: &[f64]) {
+        let field = self.settings.report_fields.free_slots;
+        let Some(&free) = field.and_then(|index| report.get(index)) else { return };
+        if !(0.0..=MAX_REPORTED_SLOTS).contains(&free) {
+            return;
+        }
+        let fair_share = self.context().fair_share();
+        let used = self.workers.get_mut(id).outstanding_slots();
+        self.workers.kind_mut(id).record_free_slots(free, used, fair_share);
+    }
+
+    /// Counts what the end of an attempt says of its worker.
+    pub(super) fn record_attempt_end(
+        &mut self,
+        now: Micros,
+        attempt: &Attempt,
+        outcome: Outcome,
+        elapsed: Micros,
+    ) {
+        let id = attempt.id.worker;
+        match WorkerEvidence::of(self.workers.get(id), attempt, outcome, now) {
+            WorkerEvidence::Neutral => {}
+            WorkerEvidence::Served => self.record_served(now, attempt, elapsed),
+            WorkerEvidence::Queueing => {
+                self.workers.get_mut(id).raise_wait(attempt.class, now, attempt.waited(now));
+            }
+            WorkerEvidence::Full => self.record_rejection(now, attempt),
+            WorkerEvidence::Failed => self.record_failure(now, attempt, outcome),
+        }
+    }
+
+    /// A worker in slow start that is slower than this explains is slow, and its record says so; one that is
+    /// faster shows nothing.
+    fn record_served(&mut self, now: Micros, attempt: &Attempt, elapsed: Micros) {
+        let id = attempt.id.worker;
+        let worker = self.workers.get(id);
+        let fraction = self.context().capacity_fraction(worker, now);
+        let estimate = worker.capacity.of_class(attempt.class);
+        let limit = if fraction < 1.0 { estimate } else { MAX_CAPACITY_JUMP * estimate };
+        let capacity = (attempt.size / elapsed.max(1) as f64 / fraction).min(limit);
+        let in_time = now <= attempt.useful_until;
+        if self.workers.get_mut(id).health.record_success(attempt.class, now, in_time) {
+            self.subset.invalidate_members();
+        }
+        self.capacity.observe(&mut self.workers, id, attempt.class, capacity, fraction >= 1.0);
+        self.ranking.invalidate();
+    }
+
+    /// A full queue is taken to be longer than the job could have waited, however fast the rejection was.
+    fn record_rejection(&mut self, now: Micros, attempt: &Attempt) {
+        let idempotency = self.settings.classes[attempt.class].idempotency;
+        let lost_the_job =
+            self.settings.limits.rejection_may_have_run && idempotency == Idempotency::NotIdempotent;
+        let longest_wait = attempt.useful_until.saturating_sub(now) as f64;
+        let worker = self.workers.get_mut(attempt.id.worker);
+        worker.raise_wait(attempt.class, now, longest_wait);
+        worker.health.record_rejection(attempt.class, now, lost_the_job);
+        self.subset.invalidate_members();
+    }
+
+    fn record_failure(&mut self, now: Micros, attempt: &Attempt, outcome: Outcome) {
+        let id = attempt.id.worker;
+        // Where many dispatchers share a worker, each sees few starts, and only of jobs that did start.
+        let timed_out_in_queue = outcome == Outcome::Timeout && attempt.started_at.is_none();
+        if timed_out_in_queue && self.workers.excess_zone_groups() > 0.0 {
+            self.record_wait(now, id, attempt.class, attempt.waited(now));
+        }
+        self.subset.invalidate_members();
+        self.health.record_failure(self.workers.get_mut(id), now);
+    }
+
+    /// A job of this class has waited so long at a worker, for its start or in vain.
+    fn record_wait(&mut self, now: Micros, id: WorkerId, class: usize, waited: f64) {
+        let in_slow_start = self.context().capacity_fraction(self.workers.get(id), now) < 1.0;
+        self.workers.get_mut(id).record_wait(class, now, waited);
+        if !in_slow_start {
+            self.workers.kind_mut(id).record_wait(class, waited);
+        }
+    }
+}
--- a/crates/dispatcher/src/dispatcher/admission.rs
+++ b/crates/dispatcher/src/dispatcher/pending.rs
@@ -1,6 +1,8 @@
-//! Requests that are held until a worker has room.
+//! When requests are queued, and when they leave the queue for a worker.
 
-use super::*;
+use crate::dispatcher::Dispatcher;
+use crate::dispatcher::request::MAX_HINT_ERROR;
+use crate::interface::{Action, Micros, RequestId};
 
 /// Pending requests that may find no room before the search stops: the next would mostly find none either.
 const MAX_FAILED_PLACEMENTS: usize = 3;
@@ -8,22 +10,26 @@
 impl Dispatcher {
     /// Queues a request; its times may err by what a hint may.
     pub(super) fn enqueue(&mut self, now: Micros, id: RequestId) {
-        let Some(r) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(&id) else { return };
         let start_by = self.latest_start(id);
-        let margin = r.wanted - r.aim + ((HINT_ERROR - 1.0) * (r.wanted - start_by) as f64) as Micros;
+        let hint_margin = (MAX_HINT_ERROR - 1.0) * (request.useful_until - start_by) as f64;
+        let margin = request.useful_until - request.objective_until + hint_margin as Micros;
         self.pending.enqueue(now, id, start_by, margin);
     }
 
-    /// The last moment at which a held request could be sent and be in time.
+    /// The last moment at which the fastest worker could start a request and finish it in time.
     pub(super) fn latest_start(&self, id: RequestId) -> Micros {
-        let Some(r) = self.requests.get(&id) else { return 0 };
-        let best = self.order[r.class].first().map_or(1.0, |&w| self.epc(self.worker(w), r.class));
-        (r.wanted - (r.size / best) as Micros).min(r.due)
+        let Some(request) = self.requests.get(&id) else { return 0 };
+        let fastest = self.ranking.of_class(request.class).first();
+        let capacity =
+            fastest.map_or(1.0, |&worker| self.workers.get(worker).capacity.of_class(request.class));
+        (request.useful_until - (request.size / capacity) as Micros).min(request.deadline)
     }
 
     /// Sends pending requests to workers that have room, the most urgent first, until some find none.
     pub(super) fn place_pending(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        if !self.set.iter().any(|&id| self.room(id, now)) {
+        let context = self.context();
+        if !self.subset.members().iter().any(|&worker| context.has_room(worker, now)) {
             return;
         }
         while let Some(id) = self.pending.pop_late(now) {
@@ -33,7 +39,7 @@
         while position < MAX_FAILED_PLACEMENTS
             && let Some(id) = self.pending.get(position)
         {
-            if let Some(worker) = self.pick(id, now) {
+            if let Some(worker) = self.choose_worker(id, now) {
                 self.pending.remove_at(position);
                 self.send(now, id, worker, actions);
             } else {
--- a/crates/dispatcher/src/dispatcher/permission.rs
+++ b/crates/dispatcher/src/dispatcher/permission.rs
@@ -1,36 +1,45 @@
-//! The rules that every send keeps: attempts, windows of repeats, zones, draining workers.
+//! The rules that every send keeps: the number of attempts, idempotency windows and scopes, draining workers.
 
-use super::*;
+use crate::dispatcher::context::DecisionContext;
+use crate::dispatcher::request::Request;
+use crate::interface::{Idempotency, Micros, Scope, WorkerId};
 
-impl Dispatcher {
-    /// Whether the request may have a further attempt at all.
-    pub(super) fn may_try_again(&self, r: &Request, now: Micros) -> bool {
-        r.attempts < self.settings.limits.max_attempts.max(1) && !r.spent && now < self.repeat_until(r)
+impl DecisionContext<'_> {
+    /// Whether a request may have a further attempt at all.
+    pub(super) fn may_retry(&self, request: &Request, now: Micros) -> bool {
+        request.attempts < self.settings.limits.max_attempts.max(1)
+            && !request.body_consumed
+            && now < self.send_by(request)
     }
 
-    /// Until when the request may be sent; a link that comes up later must not carry it.
-    pub(super) fn repeat_until(&self, r: &Request) -> Micros {
-        match (self.settings.classes[r.class].idempotency, r.ran) {
+    /// Until when a request may be sent; a connection that is made later must not carry it.
+    pub(super) fn send_by(&self, request: &Request) -> Micros {
+        match (self.class(request).idempotency, request.first_execution) {
             (Idempotency::NotIdempotent, Some(_)) => Micros::MIN,
-            (Idempotency::Keyed { window, .. }, Some((_, at))) => at.saturating_add(window),
+            (Idempotency::Keyed { window, .. }, Some(first)) => first.sent_at.saturating_add(window),
             _ => Micros::MAX,
         }
     }
 
-    /// Whether this send keeps the rules. The request may still have one attempt out, to be withdrawn first.
-    pub(super) fn may_send(&self, r: &Request, id: WorkerId, now: Micros) -> bool {
-        let w = self.worker(id);
-        if !w.ready() || !self.may_try_again(r, now) {
-            return false;
-        }
-        if let Idempotency::Keyed { scope, .. } = self.settings.classes[r.class].idempotency
-            && let Some(first) = r.ran.map(|ran| ran.0).or(r.out.map(|out| out.0))
-        {
-            let (f, w) = (&self.worker(first).entry, &w.entry);
-            if scope == Scope::Zone && f.zone != w.zone || scope == Scope::Cell && f.cell != w.cell {
-                return false;
-            }
+    /// Whether a send to this worker keeps the rules. The request may still have one outstanding attempt,
+    /// which is withdrawn first.
+    pub(super) fn may_send(&self, request: &Request, id: WorkerId, now: Micros) -> bool {
+        self.workers.get(id).is_ready()
+            && self.may_retry(request, now)
+            && self.is_within_scope(request, id)
+            && self.has_slow_start_budget(id, self.slow_start_cost(request), now)
+    }
+
+    /// Whether a worker drops a repeat of a keyed request, going by the one that had it first.
+    fn is_within_scope(&self, request: &Request, id: WorkerId) -> bool {
+        let Idempotency::Keyed { scope, .. } = self.class(request).idempotency else { return true };
+        let executed = request.first_execution.map(|first| first.worker);
+        let Some(first) = executed.or(request.outstanding.map(|attempt| attempt.worker)) else { return true };
+        let (first, entry) = (&self.workers.get(first).entry, &self.workers.get(id).entry);
+        match scope {
+            Scope::All => true,
+            Scope::Zone => first.zone == entry.zone,
+            Scope::Cell => first.cell == entry.cell,
         }
-        self.cold_budget(id, self.cold_cost(r), now)
     }
 }
--- /dev/null
+++ b/crates/dispatcher/src/dispatcher/request.rs
@@ -0,0 +1,48 @@
+//! A request that has no final answer yet.
+
+use crate::dispatcher::attempt::AttemptId;
+use crate::interface::{Micros, WorkerId};
+
+/// How many times too long a job's expected running time may be.
+pub(super) const MAX_HINT_ERROR: f64 = 2.0;
+
+/// The first attempt of a request that its worker may have executed.
+#[derive(Clone, Copy)]
+pub(super) struct FirstExecution {
+    pub(super) worker: WorkerId,
+    pub(super) sent_at: Micros,
+}
+
+/// What the dispatcher knows of a request.
+#[derive(Default)]
+pub(super) struct Request {
+    pub(super) class: usize,
+    /// The expected running time on a standard core, in microseconds.
+    pub(super) size: f64,
+    /// The size was given with the request, rather than assumed.
+    pub(super) has_work_hint: bool,
+    /// The slots that it takes.
+    pub(super) slots: f64,
+    /// 0 for none.
+    pub(super) affinity_key: u64,
+    /// When the client stops waiting.
+    pub(super) deadline: Micros,
+    /// When the latency objective ends.
+    pub(super) objective_until: Micros,
+    /// An answer after this time is worth nothing: the objective's end or, where late answers count, the
+    /// deadline.
+    pub(super) useful_until: Micros,
+    /// The attempts that were sent.
+    pub(super) attempts: u32,
+    /// The attempt without an outcome.
+    pub(super) outstanding: Option<AttemptId>,
+    /// The outstanding attempt was withdrawn.
+    pub(super) is_withdrawn: bool,
+    /// Its answer has begun.
+    pub(super) is_streaming: bool,
+    /// Its body can't be sent again.
+    pub(super) body_consumed: bool,
+    pub(super) first_execution: Option<FirstExecution>,
+    /// The workers it was sent to.
+    pub(super) tried: Vec<WorkerId>,
+}
--- a/crates/dispatcher/src/dispatcher/requests.rs
+++ b/crates/dispatcher/src/dispatcher/requests.rs
@@ -1,53 +1,76 @@
 //! The life of a request: its arrival, its attempts and their ends, its one final answer.
 
-use super::*;
+use crate::dispatcher::Dispatcher;
+use crate::dispatcher::attempt::{Attempt, AttemptId, AttemptResult, START_GRACE};
+use crate::dispatcher::health::MAX_FAILURES;
+use crate::dispatcher::request::{FirstExecution, Request};
+use crate::interface::{Action, Arrival, Idempotency, Micros, Outcome, RequestId, Scope, WorkerId};
 
-/// β as a share of T_init. With `R_MAX` it leaves half of T_init, so a time-out never shrinks to nothing.
-const BETA: f64 = 0.125;
-/// The keys that a worker is taken to keep for each slot.
-const KEPT_PER_SLOT: f64 = 1.3;
+/// The paper's β, relative to T_init. With [`MAX_FAILURES`] it leaves half of T_init at least.
+const FAILURE_TIMEOUT_REDUCTION: f64 = 0.125;
+const _: () = assert!(FAILURE_TIMEOUT_REDUCTION * MAX_FAILURES as f64 <= 0.5);
+/// The share of the slack after which an attempt that has not started is looked at.
+const SLACK_SHARE: f64 = 0.5;
+/// The least time before an attempt that has not started is looked at.
+const MIN_START_TIMEOUT: Micros = 3 * START_GRACE;
+/// The largest size of a job that is believed, in microseconds on a standard core.
+const MAX_SIZE: f64 = 1e12;
+/// The most slots that a job is believed to take.
+const MAX_SLOTS: f64 = 1024.0;
 
 impl Dispatcher {
-    pub(super) fn on_arrival(&mut self, now: Micros, a: Arrival, actions: &mut Vec<Action>) {
-        let class = a.class.min(self.settings.classes.len() - 1);
+    /// Takes a request in, and sends or queues it.
+    pub(super) fn on_arrival(&mut self, now: Micros, arrival: &Arrival, actions: &mut Vec<Action>) {
+        let request = self.admit(now, arrival);
+        let size = request.size;
+        self.requests.insert(arrival.request, request);
+        self.affinity.record_arrival(arrival.affinity_key);
+        self.arrivals.record(now, size);
+        self.subset.follow_load(&self.arrivals);
+        self.retry_budget.record_arrival();
+        self.place(now, arrival.request, actions);
+    }
+
+    /// A request from its arrival, with what is assumed where the arrival does not tell.
+    fn admit(&mut self, now: Micros, arrival: &Arrival) -> Request {
+        let class = arrival.class.min(self.settings.classes.len() - 1);
+        let hint = arrival.work_hint.filter(|&hint| hint > 0).map(|hint| hint as f64);
+        let size = hint.unwrap_or(self.arrivals.largest_lane_size().max(1.0)).min(MAX_SIZE);
+        let first_sent_at = self.first_client_send(now, arrival, class);
         let spec = &self.settings.classes[class];
-        let hint = a.work_hint.filter(|&h| h > 0).map(|h| h as f64);
-        let size = hint.unwrap_or(self.arrivals.largest_lane_size().max(1.0)).min(1e12);
-        // A client's further tries count from its first, by `due`; one that marks none may be in a hurry.
-        let patience = self.arrivals.record_patience(class, a.deadline.saturating_sub(now));
-        let first = self.settings.marks_retry && !a.is_retry;
-        let origin = if first { now } else { now.min(a.deadline.saturating_sub(patience)) };
-        let aim = origin
+        let objective_until = first_sent_at
             .saturating_add(spec.latency_objective)
             .saturating_add((spec.objective_stretch * size) as Micros)
-            .min(a.deadline);
-        let wanted = if spec.late_fraction > 0.0 { a.deadline } else { aim };
-        let request = Request {
+            .min(arrival.deadline);
+        let useful_until = if spec.late_fraction > 0.0 { arrival.deadline } else { objective_until };
+        Request {
             class,
             size,
-            key: a.affinity_key,
-            hinted: hint.is_some(),
-            width: if a.slots.is_finite() { a.slots.clamp(0.0, 1024.0) } else { 1.0 },
-            due: a.deadline,
-            aim,
-            wanted,
-            spent: !a.body_sendable,
+            has_work_hint: hint.is_some(),
+            slots: if arrival.slots.is_finite() { arrival.slots.clamp(0.0, MAX_SLOTS) } else { 1.0 },
+            affinity_key: arrival.affinity_key,
+            deadline: arrival.deadline,
+            objective_until,
+            useful_until,
+            body_consumed: !arrival.body_sendable,
             ..Request::default()
-        };
-        self.requests.insert(a.request, request);
-        self.recent.push_back(a.affinity_key);
-        self.recent.drain(..self.recent.len().saturating_sub(SHARE_HISTORY));
-        self.note_arrival(now, size);
-        self.retry_budget.record_arrival();
-        self.place(now, a.request, actions);
+        }
     }
 
-    /// Sends a request on, or holds it.
-    pub(super) fn place(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id) else { return };
-        if now >= r.due || !self.may_try_again(r, now) {
+    /// When the client sent the request first, for a client's retries count from there. Where it may be a
+    /// retry, the deadline and the longest patience of its class tell.
+    fn first_client_send(&mut self, now: Micros, arrival: &Arrival, class: usize) -> Micros {
+        let patience = self.arrivals.record_patience(class, arrival.deadline.saturating_sub(now));
+        let is_first = self.settings.marks_retry && !arrival.is_retry;
+        if is_first { now } else { now.min(arrival.deadline.saturating_sub(patience)) }
+    }
+
+    /// Sends a request, queues it, or gives it up.
+    fn place(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else { return };
+        if now >= request.deadline || !self.context().may_retry(request, now) {
             self.give_up(id, actions);
-        } else if let Some(worker) = self.pick(id, now) {
+        } else if let Some(worker) = self.choose_worker(id, now) {
             self.send(now, id, worker, actions);
         } else {
             self.enqueue(now, id);
@@ -55,99 +78,118 @@
         }
     }
 
-    pub(super) fn send(&mut self, now: Micros, id: RequestId, worker: WorkerId, actions: &mut Vec<Action>) {
-        let w = self.worker(worker);
-        let Some(r) = self.requests.get(&id) else { return };
-        // T = T_init − β·R: half of the slack this job has, so that another worker can still be in time.
-        let slack = r.wanted.saturating_sub(now) as f64 - r.size / self.penalised(w, r.class, now);
-        let t = (slack / 2.0 * (1.0 - BETA * self.excess(w) as f64)) as Micros;
-        let check = (now + t.max(3 * START_GRACE)).min(r.due);
-        let (cold, before) = (self.warmth(w, now) < 1.0, self.repeat_until(r));
-        let debt = if cold { self.cold_debt(worker, now).max(0.0) + self.cold_cost(r) } else { 0.0 };
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        let (request, number, started) = (id, r.attempts, None);
-        let Request { class, size, width, wanted, key, .. } = *r;
-        r.attempts += 1;
-        r.out = Some((worker, number));
-        r.cancelled = false;
-        r.tried.push(worker);
-        let kept = (KEPT_PER_SLOT * self.kind(self.worker(worker)).slots).ceil() as usize;
-        let w = &mut self.workers[worker.0 as usize];
-        w.keys.sent(key, kept);
-        w.in_flight.push(Attempt { request, number, class, size, width, sent: now, wanted, started });
-        w.cold = (debt, now);
-        actions.push(Action::Send { request, worker, timeout: 0, send_by: before });
-        self.timers.schedule(id, check);
-    }
-
-    pub(super) fn attempt(&mut self, (request, number, worker): Sent) -> Option<&mut Attempt> {
-        self.worker_mut(worker).in_flight.iter_mut().find(|a| a.request == request && a.number == number)
+    /// Sends a request to a worker.
+    pub(super) fn send(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        worker_id: WorkerId,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let context = self.context();
+        let check_at = self.start_timeout_at(now, request, worker_id);
+        let send_by = context.send_by(request);
+        let debt = context.debt_after_send(worker_id, request, now);
+        let slots = self.workers.kind(self.workers.get(worker_id)).slots();
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let attempt = begin_attempt(now, id, request, worker_id);
+        let worker = self.workers.get_mut(worker_id);
+        worker.cached_keys.record_sent(request.affinity_key, slots);
+        worker.in_flight.push(attempt);
+        worker.slow_start_debt = debt;
+        actions.push(Action::Send { request: id, worker: worker_id, timeout: 0, send_by });
+        self.timers.schedule(id, check_at);
     }
 
-    pub(super) fn on_started(&mut self, now: Micros, sent: Sent) {
-        let worker = sent.2;
-        self.worker_mut(worker).alive = now;
-        let Some(a) = self.attempt(sent) else { return };
-        if a.started.is_none() {
-            a.started = Some(now);
-            let (class, waited) = (a.class, (now - a.sent) as f64);
-            self.note_wait(now, worker, class, waited);
-        }
-        let w = self.worker_mut(worker);
-        let running: f64 = w.in_flight.iter().filter(|a| a.started.is_some()).map(|a| a.width).sum();
-        let kind = w.entry.kind;
-        self.kinds[kind].slots = self.kinds[kind].slots.max(running);
+    /// When an attempt that has not started is looked at: T = T_init − β·R, where T_init is half of the
+    /// slack that the job has, so that another worker can still be in time.
+    fn start_timeout_at(&self, now: Micros, request: &Request, worker_id: WorkerId) -> Micros {
+        let context = self.context();
+        let worker = self.workers.get(worker_id);
+        let run = request.size / context.penalised_capacity(worker, request.class, now);
+        let slack = request.useful_until.saturating_sub(now) as f64 - run;
+        let reduction = FAILURE_TIMEOUT_REDUCTION * self.health.excess_failures(worker) as f64;
+        let timeout = (slack * SLACK_SHARE * (1.0 - reduction)) as Micros;
+        (now + timeout.max(MIN_START_TIMEOUT)).min(request.deadline)
     }
 
-    pub(super) fn on_outcome(
+    /// An attempt has ended: its worker is judged by it, and its request answered, retried or given up.
+    pub(super) fn on_attempt_ended(
         &mut self,
         now: Micros,
-        sent: Sent,
-        end: (Outcome, Micros, bool),
-        to: &mut Vec<Action>,
+        id: AttemptId,
+        result: &AttemptResult,
+        actions: &mut Vec<Action>,
     ) {
-        let ((id, number, worker), (outcome, took, closed)) = (sent, end);
-        let w = self.worker_mut(worker);
-        if let Some(i) = w.in_flight.iter().position(|a| a.request == id && a.number == number) {
-            let attempt = w.in_flight.swap_remove(i);
-            self.learn(now, worker, &attempt, outcome, took);
+        if let Some(attempt) = self.workers.get_mut(id.worker).take_attempt(id) {
+            self.record_attempt_end(now, &attempt, result.outcome, result.elapsed);
         }
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        let last = r.out.take_if(|out| *out == (worker, number)).is_some();
-        if closed {
-            return self.forget(id, to);
+        let Some(request) = self.requests.get_mut(&id.request) else { return };
+        let was_outstanding = request.outstanding.take_if(|outstanding| *outstanding == id).is_some();
+        if result.request_concluded {
+            return self.forget(id.request, actions);
         }
-        let Some(r) = self.requests.get_mut(&id).filter(|_| last) else { return };
-        let unseen = matches!(outcome, Outcome::ConnectFailed | Outcome::NotSent);
-        let never_ran =
-            unseen || outcome == Outcome::Rejected && !self.settings.limits.rejection_may_have_run;
-        r.ran = r.ran.or((!never_ran).then_some((worker, now - took)));
-        if matches!(outcome, Outcome::NotSent | Outcome::InvalidRequest) || now >= r.due {
-            self.give_up(id, to);
+        if !was_outstanding {
+            return;
+        }
+        if self.settings.limits.may_have_run(result.outcome) {
+            let execution = FirstExecution { worker: id.worker, sent_at: now - result.elapsed };
+            request.first_execution.get_or_insert(execution);
+        }
+        let is_unusable = matches!(result.outcome, Outcome::NotSent | Outcome::InvalidRequest);
+        if is_unusable || now >= request.deadline {
+            self.give_up(id.request, actions);
         } else {
-            self.place(now, id, to);
+            self.place(now, id.request, actions);
         }
     }
 
-    /// Ends a request without an answer from a worker: a refusal where that is harmless, else a failure.
+    /// Ends a request without an answer from a worker: a rejection where a repeat is harmless, else a
+    /// failure.
     pub(super) fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id) else { return };
-        let effect = self.settings.classes[r.class].idempotency;
-        // What can't be sent again is refused only where it never ran, so that a failure is told as one.
-        let again = matches!(effect, Idempotency::Idempotent | Idempotency::Keyed { scope: Scope::All, .. })
-            && !r.spent;
-        let refuse = again || r.out.is_none() && r.ran.is_none();
-        let (request, retry_after) = (id, self.settings.limits.max_retry_after);
-        actions.push(if refuse { Action::Reject { request, retry_after } } else { Action::Fail { request } });
+        let Some(request) = self.requests.get(&id) else { return };
+        let repeat_is_harmless = matches!(
+            self.settings.classes[request.class].idempotency,
+            Idempotency::Idempotent | Idempotency::Keyed { scope: Scope::All, .. }
+        );
+        let never_ran = request.outstanding.is_none() && request.first_execution.is_none();
+        // What can't be sent again is rejected only where it never ran, so that a failure is reported as one.
+        let answer = if repeat_is_harmless && !request.body_consumed || never_ran {
+            Action::Reject { request: id, retry_after: self.settings.limits.max_retry_after }
+        } else {
+            Action::Fail { request: id }
+        };
+        actions.push(answer);
         self.forget(id, actions);
     }
 
     /// Drops a request that has its final answer, and stops the work still outstanding for it.
     pub(super) fn forget(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(r) = self.requests.remove(&id) else { return };
+        let Some(request) = self.requests.remove(&id) else { return };
         self.timers.cancel(id);
         self.pending.remove(id);
-        let may = self.settings.limits.cancel && !r.streaming && !r.cancelled;
-        actions.extend(r.out.filter(|_| may).map(|(_, attempt)| Action::Cancel { request: id, attempt }));
+        let may_cancel = self.settings.limits.cancel && !request.is_streaming && !request.is_withdrawn;
+        if may_cancel && let Some(attempt) = request.outstanding {
+            actions.push(Action::Cancel { request: id, attempt: attempt.number });
+        }
+    }
+}
+
+/// The next attempt of a request, which is recorded in it.
+fn begin_attempt(now: Micros, id: RequestId, request: &mut Request, worker: WorkerId) -> Attempt {
+    let attempt_id = AttemptId { request: id, number: request.attempts, worker };
+    request.attempts += 1;
+    request.outstanding = Some(attempt_id);
+    request.is_withdrawn = false;
+    request.tried.push(worker);
+    Attempt {
+        id: attempt_id,
+        class: request.class,
+        size: request.size,
+        slots: request.slots,
+        sent_at: now,
+        useful_until: request.useful_until,
+        started_at: None,
     }
 }
--- a/crates/dispatcher/src/dispatcher/selection.rs
+++ b/crates/dispatcher/src/dispatcher/selection.rs
@@ -1,87 +1,184 @@
-//! The choice of a worker for a request: by the size of the job, one random rival, and the homes of its key.
+//! The choice of a worker for a request: by the size of the job, one random rival, and the affinity set of
+//! its key.
 
-use super::*;
+use crate::dispatcher::Dispatcher;
+use crate::dispatcher::cached_keys::KEY_FETCH_COST;
+use crate::dispatcher::context::DecisionContext;
+use crate::dispatcher::request::Request;
+use crate::interface::{Idempotency, Micros, RequestId, WorkerId};
 
-/// Homes of a key in a large zone, in what its share of the jobs would fill there.
-const HOMES: f64 = 3.0;
-/// The share of a fetch that a home is spared, as others' jobs, unseen, have brought the key there.
-const HOME_HAS: f64 = 0.9;
+/// The share of a fetch that a worker of the affinity set is spared, since jobs of other dispatchers, which
+/// are not seen here, have likely brought the key there.
+const AFFINITY_FETCH_DISCOUNT: f64 = 0.9;
 
 impl Dispatcher {
-    /// The lane of a job among `n`, 0 the smallest jobs: w_r = (1+…+r)/(1+…+n)·S_max.
-    pub(super) fn lane(&self, r: &Request, n: usize) -> usize {
-        if !r.hinted {
-            return n / 2;
+    /// The worker that a request is sent to now, or none if it had better wait.
+    pub(super) fn choose_worker(&mut self, id: RequestId, now: Micros) -> Option<WorkerId> {
+        let class = self.requests.get(&id)?.class;
+        let draw = self.rng.f64();
+        self.refresh_ranking(class, now);
+        let affinity_set = self.affinity_set(id, now);
+        let selection = Selection {
+            context: self.context(),
+            request: self.requests.get(&id)?,
+            affinity_set: &affinity_set,
+            is_most_urgent: self.pending.is_next(id),
+            now,
+        };
+        selection.choose(self.ranking.of_class(class), draw)
+    }
+}
+
+/// One choice of a worker.
+struct Selection<'a> {
+    context: DecisionContext<'a>,
+    request: &'a Request,
+    affinity_set: &'a [WorkerId],
+    /// No pending request is more urgent than this one.
+    is_most_urgent: bool,
+    now: Micros,
+}
+
+impl Selection<'_> {
+    /// Chooses among the ranked workers, the fastest first. `draw` is uniform in 0..1.
+    fn choose(&self, ranked: &[WorkerId], draw: f64) -> Option<WorkerId> {
+        let permitted = self.permitted(ranked);
+        if let Some(probed) = self.worker_to_probe(&permitted) {
+            return Some(probed);
+        }
+        let candidates = self.candidates(permitted);
+        let rival = *candidates.get((draw * candidates.len() as f64) as usize)?;
+        let lane_worker = candidates[candidates.len() - 1 - self.size_lane(candidates.len())];
+        let best = self.best_of_drawn(lane_worker, rival);
+        if self.is_free_for(best) {
+            return Some(best);
         }
-        let all = (n * (n + 1) / 2) as f64;
-        (1..n)
-            .find(|&x| r.size <= (x * (x + 1) / 2) as f64 / all * self.arrivals.largest_lane_size())
-            .map_or(n - 1, |x| x - 1)
+        self.best_with_room(candidates)
     }
 
-    /// A key's homes, nearest first, alike in a zone but for their number: as few places as its jobs fill.
-    pub(super) fn homes(&mut self, id: RequestId, now: Micros) -> Vec<WorkerId> {
-        let Some(key) = self.requests.get(&id).map(|r| r.key).filter(|key| *key != 0) else {
-            return Vec::new();
-        };
-        let others = self.recent.iter().filter(|&&k| k == key).count().saturating_sub(1);
-        let share = others as f64 / self.recent.len().max(SHARE_HISTORY / 5) as f64;
-        let n = (HOMES * share * self.beyond * ZONE).ceil().max(1.0) as usize;
-        let (order, is_new) = self.snapshot.homes(key, n, u64::from(self.settings.instance) + 1);
-        let order = order.to_vec();
-        if is_new {
-            order.iter().for_each(|&worker| self.estimate(worker));
+    /// The workers that the rules permit, without those that had the request if there are others.
+    fn permitted(&self, ranked: &[WorkerId]) -> Vec<WorkerId> {
+        let permitted: Vec<WorkerId> = ranked
+            .iter()
+            .copied()
+            .filter(|&worker| self.context.may_send(self.request, worker, self.now))
+            .collect();
+        let untried: Vec<WorkerId> =
+            permitted.iter().copied().filter(|worker| !self.request.tried.contains(worker)).collect();
+        if untried.is_empty() { permitted } else { untried }
+    }
+
+    /// A failed worker that is due for a half-open probe, where the loss of the attempt would be harmless.
+    fn worker_to_probe(&self, permitted: &[WorkerId]) -> Option<WorkerId> {
+        let may_repeat = self.context.class(self.request).idempotency != Idempotency::NotIdempotent;
+        if !may_repeat || self.request.attempts > 0 {
+            return None;
         }
-        let Some(r) = self.requests.get(&id) else { return Vec::new() };
-        let fit = |&w: &WorkerId| {
-            self.sound(w) && self.takes(w, r.class, now) && self.may_send(r, w, now) && !r.tried.contains(&w)
-        };
-        order.into_iter().filter(fit).take(looked_at(n, self.ready.len())).collect()
+        permitted.iter().copied().find(|&worker| self.is_probe_due(worker))
+    }
+
+    /// Whether one job may probe a worker that has failed: nothing else would show that it is back.
+    fn is_probe_due(&self, id: WorkerId) -> bool {
+        let worker = self.context.workers.get(id);
+        let class = self.request.class;
+        let time_left = self.request.useful_until.saturating_sub(self.now) as f64
+            - self.request.size / worker.capacity.of_class(class);
+        self.context.health.excess_failures(worker) > 0
+            && worker.health.probe_pause_is_over(self.now)
+            && worker.in_flight.is_empty()
+            && worker.current_wait(class, self.now, 0.0) <= time_left.max(0.0)
     }
 
-    /// Picks the worker for a request, or none if it is better held.
-    pub(super) fn pick(&mut self, id: RequestId, now: Micros) -> Option<WorkerId> {
-        let (class, draw) = (self.requests.get(&id)?.class, self.rng.f64());
-        self.rank(class, now);
-        let homes = self.homes(id, now);
-        let r = self.requests.get(&id)?;
-        let order = self.order[class].iter().copied();
-        let legal: Vec<WorkerId> = order.filter(|&w| self.may_send(r, w, now)).collect();
-        let untried: Vec<WorkerId> = legal.iter().copied().filter(|w| !r.tried.contains(w)).collect();
-        let fresh = if untried.is_empty() { legal } else { untried };
-        let first =
-            self.settings.classes[r.class].idempotency != Idempotency::NotIdempotent && r.attempts == 0;
-        if first && let Some(&w) = fresh.iter().find(|&&w| self.trial_due(r, w, now)) {
-            return Some(w);
+    /// The workers that are healthy and accept the class. If there are none, those that may be probed: that
+    /// is better than to send the request nowhere.
+    fn candidates(&self, permitted: Vec<WorkerId>) -> Vec<WorkerId> {
+        let candidates: Vec<WorkerId> = permitted
+            .iter()
+            .copied()
+            .filter(|&worker| self.context.is_healthy(worker))
+            .filter(|&worker| self.context.accepts_class(worker, self.request.class, self.now))
+            .collect();
+        if !candidates.is_empty() {
+            return candidates;
         }
-        let mut top: Vec<WorkerId> =
-            fresh.iter().copied().filter(|&w| self.sound(w) && self.takes(w, class, now)).collect();
-        if top.is_empty() {
-            // Everything is suspect: whatever may be tried again is better than nowhere.
-            top = fresh.into_iter().filter(|&w| self.trial_due(r, w, now)).collect();
+        permitted.into_iter().filter(|&worker| self.is_probe_due(worker)).collect()
+    }
+
+    /// The lane of the job by its size among `lanes`, 0 for the smallest jobs: the paper's thresholds
+    /// w_r = (1+…+r)/(1+…+n)·S_max. Larger jobs go to faster workers.
+    fn size_lane(&self, lanes: usize) -> usize {
+        if !self.request.has_work_hint {
+            return lanes / 2;
         }
-        // What would be late anyway takes an open worker only if nothing else waits for one.
-        let alone = self.pending.is_next(id);
-        let usual = |w| self.usual(self.worker(w), class, now);
-        let fit = |w| self.starts_at_once(r, w, now, usual(w)) && self.worth_sending(r, w, now, false);
-        let n = top.len();
-        let rival = *top.get((draw * n as f64) as usize)?;
-        let lane = top[n - 1 - self.lane(r, n)];
-        let spared = HOME_HAS * self.beyond / self.apart * FETCH * self.arrivals.mean_size();
-        let has = |w| homes.contains(&w) && !self.worker(w).keys.holds(r.key);
-        let ends = |w| self.ends(r, w, now) - if has(w) { spared } else { 0.0 };
-        let beside = |w| ends(w) + self.others(r, w, now);
-        let earlier = |a, b| if beside(b) < beside(a) { b } else { a };
-        let best = homes.iter().copied().fold(earlier(lane, rival), |a, b| earlier(b, a));
-        if fit(best) {
-            return Some(best);
+        let all = (lanes * (lanes + 1) / 2) as f64;
+        let threshold =
+            |lane: usize| (lane * (lane + 1) / 2) as f64 / all * self.context.arrivals.largest_lane_size();
+        (1..lanes).find(|&lane| self.request.size <= threshold(lane)).map_or(lanes - 1, |lane| lane - 1)
+    }
+
+    /// The best of the lane worker, its random rival and the affinity set.
+    fn best_of_drawn(&self, lane_worker: WorkerId, rival: WorkerId) -> WorkerId {
+        let mut best = self.cheaper(lane_worker, rival);
+        for &worker in self.affinity_set {
+            best = self.cheaper(worker, best);
         }
-        // The better one would start or end it late: the others are rivals too. A key is worth the wait.
-        let held = |w| homes.contains(&w) || self.worker(w).keys.holds(r.key);
-        let known = |w| r.key == 0 || held(w) || self.beyond > 0.0 && fit(w);
-        top.extend(homes.iter().filter(|w| !self.set.contains(w)));
-        let open = top.into_iter().filter(|&w| known(w) && self.room(w, now));
-        let (_, best) = open.map(|w| (ends(w), w)).min_by(|a, b| a.0.total_cmp(&b.0))?;
-        self.worth_sending(r, best, now, alone).then_some(best)
+        best
+    }
+
+    /// The one of lower cost, with the load of other dispatchers; the first of equals.
+    fn cheaper(&self, first: WorkerId, second: WorkerId) -> WorkerId {
+        if self.cost_with_hidden_wait(second) < self.cost_with_hidden_wait(first) { second } else { first }
+    }
+
+    /// Late knowledge of the others' load counts only between workers that were drawn: it is the same at all
+    /// dispatchers, which would otherwise follow it together.
+    fn cost_with_hidden_wait(&self, worker: WorkerId) -> f64 {
+        self.cost(worker) + self.context.hidden_wait(self.request, worker, self.now)
+    }
+
+    /// The cost of sending the request to a worker, in microseconds, less a fetch that it is likely spared.
+    fn cost(&self, worker: WorkerId) -> f64 {
+        let cost = self.context.cost_of_send(self.request, worker, self.now);
+        let cached = || self.context.workers.get(worker).cached_keys.contains(self.request.affinity_key);
+        let is_spared_fetch = self.affinity_set.contains(&worker) && !cached();
+        cost - if is_spared_fetch { self.affinity_discount() } else { 0.0 }
+    }
+
+    fn affinity_discount(&self) -> f64 {
+        let workers = self.context.workers;
+        AFFINITY_FETCH_DISCOUNT * workers.excess_zone_groups() / workers.zone_groups()
+            * KEY_FETCH_COST
+            * self.context.arrivals.mean_size()
+    }
+
+    /// Whether a worker would start the request at once and answer it in time.
+    fn is_free_for(&self, id: WorkerId) -> bool {
+        let worker = self.context.workers.get(id);
+        let expected_wait = self.context.expected_wait(worker, self.request.class, self.now);
+        self.context.starts_at_once(self.request, id, self.now, expected_wait)
+            && self.context.worth_sending(self.request, id, self.now, false)
+    }
+
+    /// The cheapest candidate or worker of the affinity set that has room. A request that would be late
+    /// anyway is sent only if nothing else waits.
+    fn best_with_room(&self, mut candidates: Vec<WorkerId>) -> Option<WorkerId> {
+        let members = self.context.subset.members();
+        candidates.extend(self.affinity_set.iter().filter(|worker| !members.contains(worker)));
+        let (_, best) = candidates
+            .into_iter()
+            .filter(|&worker| self.suits_key(worker) && self.context.has_room(worker, self.now))
+            .map(|worker| (self.cost(worker), worker))
+            .min_by(|left, right| left.0.total_cmp(&right.0))?;
+        self.context.worth_sending(self.request, best, self.now, self.is_most_urgent).then_some(best)
+    }
+
+    /// Whether a worker is likely to have the request's key: a key is worth a wait. In a large zone a
+    /// worker that is free does as well.
+    fn suits_key(&self, worker: WorkerId) -> bool {
+        let key = self.request.affinity_key;
+        key == 0
+            || self.affinity_set.contains(&worker)
+            || self.context.workers.get(worker).cached_keys.contains(key)
+            || self.context.workers.excess_zone_groups() > 0.0 && self.is_free_for(worker)
     }
 }
--- /dev/null
+++ b/crates/dispatcher/src/dispatcher/worker_list.rs
@@ -0,0 +1,45 @@
+//! What follows from an update of the worker list, or from its failure.
+
+use crate::dispatcher::{DISCOVERY_TIMER, Dispatcher};
+use crate::interface::{Action, WorkerEntry, WorkerListUpdate};
+
+impl Dispatcher {
+    /// Applies an update of the worker list.
+    pub(super) fn on_worker_list(&mut self, update: WorkerListUpdate, actions: &mut Vec<Action>) {
+        match update {
+            WorkerListUpdate::Failed => {
+                let delay = self.discovery_retry.next_pause(&mut self.rng);
+                actions.push(Action::SetTimer { delay, token: DISCOVERY_TIMER });
+                return;
+            }
+            WorkerListUpdate::Delta(entries) => {
+                self.apply_entries(entries);
+                self.discovery_retry.record_success();
+            }
+            WorkerListUpdate::Full(entries) => {
+                self.workers.remove_all();
+                self.apply_entries(entries);
+                self.discovery_retry.record_success();
+            }
+            WorkerListUpdate::Cached(entries) => {
+                self.workers.remove_all();
+                self.apply_entries(entries);
+                if self.settings.polls_discovery {
+                    actions.push(Action::WatchWorkerList);
+                } else {
+                    self.discovery_retry.record_success();
+                }
+            }
+        }
+        self.workers.update_totals();
+        self.subset.invalidate_nearest();
+    }
+
+    /// Each new process starts with a random slow-start debt, so that dispatchers take turns with it.
+    fn apply_entries(&mut self, entries: Vec<WorkerEntry>) {
+        for entry in entries {
+            let initial_debt = self.rng.f64() * self.arrivals.mean_size();
+            self.workers.apply(entry, initial_debt);
+        }
+    }
+}
--- a/crates/dispatcher/src/interface.rs
+++ b/crates/dispatcher/src/interface.rs
@@ -288,8 +288,8 @@
         /// The worker.
         worker: WorkerId,
     },
-    /// The last byte of an attempt with a long body was written: until now the worker waited for the job, not the
-    /// job for the worker.
+    /// The last byte of an attempt with a long body was written: until now the worker waited for the job,
+    /// not the job for the worker.
     RequestSent {
         /// The request.
         request: RequestId,
@@ -414,3 +414,14 @@
         worker_counts
     }
 }
+
+impl Limits {
+    /// Whether an attempt that ended so may have been executed by its worker.
+    pub(crate) fn may_have_run(&self, outcome: Outcome) -> bool {
+        match outcome {
+            Outcome::ConnectFailed | Outcome::NotSent => false,
+            Outcome::Rejected => self.rejection_may_have_run,
+            _ => true,
+        }
+    }
+}
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -74,8 +74,6 @@
 
 mod dispatcher;
 mod interface;
-mod nearest;
-mod record;
 
 pub use dispatcher::Dispatcher;
 pub use interface::*;
