--- a/crates/dispatcher/src/dispatcher/permission.rs
+++ b/crates/dispatcher/src/dispatcher/permission.rs
@@ -2,7 +2,7 @@
 
 use crate::dispatcher::context::DecisionContext;
 use crate::dispatcher::request::Request;
-use crate::interface::{Idempotency, Micros, Scope, WorkerId};
+use crate::interface::{Idempotency, Micros, Outcome, Scope, WorkerId};
 
 impl DecisionContext<'_> {
     /// Whether a request may have a further attempt at all.
@@ -21,6 +21,15 @@
         }
     }
 
+    /// Whether an attempt that ended so may have been executed by its worker.
+    pub(super) fn may_have_run(&self, outcome: Outcome) -> bool {
+        match outcome {
+            Outcome::ConnectFailed | Outcome::NotSent => false,
+            Outcome::Rejected => self.settings.limits.rejection_may_have_run,
+            _ => true,
+        }
+    }
+
     /// Whether a send to this worker keeps the rules. The request may still have one outstanding attempt,
     /// which is withdrawn first.
     pub(super) fn may_send(&self, request: &Request, id: WorkerId, now: Micros) -> bool {
--- a/crates/dispatcher/src/dispatcher/requests.rs
+++ b/crates/dispatcher/src/dispatcher/requests.rs
@@ -125,6 +125,7 @@
         if let Some(attempt) = self.workers.get_mut(id.worker).take_attempt(id) {
             self.record_attempt_end(now, &attempt, result.outcome, result.elapsed);
         }
+        let may_have_run = self.context().may_have_run(result.outcome);
         let Some(request) = self.requests.get_mut(&id.request) else { return };
         let was_outstanding = request.outstanding.take_if(|outstanding| *outstanding == id).is_some();
         if result.request_concluded {
@@ -133,7 +134,7 @@
         if !was_outstanding {
             return;
         }
-        if self.settings.limits.may_have_run(result.outcome) {
+        if may_have_run {
             let execution = FirstExecution { worker: id.worker, sent_at: now - result.elapsed };
             request.first_execution.get_or_insert(execution);
         }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -69,11 +69,15 @@
 //!     body_sendable: true,
 //! };
 //! dispatcher.handle(1_000, Event::Arrival(arrival), &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Send { worker: WorkerId(0), .. })));
+//! assert!(actions.iter().any(|action| matches!(action, Action::Send { worker: WorkerId(0), .. })));
 //! ```
 
 mod dispatcher;
 mod interface;
 
 pub use dispatcher::Dispatcher;
-pub use interface::*;
+pub use interface::{
+    Action, Arrival, Class, Event, Idempotency, Lifecycle, Limits, Micros, Outcome, Penalties, ReportFields,
+    RequestId, Scope, Settings, SlowStartRules, WorkerCounts, WorkerEntry, WorkerId, WorkerListUpdate,
+    WorkerStatus,
+};
--- a/crates/dispatcher/tests/limits.rs
+++ b/crates/dispatcher/tests/limits.rs
@@ -2,11 +2,21 @@
 
 use std::path::{Path, PathBuf};
 
-/// Lines of one file that hold something, and characters of one line.
-const LINES_MOST: usize = 250;
-const WIDTH_MOST: usize = 110;
-/// Files of the package that decide nothing.
-const BESIDE: [&str; 2] = ["crates/dispatcher/src/interface.rs", "crates/dispatcher/src/lib.rs"];
+/// The most lines of one file that are not blank.
+const MAX_LINES: usize = 250;
+/// The most characters of one line.
+const MAX_LINE_CHARACTERS: usize = 110;
+/// Files of the package that decide nothing: plain types and re-exports.
+const NOT_DECIDING: [&str; 8] = [
+    "crates/dispatcher/src/interface.rs",
+    "crates/dispatcher/src/interface/actions.rs",
+    "crates/dispatcher/src/interface/events.rs",
+    "crates/dispatcher/src/interface/ids.rs",
+    "crates/dispatcher/src/interface/settings.rs",
+    "crates/dispatcher/src/interface/status.rs",
+    "crates/dispatcher/src/interface/worker_list.rs",
+    "crates/dispatcher/src/lib.rs",
+];
 
 /// The source files in a directory and below it.
 fn sources(directory: &Path) -> Vec<PathBuf> {
@@ -23,7 +33,7 @@
     let mut deciding: Vec<String> = sources(&root.join("crates/dispatcher/src"))
         .iter()
         .map(|path| path.strip_prefix(&root).expect("below the root").display().to_string())
-        .filter(|name| !BESIDE.contains(&name.as_str()))
+        .filter(|name| !NOT_DECIDING.contains(&name.as_str()))
         .collect();
     named.sort_unstable();
     deciding.sort_unstable();
@@ -31,8 +41,8 @@
     for name in deciding {
         let text = std::fs::read_to_string(root.join(&name)).expect("a source");
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
-        assert!(lines <= LINES_MOST, "{name} has {lines} lines");
+        assert!(lines <= MAX_LINES, "{name} has {lines} lines");
         let widest = text.lines().map(|line| line.chars().count()).max().unwrap_or(0);
-        assert!(widest <= WIDTH_MOST, "{name} has a line of {widest} characters");
+        assert!(widest <= MAX_LINE_CHARACTERS, "{name} has a line of {widest} characters");
     }
 }
