--- a/crates/engine/src/body_admission.rs
+++ b/crates/engine/src/body_admission.rs
@@ -1,8 +1,8 @@
-//! BodyAdmission for long bodies on their way to boxes.
+//! Permits for long bodies that are sent to workers.
 //!
-//! A box is held for as long as a body takes to get there, and all bodies share one core and one network: more of them
-//! at once make each slower and hold more boxes, without any getting there sooner. Guards against a surge of long bodies
-//! that holds every box while small jobs wait.
+//! A worker is occupied for as long as the transfer of a body takes, and all transfers share one core and one network:
+//! more of them at once make each slower and occupy more workers, and none ends sooner. The permits guard against a surge
+//! of long bodies that occupies every worker while small jobs wait.
 
 use crate::tasks::Tasks;
 use async_io::Timer;
@@ -13,39 +13,39 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Long bodies that may begin their way at once.
-const PLACES: usize = 4;
-/// A place is given up after so long all the same: a client that sends slowly must not keep others out.
-const HELD: Duration = Duration::from_secs(1);
+/// The most long bodies with a permit at once.
+const MAX_CONCURRENT_BODIES: usize = 4;
+/// A permit is returned after this time in any case: a client that sends slowly must not keep others out.
+const PERMIT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The places.
+/// Admits long bodies, a few at a time.
 pub struct BodyAdmission {
-    free: Arc<Semaphore>,
+    semaphore: Arc<Semaphore>,
     tasks: Rc<Tasks>,
 }
 
-/// One of them; free again when dropped, or after a while.
+/// The right to send a long body; returned when dropped, or after [`PERMIT_TIMEOUT`].
 pub struct BodyPermit {
-    _held: Rc<RefCell<Option<SemaphoreGuardArc>>>,
+    _guard: Rc<RefCell<Option<SemaphoreGuardArc>>>,
 }
 
 impl BodyAdmission {
-    /// All permits are free.
+    /// An admission of which all permits are free; `tasks` runs the timeouts of the permits.
     pub fn new(tasks: Rc<Tasks>) -> BodyAdmission {
-        BodyAdmission { free: Arc::new(Semaphore::new(PLACES)), tasks }
+        BodyAdmission { semaphore: Arc::new(Semaphore::new(MAX_CONCURRENT_BODIES)), tasks }
     }
 
-    /// A place, in the order in which they were asked for; `None` where none is free by `deadline`.
+    /// Waits for a permit, in the order of the calls; `None` where none is free by `deadline`.
     pub async fn acquire(&self, deadline: Instant) -> Option<BodyPermit> {
-        let guard = timeout_at(deadline, self.free.acquire_arc()).await?;
-        let held = Rc::new(RefCell::new(Some(guard)));
-        let place = Rc::downgrade(&held);
+        let guard = timeout_at(deadline, self.semaphore.acquire_arc()).await?;
+        let guard = Rc::new(RefCell::new(Some(guard)));
+        let timed_guard = Rc::downgrade(&guard);
         self.tasks.spawn(async move {
-            Timer::after(HELD).await;
-            if let Some(place) = place.upgrade() {
-                place.borrow_mut().take();
+            Timer::after(PERMIT_TIMEOUT).await;
+            if let Some(guard) = timed_guard.upgrade() {
+                guard.borrow_mut().take();
             }
         });
-        Some(BodyPermit { _held: held })
+        Some(BodyPermit { _guard: guard })
     }
 }
--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -1,42 +1,42 @@
-//! The module's clock: Unix time in microseconds as it was at the start, and steady from there.
+//! The clock of the dispatcher's events: Unix time in microseconds at the start, and monotonic from there.
 //!
-//! The host group dates births in Unix time, so the module must count in it; but a clock that is set while
-//! the node runs must move no deadline.
+//! Discovery dates the starts of workers in Unix time, so events are dated in it; but a wall clock that is set while the
+//! node runs must move no deadline.
 
 use sorrelhaven_dispatcher::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A length of time as the sockets' timers take it; one below 0 is none.
+/// Converts a span in microseconds to a [`Duration`]; a negative one counts as zero.
 pub fn length(time: Micros) -> Duration {
     Duration::from_micros(time.max(0) as u64)
 }
 
-/// One clock for deadlines on sockets and for the module.
+/// Converts between the dispatcher's time and the [`Instant`]s of timers and sockets.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
-    unix: Micros,
+    unix_at_start: Micros,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// A clock that starts now, at the wall clock's time.
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix: unix.as_micros() as Micros }
+        Clock { start: Instant::now(), unix_at_start: unix.as_micros() as Micros }
     }
 
     /// The time now.
     pub fn now(&self) -> Micros {
-        self.unix + self.start.elapsed().as_micros() as Micros
+        self.unix_at_start + self.start.elapsed().as_micros() as Micros
     }
 
-    /// A point in time of the sockets' timers on this clock.
-    pub fn micros(&self, at: Instant) -> Micros {
-        self.unix + at.saturating_duration_since(self.start).as_micros() as Micros
+    /// Converts an instant to this clock's time; one before the start counts as the start.
+    pub fn micros(&self, instant: Instant) -> Micros {
+        self.unix_at_start + instant.saturating_duration_since(self.start).as_micros() as Micros
     }
 
-    /// The same point in time for the sockets' timers.
-    pub fn instant(&self, at: Micros) -> Instant {
-        self.start + length(at.saturating_sub(self.unix))
+    /// Converts a time of this clock to an instant; one before the start counts as the start.
+    pub fn instant(&self, time: Micros) -> Instant {
+        self.start + length(time.saturating_sub(self.unix_at_start))
     }
 }
--- a/crates/engine/src/count.rs
+++ b/crates/engine/src/count.rs
@@ -1,32 +1,32 @@
-//! Plain metrics that the operators read.
+//! The two kinds of metric that the engine keeps: a counter and a maximum.
 
 use std::cell::Cell;
 use std::time::Duration;
 
-/// A number that only rises.
+/// A counter that only rises.
 #[derive(Default)]
 pub struct Count(Cell<u64>);
 
 impl Count {
-    /// One more.
+    /// Adds one.
     pub fn add(&self) {
         self.0.set(self.0.get() + 1);
     }
 
-    /// The count so far.
+    /// The value so far.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
 }
 
-/// The longest of all spans noted so far.
+/// The longest of the durations noted so far.
 #[derive(Default)]
 pub struct Longest(Cell<Duration>);
 
 impl Longest {
-    /// Takes one span into account.
-    pub fn note(&self, span: Duration) {
-        self.0.set(self.0.get().max(span));
+    /// Takes one duration into account.
+    pub fn note(&self, duration: Duration) {
+        self.0.set(self.0.get().max(duration));
     }
 
     /// The longest so far, in microseconds.
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The parts of one node put together, without a front.
+//! Puts the parts of one node together, without its front ends.
 
 use crate::backoff::Backoff;
 use crate::body_admission::BodyAdmission;
@@ -21,31 +21,33 @@
 use sorrelhaven_body_store::{BodyStore, Disk, Permit};
 use sorrelhaven_config::{Config, DiscoveryList};
 use sorrelhaven_dispatcher::{Event, Idempotency, Lifecycle, WorkerId, WorkerListUpdate};
+use std::cell::RefCell;
+use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How often idle server links are looked through.
-const SWEEP: Duration = Duration::from_millis(500);
-/// What the protocol adds to each time limit on sockets.
-const DRAIN_SLACK: Duration = Duration::from_millis(50);
-/// A connection not made within this time has failed, where the settings do not say.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+/// How often expired upstream connections are closed.
+const EVICTION_INTERVAL: Duration = Duration::from_millis(500);
+/// The protocol's allowance on each time limit, added to a worker's drain grace.
+const DRAIN_GRACE_ALLOWANCE: Duration = Duration::from_millis(50);
+/// The limit on making a connection where the settings have none.
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One node without its fronts: takes jobs, answers each once.
+/// One node without its front ends: takes jobs and answers each once.
 pub struct Engine {
-    /// Where all tasks run.
+    /// The executor of all tasks.
     pub tasks: Rc<Tasks>,
-    /// The desk.
+    /// The dispatcher and its event queue.
     pub dispatcher_loop: Rc<DispatcherLoop>,
-    /// The ways to executors.
+    /// The workers and the connections to them.
     pub upstreams: Rc<Upstreams>,
     /// The bodies of requests.
     pub bodies: Rc<BodyStore>,
-    /// BodyAdmission for long bodies on their way to boxes.
+    /// The permits for long bodies that are sent to workers.
     pub body_admission: BodyAdmission,
-    /// The counters.
+    /// The node's counters.
     pub counters: Rc<Counters>,
     requests: Rc<Requests>,
     probes: Receiver<WorkerId>,
@@ -54,119 +56,138 @@
 }
 
 impl Engine {
-    /// An engine that has loaded the host group it knew last; nothing runs yet. `disk` is where bodies are kept in
-    /// files, if anywhere.
+    /// An engine that has loaded the configuration's list of workers; nothing runs yet. `disk` stores bodies in files;
+    /// without it they stay in memory.
     pub fn new(config: &Config, disk: Option<Arc<dyn Disk>>) -> Rc<Engine> {
-        let (ask, probes) = async_channel::unbounded();
-        let connect_limit = match config.settings.limits.connect_timeout {
-            0 => CONNECT_LIMIT,
-            t => length(t),
-        };
-        let classes = config.classes.iter().map(|c| c.name.clone());
-        let counters = Rc::new(Counters::new(classes));
-        let responsiveness = counters.responsiveness.clone();
-        let tasks = Rc::new(Tasks::new(responsiveness.clone()));
-        let desk = Rc::new(DispatcherLoop::new(
+        let (probe_requests, probes) = async_channel::unbounded();
+        let counters = Rc::new(Counters::new(config.classes.iter().map(|class| class.name.clone())));
+        let tasks = Rc::new(Tasks::new(counters.responsiveness.clone()));
+        let dispatcher_loop = Rc::new(DispatcherLoop::new(
             config.settings.clone(),
             config.seed,
             Clock::start(),
-            ask,
-            responsiveness,
+            probe_requests,
+            counters.responsiveness.clone(),
         ));
-        let descriptors = DescriptorBudget::new(config.sockets);
-        let ways = Rc::new(Upstreams {
-            registry: WorkerRegistry::new(config.names.clone()),
-            pool: ConnectionPool::new(descriptors, length(config.keepalive), counters.clone()),
-            tasks: tasks.clone(),
-            counters: counters.clone(),
-            load_fields: LoadReportFields::new(config.load_fields.clone()),
-            drain_grace: length(config.drain_grace) + DRAIN_SLACK,
-            connect_timeout: connect_limit,
-        });
-        let parties = config.classes.len() * config.tenants.len().max(1);
-        let at = ways.clone();
-        let permit = move || at.pool.acquire_descriptor().map(|p| Box::new(p) as Permit);
-        let bodies = BodyStore::new(&config.operator.bodies, parties, disk, permit);
+        let upstreams = Rc::new(new_upstreams(config, &tasks, &counters));
+        let bodies = new_body_store(config, disk, &upstreams);
         let requests = Rc::new(Requests {
-            dispatcher_loop: desk.clone(),
-            upstreams: ways.clone(),
+            dispatcher_loop: dispatcher_loop.clone(),
+            upstreams: upstreams.clone(),
             counters: counters.clone(),
             tasks: tasks.clone(),
-            at_most_once: config
-                .settings
-                .classes
-                .iter()
-                .map(|c| c.idempotency == Idempotency::NotIdempotent)
-                .collect(),
+            at_most_once: at_most_once_classes(config),
             rejection_may_have_run: config.settings.limits.rejection_may_have_run,
-            open_ids: Default::default(),
+            open_ids: RefCell::new(HashSet::new()),
         });
-        let entries = ways.registry.apply(&config.known, desk.clock.now());
-        desk.dispatch(Event::WorkerList(WorkerListUpdate::Cached(entries)));
-        let places = BodyAdmission::new(tasks.clone());
-        let discovery_mode =
-            if config.settings.polls_discovery { DiscoveryMode::Poll } else { DiscoveryMode::Push };
-        let backoff = Backoff::new(config.seed, config.drain_grace, config.ask_within);
+        let known_workers = upstreams.registry.apply(&config.known, dispatcher_loop.clock.now());
+        dispatcher_loop.dispatch(Event::WorkerList(WorkerListUpdate::Cached(known_workers)));
         Rc::new(Engine {
+            body_admission: BodyAdmission::new(tasks.clone()),
             tasks,
-            dispatcher_loop: desk,
-            upstreams: ways,
+            dispatcher_loop,
+            upstreams,
             bodies,
-            body_admission: places,
             counters,
             requests,
             probes,
-            backoff,
-            discovery_mode,
+            backoff: Backoff::new(config.seed, config.drain_grace, config.ask_within),
+            discovery_mode: discovery_mode(config),
         })
     }
 
-    /// Starts what runs as long as the node: the watch on the host group, which goes on from version `seq` at
-    /// `discovery` and follows `moved`, the module's timers and probes, and the sweep of idle links.
-    pub fn start(self: &Rc<Self>, discovery: SocketAddr, seq: u64, moved: Receiver<SocketAddr>) {
-        let at = self.clone();
-        self.tasks.spawn_urgent(async move { at.watch(discovery, seq, moved).await });
-        let desk = self.dispatcher_loop.clone();
-        self.tasks.spawn_urgent(async move { desk.run_timers().await });
-        let at = self.clone();
-        self.tasks.spawn(async move {
-            while let Ok(worker) = at.probes.recv().await {
-                at.tasks.spawn(probe::run(at.dispatcher_loop.clone(), at.upstreams.clone(), worker));
-            }
-        });
+    /// Starts the tasks that run as long as the node: the discovery watch, which continues from version `seq` at
+    /// `discovery` and moves to the addresses from `moves`; the dispatcher's timers and probes; the spilling of bodies
+    /// to disk; and the eviction of expired connections.
+    pub fn start(self: &Rc<Self>, discovery: SocketAddr, seq: u64, moves: Receiver<SocketAddr>) {
+        let engine = self.clone();
+        self.tasks.spawn_urgent(async move { engine.watch(discovery, seq, moves).await });
+        let dispatcher_loop = self.dispatcher_loop.clone();
+        self.tasks.spawn_urgent(async move { dispatcher_loop.run_timers().await });
+        let engine = self.clone();
+        self.tasks.spawn(async move { engine.run_probes().await });
         self.tasks.spawn(self.bodies.clone().run_spiller());
-        let ways = self.upstreams.clone();
-        self.tasks.spawn(async move {
-            loop {
-                Timer::after(SWEEP).await;
-                ways.pool.evict_expired();
-            }
-        });
+        let upstreams = self.upstreams.clone();
+        self.tasks.spawn(async move { evict_expired_connections(&upstreams.pool).await });
     }
 
-    /// Takes a request; `None` where one of the same id is open.
+    /// Takes a job; `None` where a request of the same id is in progress.
     pub fn take(&self, job: Job) -> Option<RequestHandle> {
         self.requests.take(job)
     }
 
-    /// Watches the host group, for ever.
-    pub async fn watch(&self, discovery: SocketAddr, seq: u64, moved: Receiver<SocketAddr>) {
+    /// Watches discovery's list of workers, for ever; the parameters are those of [`Engine::start`].
+    pub async fn watch(&self, discovery: SocketAddr, seq: u64, moves: Receiver<SocketAddr>) {
         let backoff = self.backoff.clone();
         let watch = DiscoveryWatch::new(&self.counters, self.discovery_mode, backoff, discovery, seq);
-        watch.run(moved, |list| self.tell(list)).await;
+        watch.run(moves, |list| self.apply_worker_list(list)).await;
     }
 
-    /// Tells the module of a list, and drops the idle links to executors that are gone.
-    fn tell(&self, list: &DiscoveryList) {
-        let begun = Instant::now();
+    /// Applies a list, closes the idle connections to workers that are gone, and notifies the dispatcher.
+    fn apply_worker_list(&self, list: &DiscoveryList) {
+        let started = Instant::now();
         let entries = self.upstreams.registry.apply(list, self.dispatcher_loop.clock.now());
-        self.counters.responsiveness.part_ended("entries of an executor list", begun);
-        for entry in entries.iter().filter(|e| e.lifecycle == Lifecycle::Gone) {
-            self.upstreams.pool.evict_worker(entry.worker);
+        self.counters.responsiveness.part_ended("applying a worker list", started);
+        for entry in &entries {
+            if entry.lifecycle == Lifecycle::Gone {
+                self.upstreams.pool.evict_worker(entry.worker);
+            }
         }
         self.counters.worker_lists.add();
-        let members =
+        let update =
             if list.complete { WorkerListUpdate::Full(entries) } else { WorkerListUpdate::Delta(entries) };
-        self.dispatcher_loop.dispatch(Event::WorkerList(members));
+        self.dispatcher_loop.dispatch(Event::WorkerList(update));
+    }
+
+    /// Runs the probes that the dispatcher asks for, each in a task of its own.
+    async fn run_probes(&self) {
+        while let Ok(worker) = self.probes.recv().await {
+            self.tasks.spawn(probe::run(self.dispatcher_loop.clone(), self.upstreams.clone(), worker));
+        }
     }
 }
+
+async fn evict_expired_connections(pool: &ConnectionPool) {
+    loop {
+        Timer::after(EVICTION_INTERVAL).await;
+        pool.evict_expired();
+    }
+}
+
+fn new_upstreams(config: &Config, tasks: &Rc<Tasks>, counters: &Rc<Counters>) -> Upstreams {
+    let descriptors = DescriptorBudget::new(config.sockets);
+    let connect_timeout = match config.settings.limits.connect_timeout {
+        0 => DEFAULT_CONNECT_TIMEOUT,
+        timeout => length(timeout),
+    };
+    Upstreams {
+        registry: WorkerRegistry::new(config.names.clone()),
+        pool: ConnectionPool::new(descriptors, length(config.keepalive), counters.clone()),
+        tasks: tasks.clone(),
+        counters: counters.clone(),
+        load_fields: LoadReportFields::new(config.load_fields.clone()),
+        drain_grace: length(config.drain_grace) + DRAIN_GRACE_ALLOWANCE,
+        connect_timeout,
+    }
+}
+
+/// A body store with a share for each tenant in each class, whose files take descriptors from the node's budget.
+fn new_body_store(config: &Config, disk: Option<Arc<dyn Disk>>, upstreams: &Rc<Upstreams>) -> Rc<BodyStore> {
+    let shares = config.classes.len() * config.tenants.len().max(1);
+    let upstreams = upstreams.clone();
+    let acquire_descriptor = move || {
+        let permit = upstreams.pool.acquire_descriptor()?;
+        Some(Box::new(permit) as Permit)
+    };
+    BodyStore::new(&config.operator.bodies, shares, disk, acquire_descriptor)
+}
+
+/// Whether the requests of each class must not run twice, in the order of the settings.
+fn at_most_once_classes(config: &Config) -> Vec<bool> {
+    let classes = config.settings.classes.iter();
+    classes.map(|class| class.idempotency == Idempotency::NotIdempotent).collect()
+}
+
+fn discovery_mode(config: &Config) -> DiscoveryMode {
+    if config.settings.polls_discovery { DiscoveryMode::Poll } else { DiscoveryMode::Push }
+}
--- a/crates/engine/src/probe.rs
+++ b/crates/engine/src/probe.rs
@@ -1,4 +1,4 @@
-//! A probe: one question to an executor whether it lives.
+//! A probe: asks a worker for its health on behalf of the dispatcher.
 
 use crate::attempt_end::AttemptEnd;
 use crate::dispatcher_loop::DispatcherLoop;
@@ -8,43 +8,36 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A probe that has not answered by then tells as much as one that fails.
-const WAIT: Duration = Duration::from_millis(500);
+/// A probe without a response by then counts as timed out.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Probes an executor and tells the module what came of it.
-pub async fn run(desk: Rc<DispatcherLoop>, ways: Rc<Upstreams>, worker: WorkerId) {
-    ways.counters.probes.add();
-    let ending =
-        timeout_at(Instant::now() + WAIT, probe(&ways, worker)).await.unwrap_or(AttemptEnd::ResponseTimeout);
-    desk.dispatch(Event::ProbeEnded { worker, outcome: ending.outcome(), load_report: Vec::new() });
+/// Probes a worker and reports the outcome to the dispatcher.
+pub async fn run(dispatcher_loop: Rc<DispatcherLoop>, upstreams: Rc<Upstreams>, worker: WorkerId) {
+    upstreams.counters.probes.add();
+    let deadline = Instant::now() + PROBE_TIMEOUT;
+    let end = match timeout_at(deadline, probe(&upstreams, worker)).await {
+        Some(Ok(())) => AttemptEnd::Completed(String::new()),
+        Some(Err(end)) => end,
+        None => AttemptEnd::ResponseTimeout,
+    };
+    dispatcher_loop.dispatch(Event::ProbeEnded { worker, outcome: end.outcome(), load_report: Vec::new() });
 }
 
-async fn probe(ways: &Upstreams, worker: WorkerId) -> AttemptEnd {
-    let (address, mut server_link) = match ways.connection(worker).await {
-        Ok(found) => found,
-        Err(ending) => return ending,
-    };
-    let link = &mut server_link.connection;
+/// One request and its response, which succeeds with status 200.
+async fn probe(upstreams: &Upstreams, worker: WorkerId) -> Result<(), AttemptEnd> {
+    let (address, mut upstream) = upstreams.connection(worker).await?;
+    let connection = &mut upstream.connection;
     let request = format!("GET /health/live HTTP/1.1\r\nHost: {address}\r\n\r\n");
-    if link.write(request.as_bytes()).await.is_err() {
-        return AttemptEnd::ResetBeforeSent;
+    connection.write(request.as_bytes()).await.map_err(|_| AttemptEnd::ResetBeforeSent)?;
+    let head = connection.read_head(Head::parse_response).await.map_err(AttemptEnd::unreadable)?;
+    let body = head.body().map_err(AttemptEnd::unreadable)?;
+    connection.read_body(body).await.map_err(AttemptEnd::unreadable)?;
+    match head.start {
+        StartLine::Response { status: 200 } => {}
+        _ => return Err(AttemptEnd::Failed),
     }
-    let head = match link.read_head(Head::parse_response).await {
-        Ok(head) => head,
-        Err(fault) => return AttemptEnd::unreadable(fault),
-    };
-    let body = match head.body() {
-        Ok(body) => link.read_body(body).await,
-        Err(fault) => Err(fault),
-    };
-    match (body, &head.start) {
-        (Err(fault), _) => AttemptEnd::unreadable(fault),
-        (Ok(_), StartLine::Response { status: 200 }) => {
-            if head.keeps_alive() {
-                ways.pool.check_in(worker, server_link);
-            }
-            AttemptEnd::Completed(String::new())
-        }
-        (Ok(_), _) => AttemptEnd::Failed,
+    if head.keeps_alive() {
+        upstreams.pool.check_in(worker, upstream);
     }
+    Ok(())
 }
--- a/crates/engine/src/responsiveness.rs
+++ b/crates/engine/src/responsiveness.rs
@@ -1,30 +1,31 @@
-//! How long the event loop is held up.
+//! Delays of the event loop.
 //!
 //! All work of a node shares one thread, so one long step delays every answer. Steps and timers are measured as they run:
-//! the operators see the longest of each, how often a step took more than [`LONG_STEP`], and a log line that names it.
+//! the metrics show the longest of each and the number of steps longer than [`LONG_STEP`], and the log names each of
+//! those.
 
 use crate::count::{Count, Longest};
 use std::time::{Duration, Instant};
 use tracing::warn;
 
-/// A step that takes longer is counted and logged: deadlines have a slack of 150 ms for everything that holds a node up.
+/// A longer step is counted and logged. Deadlines have an allowance of 150 ms for everything that delays a node.
 pub const LONG_STEP: Duration = Duration::from_millis(50);
 
-/// What held the event loop up so far.
+/// The delays of the event loop so far.
 #[derive(Default)]
 pub struct Responsiveness {
     /// The longest step of the event loop: one poll of one task.
     pub longest_step: Longest,
     /// Steps longer than [`LONG_STEP`].
     pub long_steps: Count,
-    /// The longest time by which a timer of the module fired late.
+    /// The longest time by which a timer of the dispatcher fired late.
     pub longest_timer_lag: Longest,
 }
 
 impl Responsiveness {
-    /// A step that began at `begun` has just ended.
-    pub fn step_ended(&self, begun: Instant) {
-        let took = begun.elapsed();
+    /// Records a step that started at `started` and has just ended.
+    pub fn step_ended(&self, started: Instant) {
+        let took = started.elapsed();
         self.longest_step.note(took);
         if took > LONG_STEP {
             self.long_steps.add();
@@ -32,9 +33,9 @@
         }
     }
 
-    /// A part of a step that began at `begun` has just ended: named in the log where it alone took long.
-    pub fn part_ended(&self, part: &'static str, begun: Instant) {
-        let took = begun.elapsed();
+    /// Logs the part of a step that started at `started` and has just ended, where it alone took long.
+    pub fn part_ended(&self, part: &'static str, started: Instant) {
+        let took = started.elapsed();
         if took > LONG_STEP {
             warn!(part, took_ms = took.as_millis(), "slow part of an event loop step");
         }
--- a/crates/engine/src/tasks.rs
+++ b/crates/engine/src/tasks.rs
@@ -1,110 +1,123 @@
-//! The one executor, of one thread: urgent tasks go ahead of all others, but never keep them waiting for long.
+//! The node's one executor, of one thread. Urgent tasks run before all others, but do not starve them.
 
 use crate::responsiveness::Responsiveness;
 use async_executor::{LocalExecutor, Task};
 use event_listener::Event;
 use futures_lite::future::{or, poll_fn, yield_now};
+use std::convert::Infallible;
 use std::pin::pin;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Steps of tasks before the sockets and timers of the system are looked at again...
-const STEPS: usize = 64;
-/// ...or so much time, where steps take long: a connection's news and each deadline wait for that look.
-const SLICE: Duration = Duration::from_millis(2);
-/// Urgent steps on end while an ordinary task could run. Urgent work that never ends, such as timers that are always due,
-/// must not keep requests from their answers.
-const URGENT_ON_END: usize = 8;
+/// The most rounds before the system's sockets and timers are polled again...
+const MAX_ROUNDS_PER_SLICE: usize = 64;
+/// ...and the longest time, where steps take long: input and deadlines wait for that poll.
+const MAX_SLICE_DURATION: Duration = Duration::from_millis(2);
+/// The most urgent steps in a row while an ordinary task could run. Urgent work without end, such as timers that are
+/// always due, must not keep requests from their answers.
+const MAX_URGENT_STEPS_PER_ROUND: usize = 8;
 
-/// All tasks of one node.
+/// The tasks of one node.
 #[derive(Default)]
 pub struct Tasks {
     responsiveness: Rc<Responsiveness>,
     urgent: LocalExecutor<'static>,
     ordinary: LocalExecutor<'static>,
+    /// Notified when a task that waits in [`Tasks::turn`] may go on.
     turns: Event,
 }
 
 impl Tasks {
-    /// No tasks yet; how long each step of one takes is told to `responsiveness`.
+    /// An executor without tasks; it reports the time of each step to `responsiveness`.
     pub fn new(responsiveness: Rc<Responsiveness>) -> Tasks {
         Tasks { responsiveness, ..Tasks::default() }
     }
 
-    /// Starts a task that nobody waits for.
+    /// Starts a task that runs to its end.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.ordinary.spawn(task).detach();
     }
 
-    /// Starts a task that ends when what it returns is dropped.
+    /// Starts a task that is cancelled when the returned handle is dropped.
     pub fn hold(&self, task: impl Future<Output = ()> + 'static) -> Task<()> {
         self.ordinary.spawn(task)
     }
 
-    /// Starts a task that goes before all others whenever it can run: news of draining boxes and births,
-    /// and the operators' calls.
+    /// Starts a task that runs before all ordinary ones: the discovery watch, the dispatcher's timers, signals and the
+    /// admin listener.
     pub fn spawn_urgent(&self, task: impl Future<Output = ()> + 'static) {
         self.urgent.spawn(task).detach();
     }
 
-    /// Starts a task that goes before all others, and ends when what it returns is dropped.
+    /// Starts an urgent task that is cancelled when the returned handle is dropped.
     pub fn hold_urgent(&self, task: impl Future<Output = ()> + 'static) -> Task<()> {
         self.urgent.spawn(task)
     }
 
-    /// Waits until nothing else has anything to do, or for long enough: between the pieces of large bodies, so that
-    /// however many there are, a small job waits for one piece at most.
+    /// Waits until no other task can run, or until the slice ends: between the blocks of large bodies. However many
+    /// bodies are under way, a small job waits for one block at most.
     pub async fn turn(&self) {
         self.turns.listen().await;
     }
 
-    /// Runs one task that can run up to where it waits, if there is one.
-    fn step(&self, executor: &LocalExecutor<'_>) -> bool {
-        let begun = Instant::now();
+    /// Runs all tasks, for ever.
+    pub async fn run(&self) -> Infallible {
+        loop {
+            self.run_slice().await;
+            // However much there is to do, large bodies go on, if slowly.
+            self.turns.notify_additional(1);
+            // Returns to the reactor, which polls the sockets and timers.
+            yield_now().await;
+        }
+    }
+
+    /// Runs tasks until the sockets and timers are to be polled again.
+    async fn run_slice(&self) {
+        let slice_end = Instant::now() + MAX_SLICE_DURATION;
+        for _ in 0..MAX_ROUNDS_PER_SLICE {
+            self.run_urgent_steps();
+            if !self.run_step(&self.ordinary) {
+                let turn_given = self.turns.notify_additional(1) > 0;
+                if turn_given {
+                    return;
+                }
+                self.wait_and_run_step().await;
+            }
+            if Instant::now() >= slice_end {
+                return;
+            }
+        }
+    }
+
+    fn run_urgent_steps(&self) {
+        for _ in 0..MAX_URGENT_STEPS_PER_ROUND {
+            if !self.run_step(&self.urgent) {
+                return;
+            }
+        }
+    }
+
+    /// Polls one task that can run, if there is one.
+    fn run_step(&self, executor: &LocalExecutor<'_>) -> bool {
+        let started = Instant::now();
         let ran = executor.try_tick();
         if ran {
-            self.responsiveness.step_ended(begun);
+            self.responsiveness.step_ended(started);
         }
         ran
     }
 
-    /// Waits until a task can run, and runs it up to where it waits.
-    async fn next_step(&self) {
+    /// Waits until a task can run, and polls it.
+    async fn wait_and_run_step(&self) {
         let mut step = pin!(or(self.urgent.tick(), self.ordinary.tick()));
         poll_fn(|context| {
-            let begun = Instant::now();
+            let started = Instant::now();
             let polled = step.as_mut().poll(context);
             if polled.is_ready() {
-                self.responsiveness.step_ended(begun);
+                self.responsiveness.step_ended(started);
             }
             polled
         })
         .await;
     }
-
-    /// Runs all tasks, for ever.
-    pub async fn run(&self) -> std::convert::Infallible {
-        loop {
-            let slice_ends = Instant::now() + SLICE;
-            for _ in 0..STEPS {
-                for _ in 0..URGENT_ON_END {
-                    if !self.step(&self.urgent) {
-                        break;
-                    }
-                }
-                if !self.step(&self.ordinary) {
-                    if self.turns.notify_additional(1) > 0 {
-                        break;
-                    }
-                    self.next_step().await;
-                }
-                if Instant::now() >= slice_ends {
-                    break;
-                }
-            }
-            // However much there is to do, large bodies go on, if slowly.
-            self.turns.notify_additional(1);
-            yield_now().await;
-        }
-    }
 }
--- a/crates/engine/src/upstreams.rs
+++ b/crates/engine/src/upstreams.rs
@@ -1,4 +1,4 @@
-//! The ways to executors: where they listen, and the links to them.
+//! How attempts and probes reach workers: the registry of workers and the pool of connections.
 
 use crate::attempt_end::AttemptEnd;
 use crate::connection_pool::{ConnectionPool, PooledConnection};
@@ -11,32 +11,36 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What executions and probes reach executors with.
+/// What attempts and probes share to reach workers.
 pub struct Upstreams {
-    /// The executors known.
+    /// The known workers.
     pub registry: WorkerRegistry,
-    /// The server links.
+    /// The idle connections to them.
     pub pool: ConnectionPool,
-    /// Where large bodies wait for their turn.
+    /// The executor of all tasks, for turns between the blocks of large bodies.
     pub tasks: Rc<Tasks>,
-    /// The counters.
+    /// The node's counters.
     pub counters: Rc<Counters>,
     /// The fields of load reports.
     pub load_fields: LoadReportFields,
-    /// How long after its drain was told an executor may still be sent something.
+    /// How long after the notice of its drain a worker may still be sent requests.
     pub drain_grace: Duration,
-    /// A connection not made within this time has failed.
+    /// The limit on making a connection.
     pub connect_timeout: Duration,
 }
 
 impl Upstreams {
-    /// A link to the executor, kept or new, and the address it goes to.
+    /// A connection to the worker, pooled or new, and the address that it goes to.
+    ///
+    /// # Errors
+    ///
+    /// [`AttemptEnd::NoAddress`] for a worker without an address, and the errors of [`ConnectionPool::connect`].
     pub async fn connection(&self, worker: WorkerId) -> Result<(SocketAddr, PooledConnection), AttemptEnd> {
         let address = self.registry.address(worker).ok_or(AttemptEnd::NoAddress)?;
-        let link = match self.pool.checkout(worker, address) {
-            Some(link) => link,
+        let upstream = match self.pool.checkout(worker, address) {
+            Some(upstream) => upstream,
             None => self.pool.connect(address).await?,
         };
-        Ok((address, link))
+        Ok((address, upstream))
     }
 }
