--- a/crates/engine/src/attempt_end.rs
+++ b/crates/engine/src/attempt_end.rs
@@ -1,66 +1,66 @@
-//! Every way in which a server link's exchange can end, and what each means to the module.
+//! Every way in which an attempt can end, and the outcome that each is to the dispatcher.
 
 use sorrelhaven_body_store::BodyReadError;
 use sorrelhaven_dispatcher::Outcome;
 use sorrelhaven_wire::WireError;
 
-/// How an execution ended.
+/// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The executor's last line brought the result.
+    /// The worker's last job line held the result.
     Completed(String),
-    /// The executor says that the job failed, or answered with an error.
+    /// The worker reports that the job failed, or its response has an error status.
     Failed,
-    /// The executor can't use the job: it is not one that any client sent in this form.
+    /// The worker reports that the request is invalid, as every other worker would.
     InvalidRequest,
-    /// The executor turned the job away, or handed it back unstarted.
+    /// The worker rejected the job, or returned it unstarted.
     Rejected,
-    /// The executor says that the job was killed.
+    /// The worker reports that the job was killed.
     Killed,
-    /// The executor was told to leave while the link came up; nothing was sent.
+    /// The worker began to drain while the connection was made; nothing was sent.
     Draining,
-    /// The host group names no address for it; nothing was sent.
+    /// Discovery names no address for the worker; nothing was sent.
     NoAddress,
-    /// The request had its answer before anything was sent.
+    /// The request was concluded before anything was sent.
     RequestConcluded,
-    /// The client's time was all but over before anything was sent.
+    /// The client's deadline was too close before anything was sent.
     DeadlineTooClose,
-    /// The time in which a repeat is dropped was over before its last byte was written.
+    /// The time in which a duplicate is recognised and dropped ended before the last byte was written.
     IdempotencyWindowExpired,
-    /// The request's body can't be had whole, so its last byte was not sent: the parcel's failure, not the executor's.
+    /// The request's body could not be read to its end, so its last byte was not written. Not the worker's fault.
     BodyUnavailable(BodyReadError),
-    /// No descriptor was free for a server link.
+    /// The node has no descriptor for a connection.
     NoDescriptor,
     /// The connection was refused or could not be made.
     Unreachable,
-    /// The connection did not come up in time.
+    /// The connection was not made in time.
     ConnectTimeout,
     /// The connection broke before the request's last byte was written.
     ResetBeforeSent,
     /// The time was up before the request's last byte was written.
     TimeoutBeforeSent,
-    /// A link that had stood idle broke as soon as the request was written on it; that it never ran is no more
-    /// than likely.
+    /// A reused connection broke as soon as the request was written. The job has probably not run, but may have.
     StaleConnection,
     /// The connection broke after the request's last byte was written.
     Reset,
-    /// The executor ended its answer or the connection before the last line.
+    /// The worker ended its response or the connection before the last job line.
     Truncated,
-    /// Nothing more had come when the time was up.
+    /// The time was up before the last job line.
     ResponseTimeout,
-    /// What came was not the protocol.
+    /// The response breaks the protocol.
     Malformed,
-    /// What came was about another request.
+    /// The response is about another request.
     WrongRequestId,
-    /// What came was larger than the protocol allows.
+    /// The response is larger than the protocol allows.
     ResponseTooLarge,
-    /// The module withdrew it.
+    /// The dispatcher cancelled the attempt.
     Cancelled,
 }
 
 impl AttemptEnd {
-    /// What the module is told. "Never ran" (`Full`, `ConnectFailed`, `Moot`) stands only where the protocol
-    /// proves it: the executor said so, or the request's last byte was never written.
+    /// The outcome for the dispatcher. The outcomes that say that the job never ran ([`Outcome::Rejected`],
+    /// [`Outcome::ConnectFailed`], [`Outcome::NotSent`]) are given only where the protocol proves it: the worker reports
+    /// it, or the request's last byte was never written.
     pub fn outcome(&self) -> Outcome {
         match self {
             AttemptEnd::Completed(_) => Outcome::Ok,
@@ -89,9 +89,9 @@
         }
     }
 
-    /// How a link ends whose answer could not be read.
-    pub fn unreadable(fault: WireError) -> AttemptEnd {
-        match fault {
+    /// How an attempt ends whose response could not be read.
+    pub fn unreadable(error: WireError) -> AttemptEnd {
+        match error {
             WireError::Closed => AttemptEnd::Truncated,
             WireError::Broken => AttemptEnd::Reset,
             WireError::Malformed => AttemptEnd::Malformed,
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -1,4 +1,4 @@
-//! The plain types that cross between fronts, requests, the desk and executions.
+//! The plain types that front ends, requests, the dispatcher loop and attempts exchange.
 
 use crate::attempt_end::AttemptEnd;
 use crate::body_admission::BodyPermit;
@@ -11,51 +11,52 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// A job as a front hands it in.
+/// A client's request as a front end submits it.
 pub struct Job {
-    /// Its class's place in the settings.
+    /// The index of its class in the settings.
     pub class: usize,
     /// When the client gives up.
     pub deadline: Micros,
-    /// The client's guess at the work.
+    /// The client's estimate of the work.
     pub work_hint: Option<Micros>,
-    /// The slots it takes.
+    /// The slots that it takes at a worker.
     pub slots: f64,
-    /// The client marks it as a repeat.
+    /// Whether the client marks it as a retry.
     pub is_retry: bool,
-    /// A number drawn from what it is about; 0 where the client does not say.
+    /// A hash of what it is about, for cache affinity; 0 where the client does not say.
     pub affinity_key: u64,
-    /// Its body can be sent: false where it could not be kept and such are refused.
+    /// Whether its body can be sent; false where the body could not be stored and the settings reject such requests.
     pub body_sendable: bool,
-    /// The place that a long body has until its last byte was written.
+    /// The permit of a long body, until the body is fully sent.
     pub body_permit: Option<BodyPermit>,
-    /// Tells whether the client has gone, also before its connection's own task has seen it.
+    /// Tells whether the client's connection has closed, also before its own task has noticed.
     pub client_probe: Option<PeerProbe>,
-    /// What travels to the executor.
+    /// What is sent to the worker.
     pub payload: RequestPayload,
 }
 
-/// What travels to the executor, unchanged in every execution.
+/// What is sent to a worker, the same in every attempt.
 pub struct RequestPayload {
     /// The request's id.
     pub id: Rc<str>,
-    /// Its method.
+    /// The HTTP method.
     pub method: String,
-    /// Its path and query.
+    /// The path and the query.
     pub target: String,
-    /// Further headers that travel on.
+    /// Further headers, by name and value.
     pub headers: Vec<(&'static str, String)>,
-    /// Its body.
+    /// The body.
     pub body: RequestBody,
 }
 
 impl RequestPayload {
-    /// The head of the message to the executor at `host`, which is told how long the node waits: to `deadline`. The
-    /// body goes with its length where that is known, else in chunks.
+    /// The head of the request to the worker at `host`. It states how long the node waits, up to `deadline`, and the
+    /// body's `length`; without a length the body is sent in the chunked coding.
     pub fn head(&self, host: &str, deadline: Instant, length: Option<u64>) -> Vec<u8> {
-        let left = deadline.saturating_duration_since(Instant::now());
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        // Writing to a String does not fail.
         let mut head = format!("{} {} HTTP/1.1\r\nHost: {host}\r\n", self.method, self.target);
-        let _ = write!(head, "Request-Id: {}\r\nRequest-Timeout: {}u\r\n", self.id, left.as_micros());
+        let _ = write!(head, "Request-Id: {}\r\nRequest-Timeout: {}u\r\n", self.id, remaining.as_micros());
         for (name, value) in &self.headers {
             let _ = write!(head, "{name}: {value}\r\n");
         }
@@ -67,94 +68,94 @@
     }
 }
 
-/// How far a request has come, as its executions see it.
+/// The state of a request that its attempts share.
 #[derive(Default)]
 pub struct RequestState {
     /// It has its answer, or needs none any more: nothing more is to be sent for it.
     pub concluded: Cell<bool>,
-    /// When its client left before that.
+    /// When its client disconnected before it had its answer.
     pub client_left_at: Cell<Option<Instant>>,
-    /// The last byte of one of its executions was written.
+    /// Whether the last byte of any of its attempts was written.
     pub fully_sent: Cell<bool>,
-    /// The client's connection.
+    /// Tells whether the client's connection has closed.
     pub client_probe: Option<PeerProbe>,
-    /// What the invariants ask of it.
+    /// The run-time checks of its invariants.
     pub guard: RequestGuard,
 }
 
 impl RequestState {
-    /// Whether the client has gone before its answer, as its connection says at this moment.
+    /// Whether the client's connection has closed before the answer, as the connection shows at this moment.
     pub fn client_gone(&self) -> bool {
         !self.concluded.get() && self.client_probe.as_ref().is_some_and(PeerProbe::has_closed)
     }
 }
 
-/// The one final answer.
+/// The one final answer to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// What an executor gave for the request.
+    /// A worker's result.
     Served(String),
-    /// Not done, and trying again after this time is harmless.
+    /// The job was not done, and a retry after this time is harmless.
     Rejected {
-        /// How long to stay away; 0: no advice.
+        /// How long the client ought to wait; 0: no advice.
         retry_after: Micros,
     },
-    /// Failed; it may have taken effect.
+    /// The job failed; it may have taken effect.
     Failed,
 }
 
-/// What a request's task is told, by the desk, by its executions and by the front.
+/// A message to a request's task, from the dispatcher, from one of its attempts or from the front end.
 #[derive(Clone, Debug)]
 pub enum RequestMessage {
-    /// The module: begin an execution.
+    /// The dispatcher: begin an attempt.
     Send {
-        /// The executor.
+        /// The worker that it goes to.
         worker: WorkerId,
-        /// When the module stops waiting.
+        /// When the dispatcher stops waiting.
         deadline: Micros,
         /// From when on it must not be sent any more.
         send_by: Micros,
     },
-    /// The module: withdraw an execution.
+    /// The dispatcher: cancel an attempt.
     Cancel {
-        /// The execution's number.
+        /// The attempt's number within its request.
         attempt: u32,
     },
-    /// The module: answer with a throttle.
+    /// The dispatcher: answer with a rejection.
     Reject {
-        /// How long the client ought to stay away; 0: no advice.
+        /// How long the client ought to wait; 0: no advice.
         retry_after: Micros,
     },
-    /// The module: answer that it failed.
+    /// The dispatcher: answer with a failure.
     Fail,
-    /// An execution: the job has started.
+    /// An attempt: the worker has started on the job.
     AttemptStarted {
-        /// The execution's number.
+        /// The attempt's number within its request.
         attempt: u32,
     },
-    /// An execution: so much of the job is done.
+    /// An attempt: the worker has done a share of the job.
     AttemptProgress {
-        /// The execution's number.
+        /// The attempt's number within its request.
         attempt: u32,
         /// The share done, from 0 to 1.
         share: f64,
     },
-    /// An execution: the last byte of a long body was written.
+    /// An attempt: the last byte of a long body was written.
     RequestSent {
-        /// The execution's number.
+        /// The attempt's number within its request.
         attempt: u32,
     },
-    /// An execution: a part of the body that is not kept is being passed on.
+    /// An attempt: it has begun to read a body that can be read only once, so the request cannot be retried.
     BodyConsumed,
-    /// An execution: it has ended.
+    /// An attempt: it has ended.
     AttemptEnded {
-        /// The execution's number.
+        /// The attempt's number within its request.
         attempt: u32,
         /// How it ended.
         end: AttemptEnd,
-        /// The executor's load report, in the order of the settings' fields; empty where none came.
+        /// The worker's load report, in the order of the settings' fields; empty where there is none.
         load_report: Vec<f64>,
     },
-    /// The front: the client has left.
+    /// The front end: the client has disconnected.
     ClientDisconnected,
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,22 +1,32 @@
-//! A request's life: taken from a front, decided on by the module, carried out on server links, answered once.
+//! Runs requests: each is admitted from a front end, decided on by the dispatcher, attempted at workers, and answered
+//! once.
 //!
-//! A front hands a [`Job`] to [`Engine::take`] and gets one [`Answer`] through the [`RequestHandle`]. Nothing here knows
-//! how a client speaks, so every front goes through the same decisions. Files use those above them only:
+//! A front end submits a [`Job`] to [`Engine::take`] and receives one [`Answer`] through the [`RequestHandle`]. Nothing
+//! here depends on the client's protocol, so the same decisions apply to every front end. A module uses only modules of
+//! its own row and of those below it in this table:
 //!
-//! | file | concern |
+//! | module | concern |
 //! | --- | --- |
-//! | `engine` | the parts put together |
-//! | `request` | one request's life, top to bottom in one task |
-//! | `attempt`, `probe` | one attempt at a job on a server link; one question to an executor |
-//! | `upstreams` | what they reach executors with: `discovery_watch` and `connection_pool` |
+//! | `engine` | puts the parts of a node together |
+//! | `request` | the task of one request, from admission to answer |
+//! | `attempt`, `probe` | one attempt at a job, one health check of a worker |
+//! | `request_writer`, `response_reader` | the request to a worker, and its response with job lines |
+//! | `attempt_spec` | the limits of one attempt, and whether it may be sent |
+//! | `upstreams` | what attempts and probes reach workers with |
+//! | `connection_pool`, `descriptor_budget` | idle upstream connections, and the descriptors of all connections |
+//! | `worker_registry`, `start_times` | what discovery says of the workers, and when they started on the node's clock |
+//! | `load_report` | the load that workers report |
+//! | `discovery_watch`, `discovery_poll` | the watch on discovery's list with its retries, and its single polls |
+//! | `watch_error`, `backoff` | why a watch failed, and the delays between polls |
 //! | `dispatcher_loop` | owns the one `Dispatcher`, feeds it events in order, routes its actions |
-//! | `job` | the plain types that cross between these |
-//! | `attempt_end` | every way an execution can end, and the module's outcome for each |
-//! | `body_admission` | long bodies that are on their way to boxes at once |
-//! | `invariants` | what must hold whatever happens, checked at run time |
-//! | `start_times` | when executors started, on the node's own clock |
-//! | `responsiveness` | how long the event loop is held up |
-//! | `tasks`, `clock`, `counters`, `count` | what their names say |
+//! | `job` | the plain types that these exchange |
+//! | `body_admission` | permits for long bodies |
+//! | `tasks` | the executor of all tasks |
+//! | `counters` | the node's counters |
+//! | `invariants` | what holds for every request, checked at run time |
+//! | `attempt_end` | every way an attempt can end, and its outcome for the dispatcher |
+//! | `responsiveness` | delays of the event loop |
+//! | `clock`, `count` | the dispatcher's clock, the kinds of metric |
 //!
 //! ```no_run
 //! use sorrelhaven_config::Config;
@@ -24,8 +34,8 @@
 //!
 //! let config = Config::load(|name| std::env::var(name).ok())?;
 //! let engine = Engine::new(&config, None);
-//! let (_moves, moved) = async_channel::unbounded();
-//! engine.start(config.discovery, config.known.seq, moved);
+//! let (_sender, discovery_moves) = async_channel::unbounded();
+//! engine.start(config.discovery, config.known.seq, discovery_moves);
 //! async_io::block_on(engine.tasks.run());
 //! # Ok::<(), sorrelhaven_config::Faults>(())
 //! ```
