--- a/crates/engine/src/tests/endings.rs
+++ b/crates/engine/src/tests/attempt_ends.rs
@@ -1,7 +1,7 @@
 //! Every ending there is, met by a payment whose body is not kept: one answer, no second send, and a refusal only where
 //! the protocol proves that it never ran.
 
-use super::shared;
+use super::fixtures;
 use crate::attempt_end::AttemptEnd;
 use crate::job::RequestMessage;
 use sorrelhaven_body_store::{BodyEnd, BodyReadError};
@@ -80,7 +80,7 @@
     while let Some(ending) = at {
         at = next(&ending);
         met += 1;
-        let engine = shared::engine("127.0.0.1:1".parse().expect("an address"));
+        let engine = fixtures::engine("127.0.0.1:1".parse().expect("an address"));
         let desk = &engine.dispatcher_loop;
         let (mail, inbox) = async_channel::unbounded();
         let request = desk.register_request(mail);
--- a/crates/engine/src/tests/places.rs
+++ b/crates/engine/src/tests/body_admission.rs
@@ -1,14 +1,14 @@
 //! BodyAdmission for long bodies: few at once, in order, and none held for long.
 
-use super::shared;
+use super::fixtures;
 use futures_lite::future::{poll_once, zip};
 use std::time::{Duration, Instant};
 
 #[test]
 fn a_slow_body_holds_a_place_for_a_while_only() {
-    let engine = shared::engine("127.0.0.1:1".parse().expect("an address"));
+    let engine = fixtures::engine("127.0.0.1:1".parse().expect("an address"));
     let far = Instant::now() + Duration::from_secs(60);
-    shared::run(&engine, async {
+    fixtures::run(&engine, async {
         let places = &engine.body_admission;
         let begun = Instant::now();
         let mut slow = Vec::new();
--- a/crates/engine/src/tests/watch.rs
+++ b/crates/engine/src/tests/discovery_watch.rs
@@ -1,6 +1,6 @@
 //! The watch on the host group against an agent that answers, breaks off, talks nonsense and falls silent.
 
-use super::shared;
+use super::fixtures;
 use crate::Engine;
 use crate::backoff::Backoff;
 use sorrelhaven_dispatcher::WorkerId;
@@ -20,7 +20,7 @@
 
 /// Runs an engine that watches the agent that `script` plays, until the script is over.
 fn watched(script: impl FnOnce(TcpListener) + Send + 'static) -> Rc<Engine> {
-    watched_by(shared::engine("127.0.0.1:1".parse().expect("an address")), script)
+    watched_by(fixtures::engine("127.0.0.1:1".parse().expect("an address")), script)
 }
 
 fn watched_by(engine: Rc<Engine>, script: impl FnOnce(TcpListener) + Send + 'static) -> Rc<Engine> {
@@ -36,7 +36,7 @@
     let (_moves, never) = async_channel::unbounded();
     let at = engine.clone();
     engine.tasks.spawn_urgent(async move { at.watch(address, 1, never).await });
-    shared::run(&engine, async { _ = stop.recv().await });
+    fixtures::run(&engine, async { _ = stop.recv().await });
     waiter.join().expect("the waiter").expect("the agent saw what it should");
     engine
 }
@@ -191,7 +191,7 @@
     );
     let text = text.replace(r#""seed":"1f""#, &format!(r#""seed":"{:x}""#, seed.expect("there is one")));
     let text = text.replace(r#""balancers":1"#, r#""balancers":1,"discovery":"subscribe""#);
-    let engine = watched_by(shared::configured(&text), |agent| {
+    let engine = watched_by(fixtures::configured(&text), |agent| {
         let next = || agent.accept().expect("the node comes").0;
         let mut refused = next();
         read_request_target(&mut refused);
--- a/crates/engine/src/tests/load_reports.rs
+++ b/crates/engine/src/tests/load_reports.rs
@@ -1,6 +1,6 @@
 //! Load reports at the two places where answers hold them, whole and in pieces, absent and malformed.
 
-use super::shared;
+use super::fixtures;
 use crate::attempt;
 use crate::attempt_end::AttemptEnd;
 use crate::job::RequestMessage;
@@ -39,11 +39,11 @@
         r#""balancers":1"#,
         r#""balancers":1,"report":{"how":"answers","fields":["x0","cpu_share"]}"#,
     );
-    let engine = shared::configured(&text);
-    let parcel = Rc::new(shared::parcel(&engine, "/api", b"body"));
-    let order = shared::order(Duration::from_secs(9));
+    let engine = fixtures::configured(&text);
+    let parcel = Rc::new(fixtures::parcel(&engine, "/api", b"body"));
+    let order = fixtures::order(Duration::from_secs(9));
     let (mail, inbox) = async_channel::unbounded();
-    shared::run(&engine, attempt::run(engine.upstreams.clone(), parcel, order, mail));
+    fixtures::run(&engine, attempt::run(engine.upstreams.clone(), parcel, order, mail));
     executor.join().expect("the executor");
     let Ok(RequestMessage::AttemptEnded { end: ending, load_report: load, .. }) = inbox.try_recv() else {
         panic!("no outcome")
--- a/crates/engine/src/tests/mod.rs
+++ b/crates/engine/src/tests/mod.rs
@@ -1,16 +1,16 @@
-//! Tests of the network code: connections as models, checked against random steps with a fixed seed.
+//! Tests of the engine: the network code against models with random steps from a fixed seed, and each part by itself.
 
+mod attempt_ends;
 mod backoff;
-mod births;
-mod endings;
-mod guard;
+mod body_admission;
+mod discovery_watch;
+mod fixtures;
 mod invariants;
 mod load_report_fields;
 mod load_reports;
-mod places;
+mod overdue_request;
+mod pooled_connection;
 mod request;
-mod server_link;
-mod shared;
+mod request_sent;
+mod start_times;
 mod tasks;
-mod watch;
-mod written;
--- a/crates/engine/src/tests/guard.rs
+++ b/crates/engine/src/tests/overdue_request.rs
@@ -1,6 +1,6 @@
 //! A request's own deadline: it has its answer even where whatever should have brought that never does.
 
-use super::shared;
+use super::fixtures;
 use crate::job::Answer;
 use sorrelhaven_wire::{Connection, timeout_at};
 use std::net::{TcpListener, TcpStream};
@@ -11,7 +11,7 @@
 #[test]
 fn a_request_whose_message_is_lost_is_answered_and_closed() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let engine = shared::engine(listener.local_addr().expect("its address"));
+    let engine = fixtures::engine(listener.local_addr().expect("its address"));
     let at = engine.clone();
     engine.tasks.spawn_urgent(async move { at.dispatcher_loop.run_timers().await });
     let clients = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -21,13 +21,13 @@
     // The client has gone, and nobody reads from its connection.
     drop(client);
     let due = engine.dispatcher_loop.clock.now() + 200_000;
-    let parcel = shared::parcel(&engine, "/api", b"body");
-    let job = shared::job(parcel, due, Some(link.peer_probe()));
+    let parcel = fixtures::parcel(&engine, "/api", b"body");
+    let job = fixtures::job(parcel, due, Some(link.peer_probe()));
     let ticket = engine.take(job).expect("no other has its id");
     let limit = Instant::now() + Duration::from_secs(2);
-    let answer = shared::run(&engine, timeout_at(limit, ticket.answer()));
+    let answer = fixtures::run(&engine, timeout_at(limit, ticket.answer()));
     assert_eq!(answer, Some(Some(Answer::Failed)), "no answer by its deadline");
-    let closed = shared::run(
+    let closed = fixtures::run(
         &engine,
         timeout_at(limit, async {
             while engine.dispatcher_loop.registered_requests() > 0 {
--- a/crates/engine/src/tests/server_link.rs
+++ b/crates/engine/src/tests/pooled_connection.rs
@@ -1,6 +1,6 @@
 //! The server link as a model: what an executor does, and how the execution must end.
 
-use super::shared::{self, order};
+use super::fixtures::{self, order};
 use crate::Engine;
 use crate::attempt;
 use crate::attempt_end::AttemptEnd;
@@ -142,14 +142,14 @@
 }
 
 fn parcel(engine: &Rc<Engine>) -> Rc<RequestPayload> {
-    Rc::new(shared::parcel(engine, "/api?x=1", b"body"))
+    Rc::new(fixtures::parcel(engine, "/api?x=1", b"body"))
 }
 
 /// Runs one execution against `address` and gives how it ended, and how many links stand idle after.
 fn execute(address: std::net::SocketAddr, wait: Duration) -> (AttemptEnd, bool) {
-    let engine = shared::engine(address);
+    let engine = fixtures::engine(address);
     let (mail, inbox) = async_channel::unbounded();
-    shared::run(&engine, attempt::run(engine.upstreams.clone(), parcel(&engine), order(wait), mail));
+    fixtures::run(&engine, attempt::run(engine.upstreams.clone(), parcel(&engine), order(wait), mail));
     let endings: Vec<AttemptEnd> = std::iter::from_fn(|| inbox.try_recv().ok())
         .filter_map(|m| {
             if let RequestMessage::AttemptEnded { end: ending, .. } = m { Some(ending) } else { None }
@@ -200,11 +200,11 @@
 #[test]
 fn no_descriptor_is_told_as_never_sent() {
     assert_eq!(AttemptEnd::NoDescriptor.outcome(), Outcome::NotSent);
-    let engine = shared::engine("127.0.0.1:1".parse().expect("an address"));
+    let engine = fixtures::engine("127.0.0.1:1".parse().expect("an address"));
     let held: Vec<_> = std::iter::from_fn(|| engine.upstreams.pool.acquire_descriptor()).collect();
     let order = order(Duration::from_secs(9));
     let (mail, inbox) = async_channel::unbounded();
-    shared::run(&engine, attempt::run(engine.upstreams.clone(), parcel(&engine), order, mail));
+    fixtures::run(&engine, attempt::run(engine.upstreams.clone(), parcel(&engine), order, mail));
     let Ok(RequestMessage::AttemptEnded { end: ending, .. }) = inbox.try_recv() else { panic!("no outcome") };
     assert_eq!(ending, AttemptEnd::NoDescriptor, "with {} held", held.len());
 }
@@ -215,7 +215,7 @@
 fn a_stale_link_shortens_the_keeping_of_all() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
-    let engine = shared::engine(address);
+    let engine = fixtures::engine(address);
     let before = engine.upstreams.pool.idle_timeout();
     let executor = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("the node connects");
@@ -225,7 +225,7 @@
     });
     let (mail, inbox) = async_channel::unbounded();
     let order = order(Duration::from_secs(9));
-    shared::run(&engine, async {
+    fixtures::run(&engine, async {
         let link = engine.upstreams.pool.connect(address).await.expect("a link");
         engine.upstreams.pool.check_in(WorkerId(0), link);
         async_io::Timer::after(Duration::from_millis(200)).await;
@@ -244,15 +244,15 @@
 fn a_request_that_was_not_written_never_ran() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
-    let engine = shared::engine(address);
+    let engine = fixtures::engine(address);
     let (mail, inbox) = async_channel::unbounded();
     // More than the buffers of both sockets take.
     let mut settings = BodySettings { largest_bytes: 64 << 20, ..BodySettings::default() };
     (settings.memory.each_bytes, settings.memory.total_bytes) = (64 << 20, 128 << 20);
     engine.bodies.configure(&settings, None);
-    let parcel = shared::parcel(&engine, "/api", &vec![b'x'; 64 << 20]);
+    let parcel = fixtures::parcel(&engine, "/api", &vec![b'x'; 64 << 20]);
     let order = order(Duration::from_millis(200));
-    shared::run(&engine, attempt::run(engine.upstreams.clone(), Rc::new(parcel), order, mail));
+    fixtures::run(&engine, attempt::run(engine.upstreams.clone(), Rc::new(parcel), order, mail));
     let Ok(RequestMessage::AttemptEnded { end: ending, .. }) = inbox.try_recv() else { panic!("no outcome") };
     assert_eq!((ending.clone(), ending.outcome()), (AttemptEnd::TimeoutBeforeSent, Outcome::ConnectFailed));
 }
@@ -262,8 +262,8 @@
 fn a_stale_link_is_not_taken_and_not_sent_on_again() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
-    let engine = shared::engine(address);
-    shared::run(&engine, async {
+    let engine = fixtures::engine(address);
+    fixtures::run(&engine, async {
         let link = engine.upstreams.pool.connect(address).await.expect("a link");
         engine.upstreams.pool.check_in(WorkerId(0), link);
     });
@@ -281,10 +281,10 @@
 fn a_repeat_whose_window_is_over_is_not_written() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
-    let engine = shared::engine(address);
+    let engine = fixtures::engine(address);
     let (mail, inbox) = async_channel::unbounded();
     let order = AttemptSpec { send_by: Instant::now(), ..order(Duration::from_secs(9)) };
-    shared::run(&engine, attempt::run(engine.upstreams.clone(), parcel(&engine), order, mail));
+    fixtures::run(&engine, attempt::run(engine.upstreams.clone(), parcel(&engine), order, mail));
     let Ok(RequestMessage::AttemptEnded { end: ending, .. }) = inbox.try_recv() else { panic!("no outcome") };
     assert_eq!((ending.clone(), ending.outcome()), (AttemptEnd::IdempotencyWindowExpired, Outcome::NotSent));
     assert_eq!(engine.counters.requests_sent.get(), 0);
--- a/crates/engine/src/tests/request.rs
+++ b/crates/engine/src/tests/request.rs
@@ -1,8 +1,8 @@
 //! A request's life with the real module: whatever the executor does, one answer, and no second run of a job
 //! that may have run.
 
-use super::server_link::{ServerScript, conduct, model, play};
-use super::shared;
+use super::fixtures;
+use super::pooled_connection::{ServerScript, conduct, model, play};
 use crate::attempt_end::AttemptEnd;
 use crate::job::Answer;
 use proptest::prelude::*;
@@ -34,17 +34,17 @@
             executor(listener, script, begun);
             drop(ended);
         });
-        let engine = shared::engine(address);
+        let engine = fixtures::engine(address);
         let at = engine.clone();
         engine.tasks.spawn_urgent(async move { at.dispatcher_loop.run_timers().await });
-        let parcel = shared::parcel(&engine, "/api", b"body");
+        let parcel = fixtures::parcel(&engine, "/api", b"body");
         let due = engine.dispatcher_loop.clock.now() + 400_000;
-        let job = shared::job(parcel, due, None);
+        let job = fixtures::job(parcel, due, None);
         let ticket = engine.take(job).expect("no other has its id");
-        let answer = shared::run(&engine, ticket.answer());
+        let answer = fixtures::run(&engine, ticket.answer());
         let late = engine.dispatcher_loop.clock.now() - due;
         // All that is out must come to its end, too.
-        shared::run(&engine, async {
+        fixtures::run(&engine, async {
             while engine.dispatcher_loop.registered_requests() > 0 {
                 futures_lite::future::yield_now().await;
             }
--- a/crates/engine/src/tests/written.rs
+++ b/crates/engine/src/tests/request_sent.rs
@@ -1,6 +1,6 @@
 //! What counts as sent: a request whose last byte was written may have run, whatever happens next in the node.
 
-use super::shared;
+use super::fixtures;
 use crate::attempt;
 use crate::attempt_end::AttemptEnd;
 use crate::job::RequestMessage;
@@ -14,8 +14,8 @@
 #[test]
 fn a_whole_request_that_waits_for_its_turn_may_have_run() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let engine = shared::engine(listener.local_addr().expect("its address"));
-    let parcel = shared::parcel(&engine, "/api", &[b'x'; BLOCK_BYTES]).into();
+    let engine = fixtures::engine(listener.local_addr().expect("its address"));
+    let parcel = fixtures::parcel(&engine, "/api", &[b'x'; BLOCK_BYTES]).into();
     let executor = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("the node");
         let mut got = Vec::new();
@@ -24,7 +24,7 @@
     });
     let (mail, inbox) = async_channel::unbounded();
     // No other task runs, so the turn after the last block does not come within the deadline.
-    let order = shared::order(Duration::from_millis(300));
+    let order = fixtures::order(Duration::from_millis(300));
     async_io::block_on(attempt::run(engine.upstreams.clone(), parcel, order, mail));
     let last = std::iter::from_fn(|| inbox.try_recv().ok()).last();
     assert_eq!(executor.join().expect("the executor"), BLOCK_BYTES, "the executor has all of it");
