--- a/crates/engine/src/tests/attempt_ends.rs
+++ b/crates/engine/src/tests/attempt_ends.rs
@@ -1,5 +1,5 @@
-//! Every ending there is, met by a payment whose body is not kept: one answer, no second send, and a refusal only where
-//! the protocol proves that it never ran.
+//! Each way an attempt can end, for an at-most-once request whose body can be read only once: one answer, no retry, and a
+//! rejection only where the protocol proves that the job never ran.
 
 use super::fixtures;
 use crate::attempt_end::AttemptEnd;
@@ -7,9 +7,9 @@
 use sorrelhaven_body_store::{BodyEnd, BodyReadError};
 use sorrelhaven_dispatcher::{Arrival, Event, WorkerId};
 
-/// The ending listed after this one; a new one must find its place here.
-fn next(ending: &AttemptEnd) -> Option<AttemptEnd> {
-    Some(match ending {
+/// The end listed after this one; a new variant must be inserted here.
+fn next(end: &AttemptEnd) -> Option<AttemptEnd> {
+    Some(match end {
         AttemptEnd::Completed(_) => AttemptEnd::Failed,
         AttemptEnd::Failed => AttemptEnd::InvalidRequest,
         AttemptEnd::InvalidRequest => AttemptEnd::Rejected,
@@ -48,10 +48,10 @@
     })
 }
 
-/// Whether the protocol proves that an execution that ended so never ran: the executor said so, or the request's last
-/// byte was not written.
-fn never_ran(ending: &AttemptEnd) -> bool {
-    match ending {
+/// Whether the protocol proves that an attempt that ended so never ran: the worker reports it, or the request's last byte
+/// was not written.
+fn never_ran(end: &AttemptEnd) -> bool {
+    match end {
         AttemptEnd::Rejected
         | AttemptEnd::Draining
         | AttemptEnd::NoAddress
@@ -73,54 +73,53 @@
     }
 }
 
+/// What the dispatcher answers where the only attempt at a request with a consumed body ends with `end`.
+fn answers_after(end: &AttemptEnd) -> Vec<RequestMessage> {
+    let engine = fixtures::engine_without_worker();
+    let dispatcher_loop = &engine.dispatcher_loop;
+    let (sender, messages) = async_channel::unbounded();
+    let request = dispatcher_loop.register_request(sender);
+    dispatcher_loop.dispatch(Event::Arrival(Arrival {
+        request,
+        class: 0,
+        deadline: dispatcher_loop.clock.now() + 4_000_000,
+        work_hint: Some(50_000),
+        slots: 1.0,
+        is_retry: false,
+        affinity_key: 0,
+        body_sendable: true,
+    }));
+    let first = messages.try_recv();
+    assert!(matches!(first, Ok(RequestMessage::Send { worker: WorkerId(0), .. })), "{end:?}: {first:?}");
+    dispatcher_loop.dispatch(Event::BodyConsumed(request));
+    dispatcher_loop.dispatch(Event::AttemptEnded {
+        request,
+        attempt: 0,
+        worker: WorkerId(0),
+        outcome: end.outcome(),
+        elapsed: 1_000,
+        request_concluded: matches!(end, AttemptEnd::Completed(_)),
+        load_report: Vec::new(),
+    });
+    std::iter::from_fn(|| messages.try_recv().ok()).collect()
+}
+
 #[test]
-fn a_payment_whose_body_is_not_kept_meets_each_ending() {
-    let mut met = 0;
-    let mut at = Some(AttemptEnd::Completed("fine".into()));
-    while let Some(ending) = at {
-        at = next(&ending);
-        met += 1;
-        let engine = fixtures::engine("127.0.0.1:1".parse().expect("an address"));
-        let desk = &engine.dispatcher_loop;
-        let (mail, inbox) = async_channel::unbounded();
-        let request = desk.register_request(mail);
-        let (due, hint) = (desk.clock.now() + 4_000_000, Some(50_000));
-        let arrival = Arrival {
-            request,
-            class: 0,
-            deadline: due,
-            work_hint: hint,
-            slots: 1.0,
-            is_retry: false,
-            affinity_key: 0,
-            body_sendable: true,
-        };
-        desk.dispatch(Event::Arrival(arrival));
-        let first = inbox.try_recv();
-        assert!(
-            matches!(first, Ok(RequestMessage::Send { worker: WorkerId(0), .. })),
-            "{ending:?}: {first:?}"
-        );
-        desk.dispatch(Event::BodyConsumed(request));
-        let (outcome, closed) = (ending.outcome(), matches!(ending, AttemptEnd::Completed(_)));
-        let (worker, report) = (WorkerId(0), Vec::new());
-        desk.dispatch(Event::AttemptEnded {
-            request,
-            attempt: 0,
-            worker,
-            outcome,
-            elapsed: 1_000,
-            request_concluded: closed,
-            load_report: report,
-        });
-        let answers: Vec<RequestMessage> = std::iter::from_fn(|| inbox.try_recv().ok()).collect();
-        let right = match (&answers[..], closed, never_ran(&ending)) {
+fn an_at_most_once_request_with_a_consumed_body_is_rejected_only_if_it_never_ran() {
+    let mut ends = 0;
+    let mut next_end = Some(AttemptEnd::Completed("fine".into()));
+    while let Some(end) = next_end {
+        next_end = next(&end);
+        ends += 1;
+        let answers = answers_after(&end);
+        let concluded = matches!(end, AttemptEnd::Completed(_));
+        let is_right = match (&answers[..], concluded, never_ran(&end)) {
             ([], true, _) => true,
-            ([RequestMessage::Reject { .. }], false, refused) => refused,
-            ([RequestMessage::Fail], false, refused) => !refused,
+            ([RequestMessage::Reject { .. }], false, never_ran) => never_ran,
+            ([RequestMessage::Fail], false, never_ran) => !never_ran,
             _ => false,
         };
-        assert!(right, "{ending:?}: {answers:?}");
+        assert!(is_right, "{end:?}: {answers:?}");
     }
-    assert_eq!(met, 27);
+    assert_eq!(ends, 27);
 }
--- a/crates/engine/src/tests/body_admission.rs
+++ b/crates/engine/src/tests/body_admission.rs
@@ -1,39 +1,42 @@
-//! BodyAdmission for long bodies: few at once, in order, and none held for long.
+//! Permits for long bodies: a few at once, in order, and none for long.
 
 use super::fixtures;
 use futures_lite::future::{poll_once, zip};
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_slow_body_holds_a_place_for_a_while_only() {
-    let engine = fixtures::engine("127.0.0.1:1".parse().expect("an address"));
-    let far = Instant::now() + Duration::from_secs(60);
+fn a_slow_body_loses_its_permit_after_a_second() {
+    let engine = fixtures::engine_without_worker();
+    let distant = Instant::now() + Duration::from_secs(60);
     fixtures::run(&engine, async {
-        let places = &engine.body_admission;
-        let begun = Instant::now();
+        let admission = &engine.body_admission;
+        let started = Instant::now();
         let mut slow = Vec::new();
-        while let Some(Some(place)) = poll_once(places.acquire(far)).await {
-            slow.push(place);
+        while let Some(Some(permit)) = poll_once(admission.acquire(distant)).await {
+            slow.push(permit);
         }
-        assert_eq!(slow.len(), 4, "few at once");
-        assert!(places.acquire(Instant::now() + Duration::from_millis(50)).await.is_none(), "none in time");
+        assert_eq!(slow.len(), 4, "a few at once");
+        assert!(
+            admission.acquire(Instant::now() + Duration::from_millis(50)).await.is_none(),
+            "none in time"
+        );
         drop(slow.pop());
-        let next = places.acquire(far).await;
+        let next = admission.acquire(distant).await;
         assert!(
-            next.is_some() && begun.elapsed() < Duration::from_millis(900),
-            "one that is done makes room"
+            next.is_some() && started.elapsed() < Duration::from_millis(900),
+            "a permit that is returned is free at once"
         );
-        // The three that go on slowly give theirs up all the same, to whoever has waited.
-        let (a, b) = zip(places.acquire(far), places.acquire(far)).await;
-        assert!(a.is_some() && b.is_some());
-        let took = begun.elapsed();
-        assert!(took >= Duration::from_millis(990) && took < Duration::from_secs(2), "{took:?}");
-        // A place that was given up twice frees one place, not two.
+        // The three slow ones lose their permits all the same, to those that wait.
+        let (first, second) = zip(admission.acquire(distant), admission.acquire(distant)).await;
+        assert!(first.is_some() && second.is_some());
+        let elapsed = started.elapsed();
+        assert!(elapsed >= Duration::from_millis(990) && elapsed < Duration::from_secs(2), "{elapsed:?}");
+        // A permit that timed out and is then dropped frees one place, not two.
         drop(slow);
-        let mut got = Vec::new();
-        while let Some(Some(place)) = poll_once(places.acquire(far)).await {
-            got.push(place);
+        let mut rest = Vec::new();
+        while let Some(Some(permit)) = poll_once(admission.acquire(distant)).await {
+            rest.push(permit);
         }
-        assert_eq!(got.len(), 1, "next, a and b hold theirs");
+        assert_eq!(rest.len(), 1, "next, first and second hold theirs");
     });
 }
--- a/crates/engine/src/tests/discovery_watch.rs
+++ b/crates/engine/src/tests/discovery_watch.rs
@@ -1,4 +1,4 @@
-//! The watch on the host group against an agent that answers, breaks off, talks nonsense and falls silent.
+//! The discovery watch against an agent that answers, breaks off, sends nonsense and falls silent.
 
 use super::fixtures;
 use crate::Engine;
@@ -10,8 +10,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-fn list(seq: u64, whole: bool, hosts: &str) -> String {
-    format!("{{\"seq\":{seq},\"whole\":{whole},\"hosts\":[{hosts}]}}\n")
+fn list(seq: u64, complete: bool, hosts: &str) -> String {
+    format!("{{\"seq\":{seq},\"whole\":{complete},\"hosts\":[{hosts}]}}\n")
 }
 
 fn host(name: &str, port: u16) -> String {
@@ -19,11 +19,11 @@
 }
 
 /// Runs an engine that watches the agent that `script` plays, until the script is over.
-fn watched(script: impl FnOnce(TcpListener) + Send + 'static) -> Rc<Engine> {
-    watched_by(fixtures::engine("127.0.0.1:1".parse().expect("an address")), script)
+fn watch(script: impl FnOnce(TcpListener) + Send + 'static) -> Rc<Engine> {
+    watch_with(fixtures::engine_without_worker(), script)
 }
 
-fn watched_by(engine: Rc<Engine>, script: impl FnOnce(TcpListener) + Send + 'static) -> Rc<Engine> {
+fn watch_with(engine: Rc<Engine>, script: impl FnOnce(TcpListener) + Send + 'static) -> Rc<Engine> {
     let agent = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = agent.local_addr().expect("its address");
     let agent = std::thread::spawn(move || script(agent));
@@ -33,27 +33,27 @@
         drop(done);
         end
     });
-    let (_moves, never) = async_channel::unbounded();
-    let at = engine.clone();
-    engine.tasks.spawn_urgent(async move { at.watch(address, 1, never).await });
+    let (_sender, no_moves) = async_channel::unbounded();
+    let watching_engine = engine.clone();
+    engine.tasks.spawn_urgent(async move { watching_engine.watch(address, 1, no_moves).await });
     fixtures::run(&engine, async { _ = stop.recv().await });
     waiter.join().expect("the waiter").expect("the agent saw what it should");
     engine
 }
 
 #[test]
-fn a_watch_that_ends_is_asked_for_again_and_the_old_list_kept() {
-    let engine = watched(|agent| {
-        let next = || agent.accept().expect("the node comes").0;
-        // It goes on from the list in the configuration, and takes an odd entry for what it is.
+fn a_watch_that_ends_is_retried_and_the_last_list_stays_in_force() {
+    let engine = watch(|agent| {
+        let next = || agent.accept().expect("the node connects").0;
+        // It continues from the configured list, and ignores an invalid entry.
         let mut stream = next();
         assert_eq!(read_request_target(&mut stream), "/registry/instances?watch=1&after=1");
         stream.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).expect("the node reads");
-        let odd = r#"{"host":"s-odd","health":"in_service"}"#;
-        send_chunk(&mut stream, &list(5, false, &format!("{odd},{}", host("s-2", 2))));
+        let invalid = r#"{"host":"s-odd","health":"in_service"}"#;
+        send_chunk(&mut stream, &list(5, false, &format!("{invalid},{}", host("s-2", 2))));
         send_chunk(&mut stream, "\n");
         drop(stream);
-        // A watch that breaks goes on from what it had; after nonsense nothing it had can be trusted.
+        // A watch that breaks continues from its version; after nonsense no version can be trusted.
         let mut stream = next();
         assert_eq!(read_request_target(&mut stream), "/registry/instances?watch=1&after=5");
         stream.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).expect("the node reads");
@@ -61,126 +61,131 @@
         send_chunk(&mut stream, "\n");
         let mut stream = next();
         assert_eq!(read_request_target(&mut stream), "/registry/instances");
-        let whole = list(7, true, &host("s-3", 3));
-        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{whole}", whole.len());
-        stream.write_all(head.as_bytes()).expect("the node reads");
+        let complete = list(7, true, &host("s-3", 3));
+        let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{complete}", complete.len());
+        stream.write_all(response.as_bytes()).expect("the node reads");
         assert_eq!(read_request_target(&mut stream), "/registry/instances?watch=1&after=7");
-        // A watch that says nothing at all is given up as well.
+        // A watch without any input is given up as well.
         stream.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).expect("the node reads");
         let mut again = next();
         assert_eq!(read_request_target(&mut again), "/registry/instances?watch=1&after=7");
     });
-    let port = |n: u32| engine.upstreams.registry.address(WorkerId(n)).map(|a| a.port());
+    let port =
+        |worker: u32| engine.upstreams.registry.address(WorkerId(worker)).map(|address| address.port());
     assert_eq!([port(0), port(1), port(2), port(3)], [Some(1), Some(2), Some(3), None]);
     assert_eq!(engine.counters.worker_lists.get(), 2);
 }
 
-/// So many executors must be no trouble.
-const MANY: u16 = 1025;
+/// The size of a large fleet.
+const MANY_WORKERS: u16 = 1025;
 
-/// A list laid out as by a printer that indents.
+/// The same list on indented lines.
 fn indented(list: &str) -> String {
     let value: serde_json::Value = serde_json::from_str(list).expect("a list");
     format!("{value:#}\n")
 }
 
-/// How many executors take work, and how many do not.
-fn counted(engine: &Engine) -> [usize; 2] {
+/// How many workers accept work, and how many do not.
+fn accepting_and_draining(engine: &Engine) -> [usize; 2] {
     let worker_counts = engine.dispatcher_loop.worker_counts();
     [(worker_counts.known - worker_counts.draining) as usize, worker_counts.draining as usize]
 }
 
 #[test]
-fn a_watch_takes_1025_executors_indented_or_as_changes() {
-    let engine = watched(|agent| {
-        let mut stream = agent.accept().expect("the node comes").0;
+fn a_watch_applies_lists_of_1025_workers_indented_or_as_changes() {
+    let engine = watch(|agent| {
+        let mut stream = agent.accept().expect("the node connects").0;
         assert_eq!(read_request_target(&mut stream), "/registry/instances?watch=1&after=1");
         stream.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).expect("the node reads");
-        let hosts: Vec<String> = (0..MANY).map(|n| host(&format!("s-{n}"), 1000 + n)).collect();
-        // The whole list in pieces that end anywhere.
+        let hosts: Vec<String> =
+            (0..MANY_WORKERS).map(|number| host(&format!("s-{number}"), 1000 + number)).collect();
+        // The complete list in pieces that end anywhere.
         for piece in indented(&list(2, true, &hosts.join(","))).as_bytes().chunks(700) {
             send_chunk(&mut stream, std::str::from_utf8(piece).expect("text"));
         }
         send_chunk(&mut stream, "\n");
-        // All of them but one leave, a change for each, some of them indented and some in one piece with the next.
+        // All but one drain, a change for each, some of them indented and some in one piece with the next.
         let mut changes = String::new();
-        for (n, host) in (0..MANY - 1).zip(&hosts) {
-            let change = list(3 + u64::from(n), false, &host.replace("in_service", "terminating"));
-            changes += &if n % 2 == 0 { indented(&change) } else { change };
+        for (number, host) in (0..MANY_WORKERS - 1).zip(&hosts) {
+            let change = list(3 + u64::from(number), false, &host.replace("in_service", "terminating"));
+            changes += &if number % 2 == 0 { indented(&change) } else { change };
         }
         send_chunk(&mut stream, &changes);
         stream.shutdown(std::net::Shutdown::Write).expect("the node reads");
-        let mut again = agent.accept().expect("the node comes again").0;
+        let mut again = agent.accept().expect("the node connects again").0;
         assert_eq!(
             read_request_target(&mut again),
-            format!("/registry/instances?watch=1&after={}", 2 + u64::from(MANY - 1))
+            format!("/registry/instances?watch=1&after={}", 2 + u64::from(MANY_WORKERS - 1))
         );
     });
-    assert_eq!(engine.counters.worker_lists.get(), u64::from(MANY));
-    assert_eq!(counted(&engine), [1, usize::from(MANY) - 1]);
+    assert_eq!(engine.counters.worker_lists.get(), u64::from(MANY_WORKERS));
+    assert_eq!(accepting_and_draining(&engine), [1, usize::from(MANY_WORKERS) - 1]);
 }
 
-/// After a list that breaks off a whole one is asked for, and it may come indented too.
+/// After an invalid list the complete one is fetched, and it may be indented too.
 #[test]
-fn a_whole_list_that_is_fetched_may_be_indented() {
-    let engine = watched(|agent| {
-        let next = || agent.accept().expect("the node comes").0;
+fn a_complete_list_that_is_fetched_may_be_indented() {
+    let engine = watch(|agent| {
+        let next = || agent.accept().expect("the node connects").0;
         let mut stream = next();
         read_request_target(&mut stream);
         stream.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).expect("the node reads");
-        // A state that no executor has: the old list stays in force.
+        // A state that no worker has: the last list stays in force.
         send_chunk(&mut stream, &indented(&list(2, true, &host("s-9", 9).replace("in_service", "odd"))));
         let mut stream = next();
         assert_eq!(read_request_target(&mut stream), "/registry/instances");
-        let hosts: Vec<String> = (0..MANY).map(|n| host(&format!("s-{n}"), 1000 + n)).collect();
-        let whole = indented(&list(3, true, &hosts.join(",")));
-        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{whole}", whole.len());
-        stream.write_all(head.as_bytes()).expect("the node reads");
+        let hosts: Vec<String> =
+            (0..MANY_WORKERS).map(|number| host(&format!("s-{number}"), 1000 + number)).collect();
+        let complete = indented(&list(3, true, &hosts.join(",")));
+        let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{complete}", complete.len());
+        stream.write_all(response.as_bytes()).expect("the node reads");
         assert_eq!(read_request_target(&mut stream), "/registry/instances?watch=1&after=3");
     });
-    assert_eq!(counted(&engine), [usize::from(MANY), 0]);
+    assert_eq!(accepting_and_draining(&engine), [usize::from(MANY_WORKERS), 0]);
 }
 
-/// Where lists are pushed, what the agent has counts as told: a node that waits after a silence sends to what drains.
+/// Where lists are pushed, the node counts as notified of what the agent has: one that waits after a silence would send
+/// to draining workers.
 #[test]
-fn a_silent_agent_is_asked_anew_within_a_second_and_any_ask_may_be_answered() {
+fn a_silent_agent_is_polled_again_within_a_second_and_any_poll_may_be_answered() {
     for answered in [0, 2] {
-        let engine = watched(move |agent| {
-            // A busy machine has some time to spare; one ask at a time would take 3 s each.
-            let begun = Instant::now();
-            let mut asks: Vec<TcpStream> = Vec::new();
+        let engine = watch(move |agent| {
+            // A busy machine may be slower; one poll at a time would take 3 s each.
+            let started = Instant::now();
+            let mut polls: Vec<TcpStream> = Vec::new();
             for _ in 0..3 {
-                let mut stream = agent.accept().expect("the node comes").0;
+                let mut stream = agent.accept().expect("the node connects").0;
                 assert_eq!(read_request_target(&mut stream), "/registry/instances?watch=1&after=1");
-                asks.push(stream);
+                polls.push(stream);
             }
-            assert!(begun.elapsed() < Duration::from_millis(2_900), "{:?}", begun.elapsed());
-            let mut stream = asks.remove(answered);
+            assert!(started.elapsed() < Duration::from_millis(2_900), "{:?}", started.elapsed());
+            let mut stream = polls.remove(answered);
             stream.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).expect("the node reads");
             send_chunk(&mut stream, &list(2, false, &host("s-2", 2)));
             // The others are given up.
-            for mut ask in asks {
-                assert!(matches!(ask.read(&mut [0]), Ok(0) | Err(_)));
+            for mut poll in polls {
+                assert!(matches!(poll.read(&mut [0]), Ok(0) | Err(_)));
             }
-            // A watch that breaks off is asked for again soon, however often.
+            // A watch that breaks off is retried soon, however often.
             drop(stream);
-            for n in 2..8 {
-                let begun = Instant::now();
-                let mut stream = agent.accept().expect("the node comes").0;
+            for retry in 2..8 {
+                let started = Instant::now();
+                let mut stream = agent.accept().expect("the node connects").0;
                 assert_eq!(read_request_target(&mut stream), "/registry/instances?watch=1&after=2");
-                assert!(begun.elapsed() < Duration::from_secs(2), "{n}: {:?}", begun.elapsed());
+                assert!(started.elapsed() < Duration::from_secs(2), "{retry}: {:?}", started.elapsed());
             }
         });
         assert_eq!(engine.counters.worker_lists.get(), 1);
     }
 }
 
-/// Where the list is asked for, what a watch misses counts as told 6 s after it fell silent. One that spoke after asks
-/// that failed, and falls silent 3 s long, is asked for again a second later at most, however long the pauses had become.
+/// Where discovery is polled, a node counts as notified of what a watch misses 6 s after the silence began. A watch that
+/// answered after polls that failed, and is then silent for 3 s, is retried a second later at most, however long the
+/// delays had become.
 #[test]
-fn a_watch_that_is_asked_for_and_falls_silent_does_not_pay_for_asks_that_failed_before() {
+fn a_polled_watch_that_falls_silent_is_not_delayed_by_polls_that_failed_before() {
     const SECOND: Duration = Duration::from_secs(1);
-    // Pauses drawn so that the first is short, and the second long unless the bound has begun anew.
+    // Delays drawn so that the first is short, and the second long unless the bound was reset.
     let seed = (0..).find(|&seed| {
         let mut backoff = Backoff::new(seed, 1_000_000, 10_000_000);
         backoff.retry_delay(true) < SECOND / 4 && backoff.retry_delay(false) > 6 * SECOND
@@ -191,76 +196,77 @@
     );
     let text = text.replace(r#""seed":"1f""#, &format!(r#""seed":"{:x}""#, seed.expect("there is one")));
     let text = text.replace(r#""balancers":1"#, r#""balancers":1,"discovery":"subscribe""#);
-    let engine = watched_by(fixtures::configured(&text), |agent| {
-        let next = || agent.accept().expect("the node comes").0;
-        let mut refused = next();
-        read_request_target(&mut refused);
-        refused.write_all(b"HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n").expect("the node reads");
-        let mut spoke = next();
-        assert_eq!(read_request_target(&mut spoke), "/registry/instances?watch=1&after=1");
-        spoke.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).expect("the node reads");
-        send_chunk(&mut spoke, &list(2, false, &host("s-2", 2)));
-        let silent = Instant::now();
+    let engine = watch_with(fixtures::engine_with_config(&text), |agent| {
+        let next = || agent.accept().expect("the node connects").0;
+        let mut rejected = next();
+        read_request_target(&mut rejected);
+        rejected.write_all(b"HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n").expect("the node reads");
+        let mut answered = next();
+        assert_eq!(read_request_target(&mut answered), "/registry/instances?watch=1&after=1");
+        answered.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).expect("the node reads");
+        send_chunk(&mut answered, &list(2, false, &host("s-2", 2)));
+        let silent_since = Instant::now();
         assert_eq!(read_request_target(&mut next()), "/registry/instances?watch=1&after=2");
-        let anew = silent.elapsed();
-        assert!(anew >= 3 * SECOND && anew < 5 * SECOND, "asked for again after {anew:?}");
+        let retried_after = silent_since.elapsed();
+        assert!(retried_after >= 3 * SECOND && retried_after < 5 * SECOND, "retried after {retried_after:?}");
     });
     assert_eq!(engine.counters.worker_lists.get(), 1);
 }
 
-/// What came of a line counts for nothing until the line is whole, also where the rest never comes.
+/// A part of a line counts for nothing, also where the rest never comes.
 #[test]
-fn a_watch_that_falls_silent_in_the_middle_of_a_line_is_asked_for_again_from_where_it_was() {
-    let engine = watched(|agent| {
-        let next = || agent.accept().expect("the node comes").0;
+fn a_watch_that_falls_silent_in_the_middle_of_a_line_is_retried_from_its_version() {
+    let engine = watch(|agent| {
+        let next = || agent.accept().expect("the node connects").0;
         let mut torn = next();
         assert_eq!(read_request_target(&mut torn), "/registry/instances?watch=1&after=1");
         torn.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).expect("the node reads");
         let line = list(2, false, &host("s-1", 7).replace("in_service", "terminating"));
         let half = &line[..line.len() / 2];
         torn.write_all(format!("{:x}\r\n{half}", line.len()).as_bytes()).expect("the node reads");
-        let silent = Instant::now();
-        let mut whole = next();
-        assert_eq!(read_request_target(&mut whole), "/registry/instances?watch=1&after=1");
-        assert!(silent.elapsed() < Duration::from_secs(5), "{:?}", silent.elapsed());
-        // The rest of the old line comes now: nobody listens to that any more.
+        let silent_since = Instant::now();
+        let mut retried = next();
+        assert_eq!(read_request_target(&mut retried), "/registry/instances?watch=1&after=1");
+        assert!(silent_since.elapsed() < Duration::from_secs(5), "{:?}", silent_since.elapsed());
+        // The rest of the old line comes now: nothing reads it any more.
         let _ = torn.write_all(format!("{}\r\n", &line[line.len() / 2..]).as_bytes());
-        whole.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).expect("the node reads");
-        send_chunk(&mut whole, &list(3, false, &host("s-2", 2)));
-        assert!(matches!(torn.read(&mut [0]), Ok(0) | Err(_)), "the old one was ended");
-        drop(whole);
+        retried.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).expect("the node reads");
+        send_chunk(&mut retried, &list(3, false, &host("s-2", 2)));
+        assert!(matches!(torn.read(&mut [0]), Ok(0) | Err(_)), "the old connection was closed");
+        drop(retried);
         assert_eq!(read_request_target(&mut next()), "/registry/instances?watch=1&after=3");
     });
     assert_eq!(engine.counters.worker_lists.get(), 1);
-    assert_eq!(counted(&engine), [2, 0], "the drain was never told whole");
+    assert_eq!(accepting_and_draining(&engine), [2, 0], "the notice of the drain was incomplete");
 }
 
-/// A list that comes a byte at a time, and would take half a minute, tells nothing: it is asked for again after 6 s, and not
-/// before, as one that is merely slow must have its time.
+/// A list that comes a byte at a time would take half a minute: it is fetched again after 6 s, and not before, since one
+/// that is merely slow must have its time.
 #[test]
-fn a_list_that_trickles_is_asked_for_again() {
-    let engine = watched(|agent| {
-        let mut torn = agent.accept().expect("the node comes").0;
+fn a_list_that_trickles_is_fetched_again() {
+    let engine = watch(|agent| {
+        let mut torn = agent.accept().expect("the node connects").0;
         assert_eq!(read_request_target(&mut torn), "/registry/instances?watch=1&after=1");
         torn.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).expect("the node reads");
         let line = list(2, false, &host("s-1", 7).replace("in_service", "terminating"));
-        let (comes, came) = std::sync::mpsc::channel();
-        let again = std::thread::spawn(move || comes.send(agent.accept().expect("the node comes").0));
-        let begun = Instant::now();
+        let (retries, retried) = std::sync::mpsc::channel();
+        let accepting =
+            std::thread::spawn(move || retries.send(agent.accept().expect("the node connects").0));
+        let started = Instant::now();
         let mut bytes = line.bytes();
         let mut next = loop {
-            match came.recv_timeout(Duration::from_millis(500)) {
+            match retried.recv_timeout(Duration::from_millis(500)) {
                 Ok(next) => break next,
                 Err(_) => {
-                    let byte = bytes.next().expect("the node comes long before the end") as char;
+                    let byte = bytes.next().expect("the node retries long before the end") as char;
                     torn.write_all(format!("1\r\n{byte}\r\n").as_bytes()).expect("the node reads");
                 }
             }
         };
-        let took = begun.elapsed();
-        assert!(took >= Duration::from_secs(6) && took < Duration::from_secs(9), "{took:?}");
+        let elapsed = started.elapsed();
+        assert!(elapsed >= Duration::from_secs(6) && elapsed < Duration::from_secs(9), "{elapsed:?}");
         assert_eq!(read_request_target(&mut next), "/registry/instances?watch=1&after=1");
-        again.join().expect("a thread").expect("it was awaited");
+        accepting.join().expect("a thread").expect("it was awaited");
     });
-    assert_eq!((engine.counters.worker_lists.get(), counted(&engine)), (0, [1, 0]));
+    assert_eq!((engine.counters.worker_lists.get(), accepting_and_draining(&engine)), (0, [1, 0]));
 }
--- a/crates/engine/src/tests/load_report_fields.rs
+++ b/crates/engine/src/tests/load_report_fields.rs
@@ -2,20 +2,20 @@
 
 use crate::load_report::LoadReportFields;
 
-fn read(text: &str) -> Option<Vec<f64>> {
+fn parse(text: &str) -> Option<Vec<f64>> {
     LoadReportFields::new(vec!["x0".into(), "util".into()]).parse_text(text)
 }
 
 #[test]
-fn figures_come_in_the_order_of_the_fields() {
-    assert_eq!(read(r#" {"util":0.61,"x0":2} "#), Some(vec![2.0, 0.61]));
-    let part = read(r#"{"util":0}"#).expect("a report");
+fn values_are_in_the_order_of_the_fields() {
+    assert_eq!(parse(r#" {"util":0.61,"x0":2} "#), Some(vec![2.0, 0.61]));
+    let part = parse(r#"{"util":0}"#).expect("a report");
     assert!(part[0].is_nan() && part[1] == 0.0);
 }
 
 #[test]
-fn what_does_not_read_is_no_report() {
-    let odd = [
+fn a_malformed_report_is_none() {
+    let malformed = [
         "",
         "{}",
         "[2,0.61]",
@@ -31,8 +31,8 @@
         r#"{"x0":2,"mood":3}"#,
         r#"{"x0":{"x0":2}}"#,
     ];
-    for text in odd {
-        assert_eq!(read(text), None, "{text}");
+    for text in malformed {
+        assert_eq!(parse(text), None, "{text}");
     }
     assert_eq!(
         LoadReportFields::new(Vec::new()).parse_text(r#"{"x0":2}"#),
--- a/crates/engine/src/tests/pooled_connection.rs
+++ b/crates/engine/src/tests/pooled_connection.rs
@@ -1,8 +1,7 @@
-//! The server link as a model: what an executor does, and how the execution must end.
+//! The worker's side of an upstream connection as a model: what a worker does, and how the attempt must end.
 
-use super::fixtures::{self, order};
+use super::fixtures::{self, attempt_spec, next_end, run_attempt};
 use crate::Engine;
-use crate::attempt;
 use crate::attempt_end::AttemptEnd;
 use crate::attempt_spec::AttemptSpec;
 use crate::job::{RequestMessage, RequestPayload};
@@ -11,11 +10,16 @@
 use sorrelhaven_dispatcher::{Outcome, WorkerId};
 use sorrelhaven_test_support::check_cases;
 use std::io::{Read, Write};
-use std::net::{TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// One thing that an executor writes, or does.
+/// A line longer than any that the protocol allows.
+const HUGE_LINE_BYTES: usize = 300_000;
+/// Long responses are written in pieces of this size, whatever the script says.
+const MAX_RESPONSE_PIECE_BYTES: usize = 10_000;
+
+/// One thing that a worker writes or does.
 #[derive(Clone, Debug)]
 pub enum Step {
     Line(&'static str),
@@ -24,13 +28,13 @@
     Close,
 }
 
-/// What an executor does with one request. After its last step it writes the end of its answer, or hangs.
+/// What a worker does with one request. After the last step it ends its response, or hangs.
 #[derive(Clone, Debug)]
 pub struct ServerScript {
     status: &'static str,
     steps: Vec<Step>,
     hangs: bool,
-    piece: usize,
+    piece_bytes: usize,
 }
 
 const LINES: [&str; 10] = [
@@ -46,7 +50,7 @@
     "not json",
 ];
 
-pub fn conduct() -> impl Strategy<Value = ServerScript> {
+pub fn server_script() -> impl Strategy<Value = ServerScript> {
     let line = prop::sample::select(LINES.to_vec()).prop_map(Step::Line);
     let step =
         prop_oneof![12 => line, 1 => Just(Step::BlankLine), 1 => Just(Step::Huge), 1 => Just(Step::Close)];
@@ -64,24 +68,26 @@
         "nonsense",
     ]);
     (status, prop::collection::vec(step, 0..4), prop::bool::weighted(0.1), 1usize..60)
-        .prop_map(|(status, steps, hangs, piece)| ServerScript { status, steps, hangs, piece })
+        .prop_map(|(status, steps, hangs, piece_bytes)| ServerScript { status, steps, hangs, piece_bytes })
 }
 
-/// How the execution must end, and whether the link is fit for another.
-pub fn model(c: &ServerScript) -> (AttemptEnd, bool) {
-    match c.status {
+/// How the attempt must end, and whether the connection can carry another.
+pub fn expected_end(script: &ServerScript) -> (AttemptEnd, bool) {
+    match script.status {
         "200 OK" => {}
         "nonsense" => return (AttemptEnd::Malformed, false),
-        s if s.contains("Not-Started") => return (AttemptEnd::Rejected, whole(c, &c.steps)),
-        "404 What" => return (AttemptEnd::InvalidRequest, whole(c, &c.steps)),
-        _ => return (AttemptEnd::Failed, whole(c, &c.steps)),
+        status if status.contains("Not-Started") => {
+            return (AttemptEnd::Rejected, response_ends(script, &script.steps));
+        }
+        "404 What" => return (AttemptEnd::InvalidRequest, response_ends(script, &script.steps)),
+        _ => return (AttemptEnd::Failed, response_ends(script, &script.steps)),
     }
-    for (i, step) in c.steps.iter().enumerate() {
-        let ending = match step {
+    for (i, step) in script.steps.iter().enumerate() {
+        let end = match step {
             Step::BlankLine => continue,
             Step::Close => return (AttemptEnd::Truncated, false),
             Step::Huge => return (AttemptEnd::ResponseTooLarge, false),
-            Step::Line(line) => match LINES.iter().position(|l| l == line) {
+            Step::Line(line) => match LINES.iter().position(|known| known == line) {
                 Some(0..=2) => continue,
                 Some(3) => AttemptEnd::Completed("ok\n".into()),
                 Some(4) => AttemptEnd::Failed,
@@ -91,201 +97,199 @@
                 _ => return (AttemptEnd::Malformed, false),
             },
         };
-        return (ending, whole(c, &c.steps[i..]));
+        return (end, response_ends(script, &script.steps[i..]));
     }
-    (if c.hangs { AttemptEnd::ResponseTimeout } else { AttemptEnd::Truncated }, false)
+    (if script.hangs { AttemptEnd::ResponseTimeout } else { AttemptEnd::Truncated }, false)
 }
 
-/// Whether the rest of the answer comes to its end.
-fn whole(c: &ServerScript, rest: &[Step]) -> bool {
-    !c.hangs && !rest.iter().any(|s| matches!(s, Step::Close | Step::Huge))
+/// Whether the rest of the response comes to its end.
+fn response_ends(script: &ServerScript, rest: &[Step]) -> bool {
+    !script.hangs && !rest.iter().any(|step| matches!(step, Step::Close | Step::Huge))
 }
 
-/// Plays an executor for one request; false if none came.
-pub fn play(stream: &mut TcpStream, c: &ServerScript, begun: impl FnOnce()) -> std::io::Result<bool> {
+/// Plays a worker for one request; false if none came.
+pub fn play(
+    stream: &mut TcpStream,
+    script: &ServerScript,
+    on_request: impl FnOnce(),
+) -> std::io::Result<bool> {
     stream.set_nodelay(true)?;
-    let mut got = Vec::new();
-    while !got.ends_with(b"\r\n\r\nbody") {
+    let mut received = Vec::new();
+    while !received.ends_with(b"\r\n\r\nbody") {
         let mut chunk = [0; 512];
         match stream.read(&mut chunk)? {
             0 => return Ok(false),
-            n => got.extend_from_slice(&chunk[..n]),
+            count => received.extend_from_slice(&chunk[..count]),
         }
     }
-    begun();
-    let mut wire = format!("HTTP/1.1 {}\r\nTransfer-Encoding: chunked\r\n\r\n", c.status).into_bytes();
+    on_request();
+    let mut response =
+        format!("HTTP/1.1 {}\r\nTransfer-Encoding: chunked\r\n\r\n", script.status).into_bytes();
     let mut closes = false;
-    for step in &c.steps {
+    for step in &script.steps {
         let line = match step {
             Step::Line(line) => format!("{line}\n"),
             Step::BlankLine => "\n".to_string(),
-            Step::Huge => "x".repeat(300_000),
+            Step::Huge => "x".repeat(HUGE_LINE_BYTES),
             Step::Close => {
                 closes = true;
                 break;
             }
         };
-        wire.extend_from_slice(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes());
+        response.extend_from_slice(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes());
     }
-    if !closes && !c.hangs {
-        wire.extend_from_slice(b"0\r\n\r\n");
+    if !closes && !script.hangs {
+        response.extend_from_slice(b"0\r\n\r\n");
     }
-    let piece = if wire.len() > 10_000 { 10_000 } else { c.piece };
-    for piece in wire.chunks(piece) {
+    let is_long = response.len() > MAX_RESPONSE_PIECE_BYTES;
+    let piece_bytes = if is_long { MAX_RESPONSE_PIECE_BYTES } else { script.piece_bytes };
+    for piece in response.chunks(piece_bytes) {
         stream.write_all(piece)?;
     }
-    if c.hangs && !closes {
-        // Holds the connection until the node ends it.
+    if script.hangs && !closes {
+        // Keeps the connection open until the node closes it.
         while stream.read(&mut [0; 64])? > 0 {}
     }
     Ok(true)
 }
 
-fn parcel(engine: &Rc<Engine>) -> Rc<RequestPayload> {
-    Rc::new(fixtures::parcel(engine, "/api?x=1", b"body"))
+fn payload(engine: &Rc<Engine>) -> Rc<RequestPayload> {
+    Rc::new(fixtures::payload(engine, "/api?x=1", b"body"))
 }
 
-/// Runs one execution against `address` and gives how it ended, and how many links stand idle after.
-fn execute(address: std::net::SocketAddr, wait: Duration) -> (AttemptEnd, bool) {
+/// Runs one attempt at `address`; returns how it ended, and whether its connection is in the pool afterwards.
+fn end_and_reuse(address: SocketAddr, timeout: Duration) -> (AttemptEnd, bool) {
     let engine = fixtures::engine(address);
-    let (mail, inbox) = async_channel::unbounded();
-    fixtures::run(&engine, attempt::run(engine.upstreams.clone(), parcel(&engine), order(wait), mail));
-    let endings: Vec<AttemptEnd> = std::iter::from_fn(|| inbox.try_recv().ok())
-        .filter_map(|m| {
-            if let RequestMessage::AttemptEnded { end: ending, .. } = m { Some(ending) } else { None }
+    let messages = run_attempt(&engine, payload(&engine), attempt_spec(timeout));
+    let ends: Vec<AttemptEnd> = std::iter::from_fn(|| messages.try_recv().ok())
+        .filter_map(|message| match message {
+            RequestMessage::AttemptEnded { end, .. } => Some(end),
+            _ => None,
         })
         .collect();
-    assert_eq!(endings.len(), 1, "one outcome: {endings:?}");
-    (endings[0].clone(), engine.upstreams.pool.checkout(WorkerId(0), address).is_some())
+    assert_eq!(ends.len(), 1, "one outcome: {ends:?}");
+    (ends[0].clone(), engine.upstreams.pool.checkout(WorkerId(0), address).is_some())
 }
 
 #[test]
-fn an_execution_ends_as_the_model_says() {
-    check_cases(160, conduct(), |c| {
-        let (ending, reusable) = model(&c);
-        let silent = ending == AttemptEnd::ResponseTimeout;
+fn an_attempt_ends_as_the_model_says() {
+    check_cases(160, server_script(), |script| {
+        let (expected, reusable) = expected_end(&script);
+        let is_silent = expected == AttemptEnd::ResponseTimeout;
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let (done, finished) = std::sync::mpsc::channel::<()>();
-        let case = c.clone();
-        let executor = std::thread::spawn(move || {
+        let worker = std::thread::spawn(move || {
             let (mut stream, _) = listener.accept().expect("the node connects");
-            // A node that has closed the link already makes the rest fail, as it should.
-            let _ = play(&mut stream, &case, || {});
-            if !case.steps.iter().any(|s| matches!(s, Step::Close)) {
+            // A node that has closed the connection already makes the rest fail, as it should.
+            let _ = play(&mut stream, &script, || {});
+            if !script.steps.iter().any(|step| matches!(step, Step::Close)) {
                 let _ = finished.recv();
             }
         });
-        let wait = Duration::from_millis(if silent { 150 } else { 20_000 });
-        let (ended, kept) = execute(address, wait);
+        let timeout = Duration::from_millis(if is_silent { 150 } else { 20_000 });
+        let (end, in_pool) = end_and_reuse(address, timeout);
         drop(done);
-        executor.join().expect("the executor ends");
-        prop_assert_eq!(ended, ending);
-        prop_assert_eq!(kept, reusable);
+        worker.join().expect("the worker ends");
+        prop_assert_eq!(end, expected);
+        prop_assert_eq!(in_pool, reusable);
         Ok(())
     });
 }
 
 /// A refused connection proves that the job never ran.
 #[test]
-fn a_refused_connection_never_ran() {
+fn an_attempt_at_a_refused_connection_never_ran() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
     drop(listener);
-    let (ending, _) = execute(address, Duration::from_secs(20));
-    assert_eq!((ending.clone(), ending.outcome()), (AttemptEnd::Unreachable, Outcome::ConnectFailed));
+    let (end, _) = end_and_reuse(address, Duration::from_secs(20));
+    assert_eq!((end.clone(), end.outcome()), (AttemptEnd::Unreachable, Outcome::ConnectFailed));
 }
 
-/// The node's own want of a descriptor is no word on the executor.
+/// The node's own lack of a descriptor says nothing of the worker.
 #[test]
-fn no_descriptor_is_told_as_never_sent() {
+fn an_attempt_without_a_descriptor_is_reported_as_not_sent() {
     assert_eq!(AttemptEnd::NoDescriptor.outcome(), Outcome::NotSent);
-    let engine = fixtures::engine("127.0.0.1:1".parse().expect("an address"));
-    let held: Vec<_> = std::iter::from_fn(|| engine.upstreams.pool.acquire_descriptor()).collect();
-    let order = order(Duration::from_secs(9));
-    let (mail, inbox) = async_channel::unbounded();
-    fixtures::run(&engine, attempt::run(engine.upstreams.clone(), parcel(&engine), order, mail));
-    let Ok(RequestMessage::AttemptEnded { end: ending, .. }) = inbox.try_recv() else { panic!("no outcome") };
-    assert_eq!(ending, AttemptEnd::NoDescriptor, "with {} held", held.len());
+    let engine = fixtures::engine_without_worker();
+    let permits: Vec<_> = std::iter::from_fn(|| engine.upstreams.pool.acquire_descriptor()).collect();
+    let messages = run_attempt(&engine, payload(&engine), attempt_spec(Duration::from_secs(9)));
+    assert_eq!(next_end(&messages), AttemptEnd::NoDescriptor, "with {} permits out", permits.len());
 }
 
-/// A kept link that goes at the next request: that job may have run, so it is not sent again, but the links
-/// that have stood as long are not used any more.
+/// A pooled connection that breaks at the next request: that job may have run, so it is not sent again, but connections
+/// that have been idle as long are not used any more.
 #[test]
-fn a_stale_link_shortens_the_keeping_of_all() {
+fn a_stale_connection_shortens_the_idle_timeout() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
     let engine = fixtures::engine(address);
     let before = engine.upstreams.pool.idle_timeout();
-    let executor = std::thread::spawn(move || {
+    let worker = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("the node connects");
         let mut byte = [0];
         stream.read_exact(&mut byte).expect("a request");
-        // What is left unread makes this a reset.
+        // What is left unread makes the close a reset.
     });
-    let (mail, inbox) = async_channel::unbounded();
-    let order = order(Duration::from_secs(9));
     fixtures::run(&engine, async {
-        let link = engine.upstreams.pool.connect(address).await.expect("a link");
-        engine.upstreams.pool.check_in(WorkerId(0), link);
+        let upstream = engine.upstreams.pool.connect(address).await.expect("a connection");
+        engine.upstreams.pool.check_in(WorkerId(0), upstream);
         async_io::Timer::after(Duration::from_millis(200)).await;
-        attempt::run(engine.upstreams.clone(), parcel(&engine), order, mail).await;
     });
-    executor.join().expect("the executor ends");
-    let Ok(RequestMessage::AttemptEnded { end: ending, .. }) = inbox.try_recv() else { panic!("no outcome") };
-    assert_eq!((ending.clone(), ending.outcome()), (AttemptEnd::StaleConnection, Outcome::Reset));
-    let kept = engine.upstreams.pool.idle_timeout();
-    assert!(before > Duration::from_secs(10) && kept >= Duration::from_millis(100), "{before:?} {kept:?}");
-    assert!(kept < Duration::from_secs(5), "half of what it had stood: {kept:?}");
+    let messages = run_attempt(&engine, payload(&engine), attempt_spec(Duration::from_secs(9)));
+    worker.join().expect("the worker ends");
+    let end = next_end(&messages);
+    assert_eq!((end.clone(), end.outcome()), (AttemptEnd::StaleConnection, Outcome::Reset));
+    let after = engine.upstreams.pool.idle_timeout();
+    assert!(before > Duration::from_secs(10) && after >= Duration::from_millis(100), "{before:?} {after:?}");
+    assert!(after < Duration::from_secs(5), "half of the time that it was idle: {after:?}");
 }
 
-/// An executor that does not read leaves the last byte unwritten: that, too, never ran.
+/// A worker that does not read leaves the last byte unwritten: that, too, never ran.
 #[test]
-fn a_request_that_was_not_written_never_ran() {
+fn an_attempt_that_was_not_fully_sent_never_ran() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
     let engine = fixtures::engine(address);
-    let (mail, inbox) = async_channel::unbounded();
     // More than the buffers of both sockets take.
     let mut settings = BodySettings { largest_bytes: 64 << 20, ..BodySettings::default() };
     (settings.memory.each_bytes, settings.memory.total_bytes) = (64 << 20, 128 << 20);
     engine.bodies.configure(&settings, None);
-    let parcel = fixtures::parcel(&engine, "/api", &vec![b'x'; 64 << 20]);
-    let order = order(Duration::from_millis(200));
-    fixtures::run(&engine, attempt::run(engine.upstreams.clone(), Rc::new(parcel), order, mail));
-    let Ok(RequestMessage::AttemptEnded { end: ending, .. }) = inbox.try_recv() else { panic!("no outcome") };
-    assert_eq!((ending.clone(), ending.outcome()), (AttemptEnd::TimeoutBeforeSent, Outcome::ConnectFailed));
+    let payload = Rc::new(fixtures::payload(&engine, "/api", &vec![b'x'; 64 << 20]));
+    let messages = run_attempt(&engine, payload, attempt_spec(Duration::from_millis(200)));
+    let end = next_end(&messages);
+    assert_eq!((end.clone(), end.outcome()), (AttemptEnd::TimeoutBeforeSent, Outcome::ConnectFailed));
 }
 
-/// Once written, a link that breaks may have let the job run: never "could not connect".
+/// Once written, a request whose connection breaks may have run: never "could not connect".
 #[test]
-fn a_stale_link_is_not_taken_and_not_sent_on_again() {
+fn a_connection_that_the_worker_has_closed_is_not_reused() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
     let engine = fixtures::engine(address);
     fixtures::run(&engine, async {
-        let link = engine.upstreams.pool.connect(address).await.expect("a link");
-        engine.upstreams.pool.check_in(WorkerId(0), link);
+        let upstream = engine.upstreams.pool.connect(address).await.expect("a connection");
+        engine.upstreams.pool.check_in(WorkerId(0), upstream);
     });
-    drop(listener.accept().expect("the node's link"));
+    drop(listener.accept().expect("the node's connection"));
     let until = Instant::now() + Duration::from_secs(10);
-    while engine.upstreams.pool.checkout(WorkerId(0), address).is_some_and(|link| {
-        engine.upstreams.pool.check_in(WorkerId(0), link);
+    while engine.upstreams.pool.checkout(WorkerId(0), address).is_some_and(|upstream| {
+        engine.upstreams.pool.check_in(WorkerId(0), upstream);
         Instant::now() < until
     }) {}
-    assert!(Instant::now() < until, "a link that the executor has closed was kept");
+    assert!(Instant::now() < until, "a connection that the worker has closed stayed in the pool");
 }
 
-/// What drops a repeat forgets the request at a stated time: a link that comes up in that moment must not carry it.
+/// What drops a duplicate forgets the request at a stated time: a connection that is made in that moment must not carry
+/// it.
 #[test]
-fn a_repeat_whose_window_is_over_is_not_written() {
+fn a_retry_whose_idempotency_window_has_expired_is_not_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
     let engine = fixtures::engine(address);
-    let (mail, inbox) = async_channel::unbounded();
-    let order = AttemptSpec { send_by: Instant::now(), ..order(Duration::from_secs(9)) };
-    fixtures::run(&engine, attempt::run(engine.upstreams.clone(), parcel(&engine), order, mail));
-    let Ok(RequestMessage::AttemptEnded { end: ending, .. }) = inbox.try_recv() else { panic!("no outcome") };
-    assert_eq!((ending.clone(), ending.outcome()), (AttemptEnd::IdempotencyWindowExpired, Outcome::NotSent));
+    let spec = AttemptSpec { send_by: Instant::now(), ..attempt_spec(Duration::from_secs(9)) };
+    let messages = run_attempt(&engine, payload(&engine), spec);
+    let end = next_end(&messages);
+    assert_eq!((end.clone(), end.outcome()), (AttemptEnd::IdempotencyWindowExpired, Outcome::NotSent));
     assert_eq!(engine.counters.requests_sent.get(), 0);
 }
--- a/crates/engine/src/tests/request_sent.rs
+++ b/crates/engine/src/tests/request_sent.rs
@@ -1,4 +1,4 @@
-//! What counts as sent: a request whose last byte was written may have run, whatever happens next in the node.
+//! A request whose last byte was written may have run, whatever happens next in the node.
 
 use super::fixtures;
 use crate::attempt;
@@ -9,25 +9,25 @@
 use std::net::TcpListener;
 use std::time::Duration;
 
-/// A large body waits for its turn behind other work after each block, the last one too. The time may be up, or the
-/// client gone, before that turn comes: the executor has the whole request all the same.
+/// A large body waits for its turn behind other tasks after each block, also after the last one. The deadline may pass, or
+/// the client disconnect, before that turn: the worker has the complete request all the same.
 #[test]
-fn a_whole_request_that_waits_for_its_turn_may_have_run() {
+fn a_fully_sent_request_that_waits_for_its_turn_may_have_run() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let engine = fixtures::engine(listener.local_addr().expect("its address"));
-    let parcel = fixtures::parcel(&engine, "/api", &[b'x'; BLOCK_BYTES]).into();
-    let executor = std::thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("the node");
-        let mut got = Vec::new();
-        stream.read_to_end(&mut got).expect("the node ends the connection");
-        got.iter().rev().take_while(|byte| **byte == b'x').count()
+    let payload = fixtures::payload(&engine, "/api", &[b'x'; BLOCK_BYTES]).into();
+    let worker = std::thread::spawn(move || {
+        let (mut stream, _) = listener.accept().expect("the node connects");
+        let mut received = Vec::new();
+        stream.read_to_end(&mut received).expect("the node ends the connection");
+        received.iter().rev().take_while(|byte| **byte == b'x').count()
     });
-    let (mail, inbox) = async_channel::unbounded();
-    // No other task runs, so the turn after the last block does not come within the deadline.
-    let order = fixtures::order(Duration::from_millis(300));
-    async_io::block_on(attempt::run(engine.upstreams.clone(), parcel, order, mail));
-    let last = std::iter::from_fn(|| inbox.try_recv().ok()).last();
-    assert_eq!(executor.join().expect("the executor"), BLOCK_BYTES, "the executor has all of it");
-    let Some(RequestMessage::AttemptEnded { end: ending, .. }) = last else { panic!("no ending: {last:?}") };
-    assert_eq!(ending, AttemptEnd::ResponseTimeout, "it may have run");
+    let (sender, messages) = async_channel::unbounded();
+    // No other task runs the executor, so the turn after the last block does not come within the deadline.
+    let spec = fixtures::attempt_spec(Duration::from_millis(300));
+    async_io::block_on(attempt::run(engine.upstreams.clone(), payload, spec, sender));
+    let last = std::iter::from_fn(|| messages.try_recv().ok()).last();
+    assert_eq!(worker.join().expect("the worker"), BLOCK_BYTES, "the worker has all of it");
+    let Some(RequestMessage::AttemptEnded { end, .. }) = last else { panic!("no end: {last:?}") };
+    assert_eq!(end, AttemptEnd::ResponseTimeout, "it may have run");
 }
--- a/crates/engine/src/tests/tasks.rs
+++ b/crates/engine/src/tests/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks that can always run, beside others.
+//! Urgent and ordinary tasks side by side.
 
 use crate::tasks::Tasks;
 use async_io::block_on;
@@ -6,21 +6,21 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Far more turns than any other task may have to wait for.
-const TURNS: usize = 10_000;
+/// Far more polls than any other task may have to wait for.
+const MAX_POLLS: usize = 10_000;
 
-/// Urgent work that never ends, such as timers that are always due, lets ordinary tasks run: answers and deadlines are
-/// theirs.
+/// Urgent work that never ends, such as timers that are always due, must not keep ordinary tasks from their answers and
+/// deadlines.
 #[test]
 fn urgent_work_without_end_lets_ordinary_tasks_run() {
     let tasks = Rc::<Tasks>::default();
     let ran = Rc::<Cell<bool>>::default();
-    let (seen, done) = (ran.clone(), Rc::<Cell<Option<usize>>>::default());
-    let turns = done.clone();
+    let polls_before = Rc::<Cell<Option<usize>>>::default();
+    let (seen, polls) = (ran.clone(), polls_before.clone());
     tasks.spawn_urgent(async move {
-        for turn in 0..TURNS {
+        for poll in 0..MAX_POLLS {
             if seen.get() {
-                turns.set(Some(turn));
+                polls.set(Some(poll));
                 return;
             }
             yield_now().await;
@@ -28,10 +28,11 @@
     });
     tasks.spawn(async move { ran.set(true) });
     let ended = async {
-        for _ in 0..TURNS {
+        for _ in 0..MAX_POLLS {
             yield_now().await;
         }
     };
     block_on(or(ended, async { match tasks.run().await {} }));
-    assert!(done.get().is_some_and(|turn| turn < 100), "it ran after {:?} turns", done.get());
+    let polls = polls_before.get();
+    assert!(polls.is_some_and(|count| count < 100), "it ran after {polls:?} urgent polls");
 }
