--- a/crates/node/src/check.rs
+++ b/crates/node/src/check.rs
@@ -1,10 +1,36 @@
-//! `sorrelhaven check`: both files read, and what holds said on one line.
+//! `sorrelhaven check`: reads both files and prints their faults, or a summary of the configuration.
 
+use crate::body_directory;
+use crate::environment::Environment;
 use sorrelhaven_config::{BodySettings, Config, Unkept};
 use std::fmt::Write;
+use std::process::ExitCode;
 
-/// A line for people of what a node with this configuration would do.
-pub fn summary(config: &Config) -> String {
+/// The exit status where a file or the command line is at fault.
+pub const EXIT_INVALID: u8 = 2;
+
+/// Units of sizes, the largest first: the exponent of their power of two, and the name.
+const SIZE_UNITS: [(u32, &str); 3] = [(30, "GiB"), (20, "MiB"), (10, "KiB")];
+
+/// Checks the configuration and prints the result to standard output.
+pub fn check(environment: &Environment) -> ExitCode {
+    let config = match Config::load(|name| environment.get(name)) {
+        Ok(config) => config,
+        Err(faults) => {
+            faults.iter().for_each(|fault| println!("{fault}"));
+            return ExitCode::from(EXIT_INVALID);
+        }
+    };
+    if let Err(error) = body_directory::open(&config) {
+        println!("{error}");
+        return ExitCode::from(EXIT_INVALID);
+    }
+    println!("{}", summary(&config));
+    ExitCode::SUCCESS
+}
+
+/// One line that says what a node with this configuration would do.
+fn summary(config: &Config) -> String {
     let BodySettings { largest_bytes, memory, files, unkept, .. } = &config.operator.bodies;
     let mut line = format!(
         "{} listens on {}; {} classes, {} tenants, {} boxes known; bodies of at most {}",
@@ -33,10 +59,10 @@
     line
 }
 
-/// A size in the largest unit that leaves it whole.
+/// A size in the largest unit of which it is a multiple.
 fn size(bytes: u64) -> String {
-    let units = [(30, "GiB"), (20, "MiB"), (10, "KiB")];
-    match units.iter().find(|(shift, _)| bytes > 0 && bytes.is_multiple_of(1 << shift)) {
+    let is_multiple = |shift: u32| bytes > 0 && bytes.is_multiple_of(1 << shift);
+    match SIZE_UNITS.iter().find(|(shift, _)| is_multiple(*shift)) {
         Some((shift, unit)) => format!("{} {unit}", bytes >> shift),
         None => format!("{bytes} bytes"),
     }
--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -1,5 +1,6 @@
-//! The command line.
+//! The command line. Its doc comments are the text of `--help`.
 
+use crate::environment::Environment;
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
 
@@ -25,8 +26,8 @@
     /// The form of the log on standard error.
     #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text, value_name = "FORMAT")]
     pub log_format: LogFormat,
-    /// What the log holds: a level (error, warn, info, debug, trace) or directives such as `info,module=debug`.
-    /// RUST_LOG stands in for it; without either it is `info`.
+    /// What the log holds: a level (error, warn, info, debug, trace) or directives such as
+    /// `info,module=debug`. RUST_LOG stands in for it; without either it is `info`.
     #[arg(long, global = true, value_name = "LEVEL")]
     pub log: Option<String>,
 }
@@ -57,26 +58,17 @@
 }
 
 impl Cli {
-    /// What to do.
+    /// The command to execute; `run` where none is given.
     pub fn command(&self) -> Command {
         self.command.clone().unwrap_or(Command::Run)
     }
 
-    /// An environment in which what the command line says goes before the process's own.
-    pub fn env(&self) -> impl Fn(&str) -> Option<String> + 'static {
-        let text = |p: &Option<PathBuf>| p.as_ref().map(|p| p.to_string_lossy().into_owned());
-        let operator = text(&self.common.operator);
-        let config = match &self.command {
-            Some(Command::Check { config }) => text(config),
-            _ => None,
+    /// The environment in which the files named on the command line replace the variables.
+    pub fn environment(&self) -> Environment {
+        let platform_file = match &self.command {
+            Some(Command::Check { config }) => config.as_ref(),
+            Some(Command::Run | Command::Schema) | None => None,
         };
-        move |name| {
-            let told = match name {
-                "SORRELHAVEN_OPERATOR" => operator.clone(),
-                "RELAY_CONFIG" => config.clone(),
-                _ => None,
-            };
-            told.or_else(|| std::env::var(name).ok())
-        }
+        Environment::new(platform_file, self.common.operator.as_ref())
     }
 }
--- /dev/null
+++ b/crates/node/src/counter_report.rs
@@ -0,0 +1,19 @@
+//! The line of counters that the program prints to standard error on SIGUSR1 and at its end.
+
+use crate::cli::LogFormat;
+use serde_json::{Map, Value, json};
+
+/// Formats counters on one line, in the format of the log.
+pub fn counter_report(format: LogFormat, counters: impl Iterator<Item = (&'static str, u64)>) -> String {
+    match format {
+        LogFormat::Text => {
+            let fields: Vec<String> = counters.map(|(name, count)| format!("{name}={count}")).collect();
+            format!("sorrelhaven: {}", fields.join(" "))
+        }
+        LogFormat::Json => {
+            let fields: Map<String, Value> =
+                counters.map(|(name, count)| (name.to_string(), count.into())).collect();
+            json!({ "counters": fields }).to_string()
+        }
+    }
+}
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -1,8 +1,8 @@
-//! Signals of the operating system, of which none is lost.
+//! Signals of the operating system, none of which is lost.
 //!
-//! A handler sets a flag for its signal and writes one byte to a socket pair that wakes the event loop. What a signal says
-//! is in the flag alone: a byte that does not fit, or any number of bytes at once, changes nothing. Signals of one kind
-//! that come before the first of them was seen count as one, as the kernel has it too.
+//! A handler sets a flag for its signal and writes one byte to a socket pair, which wakes the event loop.
+//! Only the flag carries information: a byte that does not fit, or several bytes at once, make no difference.
+//! Signals of one kind that arrive before the first of them was handled count as one, as in the kernel.
 
 use async_io::{Async, Timer};
 use futures_lite::AsyncReadExt;
@@ -14,76 +14,93 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// The flags are looked at after so long at the latest, also where no byte wakes the event loop.
-const LOOK: Duration = Duration::from_millis(500);
-/// Bytes that are taken from the socket pair at once.
-const WAKES: usize = 64;
+/// The flags are polled at this interval, in case no byte wakes the event loop.
+const FLAG_POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Bytes that are read from the socket pair at once.
+const WAKE_BUFFER_BYTES: usize = 64;
 
-/// What a signal asks for.
+/// What a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Read the configuration again (SIGHUP).
+    /// Reload the configuration (SIGHUP).
     Reload,
     /// Print the counters (SIGUSR1).
     Report,
-    /// End (SIGTERM, SIGINT).
+    /// Shut down (SIGTERM, SIGINT).
     Stop,
 }
 
-/// The signals that this process was sent.
+impl Signal {
+    /// All signals, in the order in which they are handled: a reload comes before a shutdown.
+    const ALL: [Signal; 3] = [Signal::Reload, Signal::Report, Signal::Stop];
+
+    /// The numbers of the signals with this meaning.
+    fn numbers(self) -> &'static [i32] {
+        match self {
+            Signal::Reload => &[SIGHUP],
+            Signal::Report => &[SIGUSR1],
+            Signal::Stop => &[SIGTERM, SIGINT],
+        }
+    }
+}
+
+/// A signal and whether it was received since it was last handled.
+struct SignalFlag {
+    signal: Signal,
+    received: Arc<AtomicBool>,
+}
+
+/// The signals that this process receives.
 pub struct Signals {
-    /// In the order in which they are handled: a process that is to end still reads its configuration before.
-    flags: [(Signal, Arc<AtomicBool>); 3],
-    wakes: Async<UnixStream>,
+    flags: [SignalFlag; Signal::ALL.len()],
+    wakeups: Async<UnixStream>,
 }
 
 impl Signals {
     /// Handles signals from now on.
     ///
     /// # Errors
-    /// Those of the socket pair, and of the handlers.
+    /// The socket pair cannot be created, or a handler cannot be registered.
     pub fn new() -> io::Result<Signals> {
         let (read, write) = UnixStream::pair()?;
-        let flags = [Signal::Reload, Signal::Report, Signal::Stop].map(|s| (s, Arc::<AtomicBool>::default()));
-        for (signal, flag) in &flags {
-            for &number in numbers(*signal) {
-                // The flag is set before the byte is written: handlers run in this order.
-                signal_hook::flag::register(number, flag.clone())?;
+        let flags = Signal::ALL.map(|signal| SignalFlag { signal, received: Arc::default() });
+        for flag in &flags {
+            for &number in flag.signal.numbers() {
+                // Handlers run in the order of registration: the flag must be set before the byte is written.
+                signal_hook::flag::register(number, flag.received.clone())?;
                 signal_hook::low_level::pipe::register(number, write.try_clone()?)?;
             }
         }
-        Ok(Signals { flags, wakes: Async::new(read)? })
+        Ok(Signals { flags, wakeups: Async::new(read)? })
     }
 
-    /// The next signal.
+    /// Waits for the next signal.
     pub async fn next(&mut self) -> Signal {
         loop {
-            let sent = self.flags.iter().find(|(_, flag)| flag.swap(false, Ordering::SeqCst));
-            if let Some((signal, _)) = sent {
-                return *signal;
+            if let Some(signal) = self.take_received() {
+                return signal;
             }
-            let mut bytes = [0; WAKES];
-            if let Some(Err(_)) = timeout_at(Instant::now() + LOOK, self.wakes.read(&mut bytes)).await {
-                // Without a byte to wait for, the flags are looked at now and then.
-                Timer::after(LOOK).await;
+            let mut buffer = [0; WAKE_BUFFER_BYTES];
+            let poll_at = Instant::now() + FLAG_POLL_INTERVAL;
+            if let Some(Err(_)) = timeout_at(poll_at, self.wakeups.read(&mut buffer)).await {
+                // Without a socket to wait for, only polling the flags remains.
+                Timer::after(FLAG_POLL_INTERVAL).await;
             }
         }
     }
-}
 
-/// The numbers of a signal.
-fn numbers(signal: Signal) -> &'static [i32] {
-    match signal {
-        Signal::Reload => &[SIGHUP],
-        Signal::Report => &[SIGUSR1],
-        Signal::Stop => &[SIGTERM, SIGINT],
+    /// Clears the first flag that is set, and returns its signal.
+    fn take_received(&self) -> Option<Signal> {
+        let received = self.flags.iter().find(|flag| flag.received.swap(false, Ordering::SeqCst));
+        received.map(|flag| flag.signal)
     }
 }
 
-/// A write that meets a bound on the size of files fails with a word of its own from now on; it must not end the program.
+/// From now on a write beyond the file size limit fails with an error, instead of ending the program by
+/// SIGXFSZ.
 ///
 /// # Errors
-/// Those of the handler.
+/// The handler cannot be registered.
 pub fn survive_file_size_limit() -> io::Result<()> {
     signal_hook::flag::register(SIGXFSZ, Arc::default()).map(drop)
 }
--- /dev/null
+++ b/crates/node/src/start.rs
@@ -0,0 +1,120 @@
+//! Starts a node from its configuration and runs it to its end.
+
+use crate::body_directory;
+use crate::cli::LogFormat;
+use crate::client_listener::ClientListener;
+use crate::cluster_member::ClusterMember;
+use crate::descriptor_share::DescriptorShare;
+use crate::environment::Environment;
+use crate::node::Node;
+use crate::reload::Reloader;
+use crate::signals::Signals;
+use crate::start_error::StartError;
+use async_io::Async;
+use futures_lite::future::or;
+use sorrelhaven_admin as admin;
+use sorrelhaven_config::Config;
+use sorrelhaven_engine::Engine;
+use sorrelhaven_frontend_http1::{AcceptQueue, Frontend};
+use sorrelhaven_handover::ProcessRegistry;
+use sorrelhaven_lifecycle::LifecycleHandle;
+use std::net::{SocketAddr, TcpListener};
+use std::rc::Rc;
+use std::time::Instant;
+use tracing::{info, warn};
+
+/// What a node is started with.
+pub struct StartOptions {
+    /// The configuration.
+    pub config: Config,
+    /// Where a reload reads the configuration from.
+    pub environment: Environment,
+    /// The listener that the platform passed to this process.
+    pub inherited: Option<TcpListener>,
+    /// The format of the counters' line.
+    pub format: LogFormat,
+}
+
+/// Runs a node until its shutdown is complete.
+///
+/// # Errors
+/// The node could not start.
+pub fn run(options: StartOptions) -> Result<(), StartError> {
+    let StartOptions { config, environment, inherited, format } = options;
+    let signals = Signals::new().map_err(StartError::Signals)?;
+    let disk = body_directory::open_as_disk(&config)?;
+    let engine = Engine::new(&config, disk);
+    let lifecycle = Rc::<LifecycleHandle>::default();
+    let frontend = Frontend::new(engine.clone(), &config, lifecycle.clone());
+    let member = ClusterMember::start(&config)?.map(Rc::new);
+    let admin_listener = config.ops.map(listen_for_admin).transpose()?;
+    let listener = ClientListener::open(inherited, &config)?;
+    let registry = register_process(&config, listener.queue);
+
+    if let Some(member) = member.clone() {
+        engine.tasks.spawn_urgent(async move { member.run().await });
+    }
+    let admin_address = admin_listener.as_ref().and_then(|socket| socket.get_ref().local_addr().ok());
+    if let Some(socket) = admin_listener {
+        serve_admin(socket, &engine, &lifecycle, member.as_deref());
+    }
+    lifecycle.startup_completed(Instant::now());
+    log_ready(&config, admin_address, &listener);
+
+    let (discovery_changes, discovery_addresses) = async_channel::unbounded();
+    engine.start(config.discovery, config.known.seq, discovery_addresses);
+    let closing = frontend.clone();
+    engine.tasks.spawn(async move { closing.close_idle_connections().await });
+    let descriptors = Rc::new(DescriptorShare::new(engine.clone(), frontend.clone(), config.sockets));
+    if let Some(registry) = registry {
+        share_descriptors(&engine, descriptors.clone(), registry);
+    }
+    let node = Rc::new(Node { engine: engine.clone(), frontend, lifecycle, format });
+    let reloader = Reloader::new(config, environment, engine.clone(), descriptors, discovery_changes);
+    let signalled = node.clone();
+    engine.tasks.spawn_urgent(async move { signalled.handle_signals(signals, reloader).await });
+
+    let tasks = async { match engine.tasks.run().await {} };
+    async_io::block_on(or(node.serve(listener), tasks));
+    if let Some(member) = member {
+        member.leave();
+    }
+    node.print_counters();
+    Ok(())
+}
+
+fn listen_for_admin(address: SocketAddr) -> Result<Async<TcpListener>, StartError> {
+    admin::listen(address).map_err(|error| StartError::AdminListen { address, error })
+}
+
+/// Registers this process where another one may serve the same clients: the limits count both as one node.
+fn register_process(config: &Config, queue: AcceptQueue) -> Option<ProcessRegistry> {
+    match queue {
+        AcceptQueue::Own => None,
+        AcceptQueue::Shared => ProcessRegistry::register(&std::env::temp_dir(), &config.name)
+            .inspect_err(|error| warn!(%error, "cannot count the other processes of this node"))
+            .ok(),
+    }
+}
+
+fn serve_admin(
+    socket: Async<TcpListener>,
+    engine: &Rc<Engine>,
+    lifecycle: &Rc<LifecycleHandle>,
+    member: Option<&ClusterMember>,
+) {
+    let membership = member.map(|member| member.membership.clone());
+    let service = Rc::new(admin::Desk::new(engine.clone(), lifecycle.clone(), membership));
+    engine.tasks.spawn_urgent(admin::serve(service, engine.tasks.clone(), socket));
+}
+
+fn log_ready(config: &Config, admin_address: Option<SocketAddr>, listener: &ClientListener) {
+    let listen = listener.address(config.listen);
+    let admin_address = admin_address.map_or("none".to_string(), |address| address.to_string());
+    info!(name = config.name, ops = %admin_address, queue = ?listener.queue, %listen, "ready");
+}
+
+fn share_descriptors(engine: &Engine, descriptors: Rc<DescriptorShare>, registry: ProcessRegistry) {
+    descriptors.count_at_start(&registry);
+    engine.tasks.spawn_urgent(async move { descriptors.follow_process_count(&registry).await });
+}
