--- a/crates/body-store/tests/plan.rs
+++ b/crates/body-store/tests/plan.rs
@@ -2,8 +2,8 @@
 
 use proptest::prelude::*;
 use sorrelhaven_body_store::{
-    Budget, DiskFailure, FileLimits, Limits, NotStoredReason, Plan, RegisteredBody, SMALL_BODY_BYTES,
-    StorageDecision, StorageTier, StorageUsage,
+    BodyId, Budget, DiskFailure, FileLimits, Limits, NotStoredReason, Plan, RegisteredBody, SMALL_BODY_BYTES,
+    StorageDecision, StorageTier, StorageUsage, Timestamp,
 };
 use sorrelhaven_test_support::check_cases;
 use std::time::Duration;
@@ -48,97 +48,163 @@
     ]
 }
 
+/// A body as the model expects it.
+struct ModelBody {
+    id: BodyId,
+    tier: StorageTier,
+    length: u64,
+}
+
+/// A plan, and what is expected of it.
+struct Model {
+    plan: Plan,
+    has_files: bool,
+    bodies: Vec<ModelBody>,
+    spilling: Option<BodyId>,
+    /// No usage may exceed this.
+    max_usage: StorageUsage,
+}
+
+impl Model {
+    fn new(has_files: bool) -> Model {
+        Model {
+            plan: Plan::new(limits(has_files), 6),
+            has_files,
+            bodies: Vec::new(),
+            spilling: None,
+            max_usage: StorageUsage { memory_bytes: 512 * KIB, file_bytes: 2_048 * KIB },
+        }
+    }
+
+    fn apply(&mut self, now: Timestamp, operation: Operation) -> Result<(), TestCaseError> {
+        match operation {
+            Operation::Register { tenant, declared_length } => self.register(now, tenant, declared_length)?,
+            Operation::BeginSpill => self.begin_spill(now)?,
+            Operation::FinishSpill => self.finish_spill(),
+            Operation::LowerLimits => self.lower_limits(),
+            _ if self.bodies.is_empty() => {}
+            Operation::Grow { index, more } => self.grow(now, index, more)?,
+            Operation::Complete(index) => {
+                let index = index % self.bodies.len();
+                self.plan.mark_complete(self.bodies[index].id);
+            }
+            Operation::Remove(index) => self.remove(index),
+            Operation::DiskFailure(index) => self.fail_disk(now, index),
+        }
+        Ok(())
+    }
+
+    fn register(
+        &mut self,
+        now: Timestamp,
+        tenant: usize,
+        declared_length: Option<u64>,
+    ) -> Result<(), TestCaseError> {
+        let RegisteredBody { id, decision } = self.plan.register(now, tenant, declared_length);
+        let too_long = declared_length.is_some_and(|length| length > 1_024 * KIB);
+        prop_assert_eq!(decision == StorageDecision::TooLong, too_long);
+        self.bodies.push(ModelBody { id, tier: StorageTier::Memory, length: 0 });
+        Ok(())
+    }
+
+    fn grow(&mut self, now: Timestamp, index: usize, more: u64) -> Result<(), TestCaseError> {
+        let index = index % self.bodies.len();
+        let body = &mut self.bodies[index];
+        let next = match self.plan.reserve(now, body.id, more) {
+            StorageDecision::TooLong => {
+                prop_assert!(body.length + more > 1_024 * KIB);
+                return Ok(());
+            }
+            StorageDecision::Keep(next) => next,
+            StorageDecision::NotStored(_) => StorageTier::NotStored,
+        };
+        body.length += more;
+        prop_assert!(rank(next) >= rank(body.tier), "{:?} after {:?}", next, body.tier);
+        prop_assert!(next != StorageTier::Memory || body.length <= 64 * KIB);
+        prop_assert!(next != StorageTier::File || self.has_files && body.length <= 512 * KIB);
+        body.tier = next;
+        Ok(())
+    }
+
+    fn remove(&mut self, index: usize) {
+        let body = self.bodies.swap_remove(index % self.bodies.len());
+        self.spilling = self.spilling.filter(|id| *id != body.id);
+        self.plan.remove(body.id);
+    }
+
+    fn begin_spill(&mut self, now: Timestamp) -> Result<(), TestCaseError> {
+        let next = self.plan.next_to_spill(now);
+        prop_assert!(next.is_none() || self.spilling.is_none(), "one spill at a time");
+        self.spilling = next.or(self.spilling);
+        if let Some(id) = next {
+            let body = self.bodies.iter_mut().find(|body| body.id == id).expect("a registered body");
+            let is_large = body.length > SMALL_BODY_BYTES;
+            prop_assert!(body.tier == StorageTier::Memory && is_large, "small bodies stay");
+            body.tier = StorageTier::File;
+        }
+        Ok(())
+    }
+
+    fn finish_spill(&mut self) {
+        if let Some(id) = self.spilling.take() {
+            self.plan.release_memory(id, u64::MAX);
+            self.plan.finish_spill(id);
+        }
+    }
+
+    fn fail_disk(&mut self, now: Timestamp, index: usize) {
+        let index = index % self.bodies.len();
+        let body = &mut self.bodies[index];
+        if body.tier == StorageTier::File {
+            self.plan.record_disk_failure(now, body.id, NotStoredReason::DiskFull);
+            body.tier = self.plan.tier(body.id).expect("a registered body");
+            self.spilling = self.spilling.filter(|id| *id != body.id);
+        }
+    }
+
+    fn lower_limits(&mut self) {
+        let memory_bytes = self.plan.usage().memory_bytes;
+        self.plan.configure(Limits { max_memory_bytes: 256 * KIB, ..limits(self.has_files) });
+        self.max_usage.memory_bytes = self.max_usage.memory_bytes.min(memory_bytes.max(256 * KIB));
+    }
+
+    /// Memory above a lowered limit may stay in use, but not grow again.
+    fn check_usage(&mut self) -> Result<(), TestCaseError> {
+        let (usage, max) = (self.plan.usage(), &mut self.max_usage);
+        let is_within = usage.memory_bytes <= max.memory_bytes && usage.file_bytes <= max.file_bytes;
+        prop_assert!(is_within, "{:?} of {:?}", usage, max);
+        let limit = self.plan.limits().max_memory_bytes;
+        max.memory_bytes = max.memory_bytes.min(usage.memory_bytes.max(limit));
+        Ok(())
+    }
+
+    fn remove_all(&mut self) {
+        for body in self.bodies.drain(..) {
+            self.plan.remove(body.id);
+        }
+    }
+}
+
 /// Whatever the order of events, usage exceeds no limit except by what was held before the limit was lowered, a body
 /// only moves up the tiers, and all is released in the end.
 #[test]
 fn usage_stays_within_limits_and_tiers_only_go_up() {
-    check_cases(400, (prop::collection::vec(operation(), 1..200), any::<bool>()), |(operations, files)| {
-        let mut plan = Plan::new(limits(files), 6);
-        let mut bodies = Vec::new();
-        let (mut now, mut spilling) = (NOW, None);
-        let mut most = StorageUsage { memory_bytes: 512 * KIB, file_bytes: 2_048 * KIB };
-        for operation in operations {
-            now += Duration::from_millis(300);
-            match operation {
-                Operation::Register { tenant, declared_length } => {
-                    let RegisteredBody { id, decision } = plan.register(now, tenant, declared_length);
-                    let too_long = declared_length.is_some_and(|length| length > 1_024 * KIB);
-                    prop_assert_eq!(decision == StorageDecision::TooLong, too_long);
-                    bodies.push((id, StorageTier::Memory, 0));
-                }
-                Operation::Grow { index, more } if !bodies.is_empty() => {
-                    let count = bodies.len();
-                    let (id, tier, length) = &mut bodies[index % count];
-                    let next = match plan.reserve(now, *id, more) {
-                        StorageDecision::TooLong => {
-                            prop_assert!(*length + more > 1_024 * KIB);
-                            continue;
-                        }
-                        StorageDecision::Keep(next) => next,
-                        StorageDecision::NotStored(_) => StorageTier::NotStored,
-                    };
-                    *length += more;
-                    prop_assert!(rank(next) >= rank(*tier), "{:?} after {:?}", next, tier);
-                    prop_assert!(next != StorageTier::Memory || *length <= 64 * KIB);
-                    prop_assert!(next != StorageTier::File || files && *length <= 512 * KIB);
-                    *tier = next;
-                }
-                Operation::Complete(index) if !bodies.is_empty() => {
-                    plan.mark_complete(bodies[index % bodies.len()].0);
-                }
-                Operation::Remove(index) if !bodies.is_empty() => {
-                    let (id, ..) = bodies.swap_remove(index % bodies.len());
-                    spilling = spilling.filter(|other| *other != id);
-                    plan.remove(id);
-                }
-                Operation::BeginSpill => {
-                    let next = plan.next_to_spill(now);
-                    prop_assert!(next.is_none() || spilling.is_none(), "one spill at a time");
-                    spilling = next.or(spilling);
-                    if let Some(id) = next {
-                        let body = bodies.iter_mut().find(|body| body.0 == id).expect("a registered body");
-                        prop_assert!(
-                            body.1 == StorageTier::Memory && body.2 > SMALL_BODY_BYTES,
-                            "small bodies stay"
-                        );
-                        body.1 = StorageTier::File;
-                    }
-                }
-                Operation::FinishSpill => {
-                    if let Some(id) = spilling.take() {
-                        plan.release_memory(id, u64::MAX);
-                        plan.finish_spill(id);
-                    }
-                }
-                Operation::DiskFailure(index) if !bodies.is_empty() => {
-                    let count = bodies.len();
-                    let (id, tier, _) = &mut bodies[index % count];
-                    if *tier == StorageTier::File {
-                        plan.record_disk_failure(now, *id, NotStoredReason::DiskFull);
-                        *tier = plan.tier(*id).expect("a registered body");
-                        spilling = spilling.filter(|other| other != id);
-                    }
-                }
-                Operation::LowerLimits => {
-                    let usage = plan.usage();
-                    let lowered = Limits { max_memory_bytes: 256 * KIB, ..limits(files) };
-                    plan.configure(lowered);
-                    most.memory_bytes = most.memory_bytes.min(usage.memory_bytes.max(256 * KIB));
-                }
-                _ => {}
+    check_cases(
+        400,
+        (prop::collection::vec(operation(), 1..200), any::<bool>()),
+        |(operations, has_files)| {
+            let mut model = Model::new(has_files);
+            let mut now = NOW;
+            for operation in operations {
+                now += Duration::from_millis(300);
+                model.apply(now, operation)?;
+                model.check_usage()?;
             }
-            let usage = plan.usage();
-            let is_within = usage.memory_bytes <= most.memory_bytes && usage.file_bytes <= most.file_bytes;
-            prop_assert!(is_within, "{:?} of {:?}", usage, most);
-            let limit = plan.limits().max_memory_bytes;
-            most.memory_bytes = most.memory_bytes.min(usage.memory_bytes.max(limit));
-        }
-        for (id, ..) in bodies {
-            plan.remove(id);
-        }
-        prop_assert_eq!((plan.usage(), plan.body_count()), (StorageUsage::default(), 0));
-        Ok(())
-    });
+            model.remove_all();
+            prop_assert_eq!((model.plan.usage(), model.plan.body_count()), (StorageUsage::default(), 0));
+            Ok(())
+        },
+    );
 }
 
 fn rank(tier: StorageTier) -> u8 {
