--- a/crates/membership/examples/table.rs
+++ b/crates/membership/examples/table.rs
@@ -1,124 +1,189 @@
-//! The table of `docs/membership.md`: detection, false deaths and traffic by the number of members and the faults.
+//! Prints the table of `docs/membership.md`: detection times, false deaths and traffic by number of members and faults.
 //!
 //!     cargo run --release -p sorrelhaven-membership --example table -- 5 50 300
 //!
-//! Where `SVG` names a file, a plot of detection is written to it.
+//! If the environment variable `SVG` names a file, a plot of the detection times is written to it.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
-use common::*;
+use common::{Cluster, MILLISECOND, SECOND};
 use sorrelhaven_membership::{MemberState, Micros};
 use std::fmt::Write;
 
 const DEATHS: usize = 5;
 
-fn world(count: usize) -> World {
-    let mut world = World::new(count, 26);
-    world.until(120 * S, World::whole);
-    world
+/// A condition under which false deaths and traffic are measured.
+#[derive(Clone, Copy)]
+struct Condition {
+    name: &'static str,
+    /// The share of datagrams that are lost.
+    loss: f64,
+    has_pauses: bool,
 }
 
-/// For each of some deaths and each survivor: after how long it knew, in milliseconds, sorted.
-fn detection(count: usize) -> Vec<Micros> {
-    let mut world = world(count);
+const CONDITIONS: [Condition; 4] = [
+    Condition { name: "none", loss: 0.0, has_pauses: false },
+    Condition { name: "5% lost", loss: 0.05, has_pauses: false },
+    Condition { name: "20% lost", loss: 0.2, has_pauses: false },
+    Condition { name: "pauses of 0.9 s", loss: 0.0, has_pauses: true },
+];
+
+/// What was measured under a condition.
+struct SteadyState {
+    false_deaths: u64,
+    member_hours: f64,
+    bytes_per_member_second: f64,
+}
+
+/// How long each survivor took to know of each death, in milliseconds, sorted.
+struct DetectionTimes {
+    members: usize,
+    sorted_ms: Vec<Micros>,
+}
+
+fn converged_cluster(count: usize) -> Cluster {
+    let mut cluster = Cluster::new(count, 26);
+    cluster.run_until(120 * SECOND, Cluster::is_converged);
+    cluster
+}
+
+/// For each of some deaths and each survivor: after how long it knew.
+fn measure_detection(count: usize) -> DetectionTimes {
+    let mut cluster = converged_cluster(count);
     let mut times = Vec::new();
-    for n in (0..count).rev().take(DEATHS.min(count - 2)) {
-        world.kill(n);
-        let killed = world.now;
-        let mut waiting: Vec<usize> = world.running().collect();
-        while !waiting.is_empty() && world.now < killed + 20 * S {
-            world.run(world.now + 50 * MS);
-            waiting.retain(|&m| {
-                let knows = world.view(m, n) == Some(MemberState::Dead);
-                times.extend(knows.then(|| (world.now - killed) / MS));
+    for dead in (0..count).rev().take(DEATHS.min(count - 2)) {
+        cluster.kill(dead);
+        let killed_at = cluster.now;
+        let mut unaware: Vec<usize> = cluster.running().collect();
+        while !unaware.is_empty() && cluster.now < killed_at + 20 * SECOND {
+            cluster.run(cluster.now + 50 * MILLISECOND);
+            unaware.retain(|&observer| {
+                let knows = cluster.state(observer, dead) == Some(MemberState::Dead);
+                times.extend(knows.then(|| (cluster.now - killed_at) / MILLISECOND));
                 !knows
             });
         }
     }
     times.sort_unstable();
-    times
+    DetectionTimes { members: count, sorted_ms: times }
 }
 
-/// Deaths of the living in so many member hours, and bytes a member sends in a second.
-fn steady(count: usize, loss: f64, pauses: bool) -> (u64, f64, f64) {
-    let mut world = world(count);
-    world.loss = Box::new(move |_, _| loss);
-    let (begun, before) = (world.now, world.sum(|f| f.bytes));
-    let length = (36_000 * S / count as Micros).clamp(30 * S, 1_200 * S);
-    while world.now < begun + length {
-        world.run(world.now + S);
-        if pauses {
-            let n = (world.now / S) as usize * 7 % count;
-            world.sleep(n, 900 * MS);
+/// Counts members that are alive and declared dead, and the traffic.
+fn measure_steady_state(count: usize, condition: Condition) -> SteadyState {
+    let mut cluster = converged_cluster(count);
+    cluster.loss = Box::new(move |_, _| condition.loss);
+    let started_at = cluster.now;
+    let bytes_before = cluster.sum(|metrics| metrics.bytes);
+    let duration = (36_000 * SECOND / count as Micros).clamp(30 * SECOND, 1_200 * SECOND);
+    while cluster.now < started_at + duration {
+        cluster.run(cluster.now + SECOND);
+        if condition.has_pauses {
+            let paused = (cluster.now / SECOND) as usize * 7 % count;
+            cluster.pause(paused, 900 * MILLISECOND);
         }
     }
-    let seconds = count as f64 * length as f64 / S as f64;
-    let bytes = (world.sum(|f| f.bytes) - before) as f64 / seconds;
-    (world.sum(|f| f.declared_dead), seconds / 3_600.0, bytes)
+    let member_seconds = count as f64 * duration as f64 / SECOND as f64;
+    SteadyState {
+        false_deaths: cluster.sum(|metrics| metrics.declared_dead),
+        member_hours: member_seconds / 3_600.0,
+        bytes_per_member_second: (cluster.sum(|metrics| metrics.bytes) - bytes_before) as f64
+            / member_seconds,
+    }
+}
+
+/// Horizontal position in the plot.
+fn plot_x(milliseconds: f64) -> f64 {
+    50.0 + milliseconds * 0.14
+}
+
+/// Vertical position in the plot.
+fn plot_y(share: f64) -> f64 {
+    290.0 - share * 250.0
 }
 
 /// The share of members that know of a death by the time since, a line for each number of members.
-fn plot(known: &[(usize, Vec<Micros>)]) -> String {
-    const COLOURS: [&str; 4] = ["#1b6ca8", "#c2571a", "#3a7d44", "#7b3f8c"];
+fn plot(measured: &[DetectionTimes]) -> String {
     let mut svg = String::from(concat!(
         "<svg xmlns=\"http://www.w3.org/2000/svg\" viewBox=\"0 0 640 330\" font-family=\"sans-serif\" font-size=\"12\">\n",
         "<rect width=\"640\" height=\"330\" fill=\"white\"/>\n",
     ));
-    let (x, y) = (|ms: f64| 50.0 + ms * 0.14, |share: f64| 290.0 - share * 250.0);
-    for s in 0..5 {
-        let at = x(f64::from(s) * 1_000.0);
+    plot_axes(&mut svg);
+    for (index, times) in measured.iter().enumerate() {
+        plot_line(&mut svg, index, times);
+    }
+    svg + "</svg>\n"
+}
+
+fn plot_axes(svg: &mut String) {
+    for tick in 0..5 {
+        let at = plot_x(f64::from(tick) * 1_000.0);
         let _ = writeln!(
             svg,
-            "<path d=\"M{at} 40V290\" stroke=\"#ddd\"/><text x=\"{at}\" y=\"306\">{s} s</text>"
+            "<path d=\"M{at} 40V290\" stroke=\"#ddd\"/><text x=\"{at}\" y=\"306\">{tick} s</text>"
         );
-        let at = y(f64::from(s) / 4.0);
+        let at = plot_y(f64::from(tick) / 4.0);
         let _ = writeln!(
             svg,
             "<path d=\"M50 {at}H610\" stroke=\"#ddd\"/><text x=\"8\" y=\"{at}\">{} %</text>",
-            s * 25
+            tick * 25
         );
     }
     let _ = writeln!(svg, "<text x=\"50\" y=\"24\">members that know of a death, by the time since</text>");
-    for (i, (count, times)) in known.iter().enumerate() {
-        let colour = COLOURS[i % COLOURS.len()];
-        let mut path = format!("M{:.1} {:.1}", x(0.0), y(0.0));
-        for (n, &ms) in times.iter().enumerate() {
-            let _ = write!(path, "H{:.1}V{:.1}", x(ms as f64), y((n + 1) as f64 / times.len() as f64));
-        }
-        let _ = writeln!(svg, "<path d=\"{path}\" fill=\"none\" stroke=\"{colour}\" stroke-width=\"2\"/>");
-        let _ =
-            writeln!(svg, "<text x=\"520\" y=\"{}\" fill=\"{colour}\">{count} members</text>", 200 + 18 * i);
+}
+
+fn plot_line(svg: &mut String, index: usize, times: &DetectionTimes) {
+    const COLOURS: [&str; 4] = ["#1b6ca8", "#c2571a", "#3a7d44", "#7b3f8c"];
+    let colour = COLOURS[index % COLOURS.len()];
+    let mut path = format!("M{:.1} {:.1}", plot_x(0.0), plot_y(0.0));
+    for (known, &milliseconds) in times.sorted_ms.iter().enumerate() {
+        let share = (known + 1) as f64 / times.sorted_ms.len() as f64;
+        let _ = write!(path, "H{:.1}V{:.1}", plot_x(milliseconds as f64), plot_y(share));
+    }
+    let _ = writeln!(svg, "<path d=\"{path}\" fill=\"none\" stroke=\"{colour}\" stroke-width=\"2\"/>");
+    let _ = writeln!(
+        svg,
+        "<text x=\"520\" y=\"{}\" fill=\"{colour}\">{} members</text>",
+        200 + 18 * index,
+        times.members
+    );
+}
+
+/// Measures all conditions for one number of members, at the same time: each run is a cluster of its own.
+fn measure(count: usize) -> (DetectionTimes, [SteadyState; CONDITIONS.len()]) {
+    std::thread::scope(|scope| {
+        let times = scope.spawn(move || measure_detection(count));
+        let runs = CONDITIONS.map(|condition| scope.spawn(move || measure_steady_state(count, condition)));
+        (times.join().expect("a run"), runs.map(|run| run.join().expect("a run")))
+    })
+}
+
+fn print_rows(times: &DetectionTimes, steady_states: &[SteadyState]) {
+    let quantile = |share: f64| times.sorted_ms[((times.sorted_ms.len() - 1) as f64 * share) as usize];
+    let known = format!("{}, {}, {}", quantile(0.5), quantile(0.99), quantile(1.0));
+    for (condition, measured) in CONDITIONS.iter().zip(steady_states) {
+        println!(
+            "| {} | {known} | {} | {} in {:.1} | {:.0} |",
+            times.members,
+            condition.name,
+            measured.false_deaths,
+            measured.member_hours,
+            measured.bytes_per_member_second
+        );
     }
-    svg + "</svg>\n"
 }
 
 fn main() {
-    let mut plotted = Vec::new();
+    let mut measured = Vec::new();
     println!(
         "| members | death known, ms: median, 99th, last | faults | false deaths in member hours | bytes a member and second |"
     );
     println!("| --- | --- | --- | --- | --- |");
-    for count in std::env::args().skip(1).filter_map(|a| a.parse().ok()) {
-        let faults = [
-            ("none", 0.0, false),
-            ("5% lost", 0.05, false),
-            ("20% lost", 0.2, false),
-            ("pauses of 0.9 s", 0.0, true),
-        ];
-        // Each run is a world of its own, so they may go on at once.
-        let (times, rows) = std::thread::scope(|scope| {
-            let times = scope.spawn(move || detection(count));
-            let rows = faults.map(|(_, loss, pauses)| scope.spawn(move || steady(count, loss, pauses)));
-            (times.join().expect("it runs"), rows.map(|row| row.join().expect("it runs")))
-        });
-        let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
-        let known = format!("{}, {}, {}", at(0.5), at(0.99), at(1.0));
-        plotted.push((count, times.clone()));
-        for ((faults, ..), (dead, hours, bytes)) in faults.into_iter().zip(rows) {
-            println!("| {count} | {known} | {faults} | {dead} in {hours:.1} | {bytes:.0} |");
-        }
+    for count in std::env::args().skip(1).filter_map(|argument| argument.parse().ok()) {
+        let (times, steady_states) = measure(count);
+        print_rows(&times, &steady_states);
+        measured.push(times);
     }
     if let Some(path) = std::env::var_os("SVG") {
-        std::fs::write(path, plot(&plotted)).expect("the plot is written");
+        std::fs::write(path, plot(&measured)).expect("the plot is written");
     }
 }
--- a/crates/membership/src/id.rs
+++ b/crates/membership/src/id.rs
@@ -1,31 +1,32 @@
-//! Who a member is.
+//! The identity of a member.
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A member: one life of a node. A node that starts again is another member, and never mistaken for its ghost.
+/// The identity of a member: one incarnation of a node. A node that restarts is another member, and is never mistaken
+/// for a stale incarnation of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Id {
-    /// The node's name, the same in all its lives.
+    /// The node's name, the same in all its incarnations.
     pub name: String,
-    /// Which life: greater than all before it. A start time, so that the next one is.
+    /// Greater than in all earlier incarnations. At a start it is the time, so that the next one is greater.
     pub incarnation: u64,
     /// Where it listens.
     pub address: SocketAddr,
 }
 
 impl Id {
-    /// A life of the node of this name at this address.
-    pub fn new(name: &str, life: u64, address: SocketAddr) -> Id {
-        Id { name: name.to_string(), incarnation: life, address }
+    /// An incarnation of the node of this name at this address.
+    pub fn new(name: &str, incarnation: u64, address: SocketAddr) -> Id {
+        Id { name: name.to_string(), incarnation, address }
     }
 }
 
 impl Identity for Id {
     type Addr = SocketAddr;
 
-    /// A member that was declared dead though it lives goes on as its own next life.
+    /// A member that was declared dead while it is alive continues as its next incarnation.
     fn renew(&self) -> Option<Id> {
         Some(Id { incarnation: self.incarnation + 1, ..self.clone() })
     }
@@ -34,7 +35,7 @@
         self.address
     }
 
-    /// Of two at one address the later life is the one that lives.
+    /// Of two members at the same address the later incarnation wins.
     fn win_addr_conflict(&self, adversary: &Id) -> bool {
         (self.incarnation, &self.name) > (adversary.incarnation, &adversary.name)
     }
--- /dev/null
+++ b/crates/membership/src/leave_broadcast.rs
@@ -0,0 +1,82 @@
+//! The leave broadcast, by which a member says that it leaves. It is spread beside the protocol's own messages, which
+//! don't distinguish a member that has left from one that has died.
+
+use crate::Id;
+use foca::{BroadcastHandler, Invalidates};
+use std::cell::RefCell;
+use std::collections::BTreeSet;
+use std::fmt;
+use std::rc::Rc;
+
+/// Members that have left and are remembered as such.
+const MAX_REMEMBERED: usize = 4_096;
+/// An incarnation, and at least one byte of address and name.
+const MIN_NOTICE_BYTES: usize = size_of::<u64>() + 1;
+
+/// The encoded identity of a member that leaves: the incarnation, big-endian, then the address and the name as text.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct LeaveNotice(Vec<u8>);
+
+impl LeaveNotice {
+    pub(crate) fn new(id: &Id) -> LeaveNotice {
+        let mut bytes = id.incarnation.to_be_bytes().to_vec();
+        bytes.extend_from_slice(format!("{} {}", id.address, id.name).as_bytes());
+        LeaveNotice(bytes)
+    }
+
+    pub(crate) fn as_bytes(&self) -> &[u8] {
+        &self.0
+    }
+}
+
+impl Invalidates for LeaveNotice {
+    fn invalidates(&self, other: &Self) -> bool {
+        self == other
+    }
+}
+
+/// The notices that this member has received. Clones share the same set.
+#[derive(Clone, Default)]
+pub(crate) struct LeaveNotices(Rc<RefCell<BTreeSet<LeaveNotice>>>);
+
+impl LeaveNotices {
+    /// Whether this incarnation of a member has said that it leaves.
+    pub(crate) fn has_left(&self, id: &Id) -> bool {
+        self.0.borrow().contains(&LeaveNotice::new(id))
+    }
+}
+
+/// A broadcast that is too short for a notice.
+#[derive(Debug)]
+pub(crate) struct MalformedNotice;
+
+impl fmt::Display for MalformedNotice {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str("malformed leave notice")
+    }
+}
+
+impl std::error::Error for MalformedNotice {}
+
+impl BroadcastHandler<Id> for LeaveNotices {
+    type Key = LeaveNotice;
+    type Error = MalformedNotice;
+
+    fn receive_item(
+        &mut self,
+        data: &[u8],
+        _sender: Option<&Id>,
+    ) -> Result<Option<LeaveNotice>, MalformedNotice> {
+        if data.len() < MIN_NOTICE_BYTES {
+            return Err(MalformedNotice);
+        }
+        let mut notices = self.0.borrow_mut();
+        if notices.len() >= MAX_REMEMBERED {
+            notices.pop_first();
+        }
+        let notice = LeaveNotice(data.to_vec());
+        let is_new = notices.insert(notice.clone());
+        // Only a new notice is forwarded: otherwise members would repeat it to each other for ever.
+        Ok(is_new.then_some(notice))
+    }
+}
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,41 +1,63 @@
-//! Nodes that know each other: who is alive, who is suspected, who is dead, who has left.
+//! The membership of a cluster: which nodes are alive, suspected, dead, or have left.
 //!
-//! The protocol is SWIM, by the `foca` crate; this crate gives it identities, time, a seal on every datagram, patience
-//! with its own pauses, and a table that others read. [`Membership`] does no I/O and reads no clock: datagrams and the time
-//! go in, datagrams come out; [`run`] has it do so on a socket. `docs/membership.md` says what an operator needs.
+//! The protocol is SWIM, by the `foca` crate. This crate adds identities, time, authenticated datagrams, tolerance of its
+//! own pauses, a leave broadcast, and a table that other subsystems read. [`Membership`] does no I/O and reads no clock:
+//! datagrams and the time go in, datagrams come out. [`run`] drives it on a socket. `docs/membership.md` is the page for
+//! operators.
+//!
+//! | module | concern |
+//! | --- | --- |
+//! | `state` | the state machine of a member |
+//! | `authentication`, `replay_filter` | what makes a datagram valid |
+//! | `protocol_output`, `timer_queue` | what the protocol asks for: messages and timers |
+//! | `local_health` | tolerance of this member's own pauses |
+//! | `incarnation_jump` | passing a stale incarnation after the clock was set back |
+//! | `leave_broadcast` | members that leave, as distinct from members that die |
+//! | `table` | the member table |
+//! | `id`, `settings`, `metrics`, `time` | plain values |
+//! | `udp` | runs a member on a socket |
 //!
 //! ```
-//! use sorrelhaven_membership::{Id, Membership, Settings, MemberState};
+//! use sorrelhaven_membership::{Id, MemberState, Membership, Settings};
 //!
 //! let settings = |seeds| Settings { seeds, ..Settings::new(b"a key that all members share".to_vec()) };
-//! let at = |port| std::net::SocketAddr::from(([127, 0, 0, 1], port));
-//! let mut a = Membership::new(Id::new("a", 1, at(1)), settings(vec![]), 1, 0);
-//! let mut b = Membership::new(Id::new("b", 1, at(2)), settings(vec![at(1)]), 2, 0);
+//! let address = |port| std::net::SocketAddr::from(([127, 0, 0, 1], port));
+//! let mut a = Membership::new(Id::new("a", 1, address(1)), settings(vec![]), 1, 0);
+//! let mut b = Membership::new(Id::new("b", 1, address(2)), settings(vec![address(1)]), 2, 0);
 //! let mut now = 0;
 //! while a.table().len() < 2 || b.table().len() < 2 {
 //!     now += 10_000;
-//!     for (to, datagram) in b.tick(now) {
-//!         assert_eq!(to, at(1));
-//!         a.datagram(now, &datagram);
+//!     for datagram in b.tick(now) {
+//!         assert_eq!(datagram.to, address(1));
+//!         a.handle_datagram(now, &datagram.bytes);
 //!     }
-//!     for (_, datagram) in a.tick(now) {
-//!         b.datagram(now, &datagram);
+//!     for datagram in a.tick(now) {
+//!         b.handle_datagram(now, &datagram.bytes);
 //!     }
 //! }
-//! assert!(a.table().iter().all(|row| row.state == MemberState::Alive));
+//! assert!(a.table().iter().all(|member| member.state == MemberState::Alive));
 //! ```
 
+mod authentication;
 mod id;
-mod seal;
+mod incarnation_jump;
+mod leave_broadcast;
+mod local_health;
+mod metrics;
+mod protocol_output;
+mod replay_filter;
+mod settings;
 mod state;
 mod table;
+mod time;
+mod timer_queue;
 mod udp;
 
+pub use authentication::{DatagramError, MAX_DATAGRAM_BYTES};
 pub use id::Id;
-pub use seal::{DATAGRAM_MOST, Unsealed};
-pub use state::{Membership, Metrics, Settings};
+pub use metrics::Metrics;
+pub use settings::Settings;
+pub use state::{Membership, OutgoingDatagram};
 pub use table::{Member, MemberState};
+pub use time::Micros;
 pub use udp::{run, send, time};
-
-/// A point in time or a length of it, in microseconds.
-pub type Micros = i64;
--- a/crates/membership/tests/cases.rs
+++ b/crates/membership/tests/cases.rs
@@ -1,164 +1,179 @@
-//! The hard cases on a simulated clock: the same verdict at every run.
+//! Deaths, pauses, losses, partitions and restarts on a simulated clock: each run gives the same result.
 
 mod common;
-use common::*;
+use common::{Cluster, MILLISECOND, SECOND, address};
 use sorrelhaven_membership::{Id, MemberState, Membership, Settings};
 
 #[test]
-fn sixty_find_each_other_and_a_death_is_known_in_four_seconds() {
-    let mut world = World::new(60, 3);
-    let found = world.until(20 * S, World::whole);
-    world.run(found + 5 * S);
-    world.kill(37);
-    let killed = world.now;
-    let known = world.until(killed + 8 * S, |w| w.all_hold(37, MemberState::Dead)) - killed;
-    println!("all known after {} ms, the death after {} ms", found / MS, known / MS);
-    world.run(world.now + 10 * S);
-    assert!(world.all_hold(37, MemberState::Dead), "it does not come back");
-    assert!(world.whole());
-    assert_eq!(world.sum(|f| f.declared_dead), 0);
-    assert!(known < 4 * S, "{} ms", known / MS);
+fn sixty_members_converge_and_a_death_is_known_in_four_seconds() {
+    let mut cluster = Cluster::new(60, 3);
+    let converged = cluster.run_until(20 * SECOND, Cluster::is_converged);
+    cluster.run(converged + 5 * SECOND);
+    cluster.kill(37);
+    let killed = cluster.now;
+    let known =
+        cluster.run_until(killed + 8 * SECOND, |cluster| cluster.all_agree(37, MemberState::Dead)) - killed;
+    println!(
+        "converged after {} ms, the death known after {} ms",
+        converged / MILLISECOND,
+        known / MILLISECOND
+    );
+    cluster.run(cluster.now + 10 * SECOND);
+    assert!(cluster.all_agree(37, MemberState::Dead), "it stays dead");
+    assert!(cluster.is_converged());
+    assert_eq!(cluster.sum(|metrics| metrics.declared_dead), 0);
+    assert!(known < 4 * SECOND, "{} ms", known / MILLISECOND);
 }
 
 #[test]
-fn a_short_pause_kills_no_one_and_a_long_one_only_the_one_that_slept() {
-    let mut world = World::new(5, 4);
-    world.until(10 * S, World::whole);
-    world.sleep(2, 750 * MS);
-    world.run(world.now + 10 * S);
-    assert_eq!(world.sum(|f| f.declared_dead), 0);
-    assert!(world.whole());
-    world.sleep(2, 8 * S);
-    let slept = world.now;
-    world.run(slept + 7 * S);
+fn after_a_short_pause_no_member_is_dead_and_after_a_long_one_only_the_paused_member() {
+    let mut cluster = Cluster::new(5, 4);
+    cluster.run_until(10 * SECOND, Cluster::is_converged);
+    cluster.pause(2, 750 * MILLISECOND);
+    cluster.run(cluster.now + 10 * SECOND);
+    assert_eq!(cluster.sum(|metrics| metrics.declared_dead), 0);
+    assert!(cluster.is_converged());
+    cluster.pause(2, 8 * SECOND);
+    let paused_at = cluster.now;
+    cluster.run(paused_at + 7 * SECOND);
     assert!(
-        [0, 1, 3, 4].iter().all(|&n| world.view(n, 2) == Some(MemberState::Dead)),
-        "it is taken for dead"
+        [0, 1, 3, 4].iter().all(|&observer| cluster.state(observer, 2) == Some(MemberState::Dead)),
+        "it is declared dead"
     );
-    // It was the one asleep: it comes back as its next life, and holds nobody else for dead at any time.
-    let back = world.until(slept + 20 * S, World::whole);
-    println!("back {} ms after its waking", (back - slept - 8 * S) / MS);
-    assert!(world.members[2].id().incarnation > 1_000);
-    for n in [0, 1, 3, 4] {
-        assert_eq!(world.members[n].metrics().declared_dead, 0, "n{n} was declared dead by the sleeper");
+    // It was the paused one: it comes back as its next incarnation, and never declares another member dead.
+    let back = cluster.run_until(paused_at + 20 * SECOND, Cluster::is_converged);
+    println!("back {} ms after the pause", (back - paused_at - 8 * SECOND) / MILLISECOND);
+    assert!(cluster.members[2].id().incarnation > 1_000);
+    for index in [0, 1, 3, 4] {
+        let declared_dead = cluster.members[index].metrics().declared_dead;
+        assert_eq!(declared_dead, 0, "n{index} was declared dead by the paused member");
     }
 }
 
 #[test]
-fn losses_of_a_fifth_both_ways_and_of_two_fifths_one_way_kill_no_one() {
+fn losses_of_a_fifth_both_ways_or_of_two_fifths_one_way_declare_no_member_dead() {
     for one_way in [false, true] {
-        let mut world = World::new(5, 5);
-        world.until(10 * S, World::whole);
-        world.loss = Box::new(move |from, _| match (one_way, from) {
+        let mut cluster = Cluster::new(5, 5);
+        cluster.run_until(10 * SECOND, Cluster::is_converged);
+        cluster.loss = Box::new(move |from, _| match (one_way, from) {
             (false, _) => 0.2,
             (true, 2) => 0.4,
             (true, _) => 0.0,
         });
-        world.run(world.now + 120 * S);
-        assert_eq!(world.sum(|f| f.declared_dead), 0, "one way: {one_way}");
-        // A probe that goes out once more is answered more often than not: without it there are 85 and 15.
-        let (suspicions, most) = (world.sum(|f| f.suspicions), if one_way { 10 } else { 60 });
+        cluster.run(cluster.now + 120 * SECOND);
+        assert_eq!(cluster.sum(|metrics| metrics.declared_dead), 0, "one way: {one_way}");
+        // The bounds tell a member that repeats its probes from one that does not.
+        let suspicions = cluster.sum(|metrics| metrics.suspicions);
+        let max_suspicions = if one_way { 10 } else { 60 };
         println!("one way {one_way}: {suspicions} suspicions");
-        assert!(suspicions < most, "{suspicions} suspicions");
+        assert!(suspicions < max_suspicions, "{suspicions} suspicions");
     }
 }
 
 #[test]
-fn a_cut_in_one_direction_is_bridged_and_an_isolated_one_heals() {
-    let mut world = World::new(5, 6);
-    world.until(10 * S, World::whole);
-    // n0 hears n1, and n1 does not hear n0.
-    world.loss = Box::new(|from, to| if (from, to) == (0, 1) { 1.0 } else { 0.0 });
-    world.run(world.now + 60 * S);
-    assert_eq!(world.sum(|f| f.declared_dead), 0);
-    world.loss = Box::new(|from, to| if from == 3 || to == 3 { 1.0 } else { 0.0 });
-    let cut = world.now;
-    world.until(cut + 10 * S, |w| [0, 1, 2, 4].iter().all(|&n| w.view(n, 3) == Some(MemberState::Dead)));
-    world.run(world.now + 10 * S);
-    world.loss = Box::new(|_, _| 0.0);
-    let healed = world.now;
-    let whole = world.until(healed + 20 * S, World::whole);
-    println!("whole {} ms after the cut was over", (whole - healed) / MS);
+fn a_one_way_partition_is_bridged_and_an_isolated_member_comes_back() {
+    let mut cluster = Cluster::new(5, 6);
+    cluster.run_until(10 * SECOND, Cluster::is_converged);
+    // n0 receives from n1, and n1 does not receive from n0.
+    cluster.loss = Box::new(|from, to| if (from, to) == (0, 1) { 1.0 } else { 0.0 });
+    cluster.run(cluster.now + 60 * SECOND);
+    assert_eq!(cluster.sum(|metrics| metrics.declared_dead), 0);
+    cluster.loss = Box::new(|from, to| if from == 3 || to == 3 { 1.0 } else { 0.0 });
+    let isolated_at = cluster.now;
+    cluster.run_until(isolated_at + 10 * SECOND, |cluster| {
+        [0, 1, 2, 4].iter().all(|&observer| cluster.state(observer, 3) == Some(MemberState::Dead))
+    });
+    cluster.run(cluster.now + 10 * SECOND);
+    cluster.loss = Box::new(|_, _| 0.0);
+    let healed_at = cluster.now;
+    let converged = cluster.run_until(healed_at + 20 * SECOND, Cluster::is_converged);
+    println!("converged {} ms after the partition", (converged - healed_at) / MILLISECOND);
 }
 
 #[test]
-fn two_and_three_that_were_parted_become_one_again() {
-    let mut world = World::new(5, 7);
-    world.until(10 * S, World::whole);
-    world.loss = Box::new(|from, to| if (from < 2) == (to < 2) { 0.0 } else { 1.0 });
-    world.run(world.now + 15 * S);
+fn two_sides_of_a_partition_converge_when_it_heals() {
+    let mut cluster = Cluster::new(5, 7);
+    cluster.run_until(10 * SECOND, Cluster::is_converged);
+    cluster.loss = Box::new(|from, to| if (from < 2) == (to < 2) { 0.0 } else { 1.0 });
+    cluster.run(cluster.now + 15 * SECOND);
     assert_eq!(
-        [world.view(0, 1), world.view(0, 3), world.view(3, 4), world.view(3, 0)].map(Option::unwrap),
+        [cluster.state(0, 1), cluster.state(0, 3), cluster.state(3, 4), cluster.state(3, 0)]
+            .map(Option::unwrap),
         [MemberState::Alive, MemberState::Dead, MemberState::Alive, MemberState::Dead]
     );
-    world.loss = Box::new(|_, _| 0.0);
-    let healed = world.now;
-    let whole = world.until(healed + 20 * S, World::whole);
-    println!("one again after {} ms", (whole - healed) / MS);
-    assert!((0..5).all(|n| world.members[n].table().len() == 5), "no member lost, none twice");
+    cluster.loss = Box::new(|_, _| 0.0);
+    let healed_at = cluster.now;
+    let converged = cluster.run_until(healed_at + 20 * SECOND, Cluster::is_converged);
+    println!("converged after {} ms", (converged - healed_at) / MILLISECOND);
+    assert!((0..5).all(|index| cluster.members[index].table().len() == 5), "each member once");
 }
 
 #[test]
-fn a_restart_under_the_same_name_and_address_wins_and_its_ghost_stays_away() {
-    let mut world = World::new(5, 8);
-    world.until(10 * S, World::whole);
-    world.kill(4);
-    world.run(world.now + 200 * MS);
-    world.restart(4, 2_000);
-    let at = world.now;
-    world.until(at + 10 * S, World::whole);
+fn a_restart_under_the_same_name_and_address_replaces_the_stale_incarnation() {
+    let mut cluster = Cluster::new(5, 8);
+    cluster.run_until(10 * SECOND, Cluster::is_converged);
+    cluster.kill(4);
+    cluster.run(cluster.now + 200 * MILLISECOND);
+    cluster.restart(4, 2_000);
+    let restarted_at = cluster.now;
+    cluster.run_until(restarted_at + 10 * SECOND, Cluster::is_converged);
     for _ in 0..100 {
-        world.run(world.now + 100 * MS);
-        for n in 0..5 {
-            let rows = world.members[n].table();
-            let lives: Vec<u64> =
-                rows.iter().filter(|r| r.id.name == "n4").map(|r| r.id.incarnation).collect();
-            assert!(lives.len() == 1 && lives[0] >= 2_000, "n{n} holds {lives:?}");
+        cluster.run(cluster.now + 100 * MILLISECOND);
+        for observer in 0..5 {
+            let table = cluster.members[observer].table();
+            let of_restarted = table.iter().filter(|member| member.id.name == "n4");
+            let incarnations: Vec<u64> = of_restarted.map(|member| member.id.incarnation).collect();
+            let is_replaced = incarnations.len() == 1 && incarnations[0] >= 2_000;
+            assert!(is_replaced, "n{observer} knows {incarnations:?}");
         }
     }
 }
 
-/// Its clock was set back by years: its ghost's life is later than its own, by far more than it could count up to.
+/// The node's clock was set back by years: its stale incarnation is greater than its own, by far more than single steps
+/// could make up for.
 #[test]
-fn a_restart_with_a_clock_set_back_outlives_its_ghost() {
-    for ghost_is_dead in [false, true] {
-        let mut world = World::new(5, 10);
-        world.until(10 * S, World::whole);
-        world.restart(4, 1 << 51);
-        world.until(world.now + 10 * S, World::whole);
-        world.kill(4);
-        world.run(world.now + if ghost_is_dead { 10 * S } else { 200 * MS });
-        world.restart(4, 2_000);
-        let at = world.now;
-        let whole = world.until(at + 30 * S, World::whole) - at;
-        println!("ghost dead {ghost_is_dead}: one of them after {} ms", whole / MS);
-        assert!(world.members[4].id().incarnation > 1 << 51);
-        world.run(world.now + 20 * S);
-        assert!(world.whole(), "and it stays");
-        assert!((0..4).all(|n| world.members[n].metrics().declared_dead == 0));
+fn a_restart_with_a_clock_set_back_passes_its_stale_incarnation() {
+    for stale_is_dead in [false, true] {
+        let mut cluster = Cluster::new(5, 10);
+        cluster.run_until(10 * SECOND, Cluster::is_converged);
+        cluster.restart(4, 1 << 51);
+        cluster.run_until(cluster.now + 10 * SECOND, Cluster::is_converged);
+        cluster.kill(4);
+        cluster.run(cluster.now + if stale_is_dead { 10 * SECOND } else { 200 * MILLISECOND });
+        cluster.restart(4, 2_000);
+        let restarted_at = cluster.now;
+        let converged = cluster.run_until(restarted_at + 30 * SECOND, Cluster::is_converged) - restarted_at;
+        println!("stale incarnation dead {stale_is_dead}: converged after {} ms", converged / MILLISECOND);
+        assert!(cluster.members[4].id().incarnation > 1 << 51);
+        cluster.run(cluster.now + 20 * SECOND);
+        assert!(cluster.is_converged(), "and it stays so");
+        assert!((0..4).all(|index| cluster.members[index].metrics().declared_dead == 0));
     }
 }
 
 #[test]
-fn one_that_leaves_is_told_from_one_that_died() {
-    let mut world = World::new(20, 9);
-    world.until(10 * S, World::whole);
-    world.leave(5);
-    world.kill(6);
-    let at = world.now;
-    world.until(at + 10 * S, |w| w.all_hold(5, MemberState::Left) && w.all_hold(6, MemberState::Dead));
-    assert_eq!(world.sum(|f| f.malformed + f.unauthenticated + f.replayed), 0);
+fn a_member_that_leaves_is_distinguished_from_one_that_dies() {
+    let mut cluster = Cluster::new(20, 9);
+    cluster.run_until(10 * SECOND, Cluster::is_converged);
+    cluster.leave(5);
+    cluster.kill(6);
+    let restarted_at = cluster.now;
+    cluster.run_until(restarted_at + 10 * SECOND, |cluster| {
+        cluster.all_agree(5, MemberState::Left) && cluster.all_agree(6, MemberState::Dead)
+    });
+    assert_eq!(cluster.sum(|metrics| metrics.malformed + metrics.unauthenticated + metrics.replayed), 0);
 }
 
-/// The first of a group has no seeds. It must not be awake all the time: it would leave its node no time for jobs.
+/// The first member of a cluster has no seeds. It must not be awake all the time: its node would have no time for
+/// requests.
 #[test]
-fn one_without_seeds_sleeps_until_something_is_due() {
+fn a_member_without_seeds_sleeps_until_a_timer_is_due() {
     let settings = Settings::new(b"a key of the tests alone".to_vec());
     let mut alone = Membership::new(Id::new("n0", 1, address(0)), settings, 3, 0);
     let mut now = 0;
     for _ in 0..100 {
-        assert!(alone.tick(now).is_empty(), "there is nobody to send to");
-        let next = alone.next();
+        assert!(alone.tick(now).is_empty(), "there is no other member");
+        let next = alone.next_tick_at();
         assert!(next > now, "awake again at {next} after {now}");
         now = next;
     }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,194 +1,221 @@
-//! Members on a simulated clock, and the net between them.
+//! A cluster of members on a simulated clock, and the network between them.
 #![allow(dead_code)]
 
-use sorrelhaven_membership::{Id, MemberState, Membership, Metrics, Micros, Settings};
+use sorrelhaven_membership::{Id, MemberState, Membership, Metrics, Micros, OutgoingDatagram, Settings};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 
-pub const MS: Micros = 1_000;
-pub const S: Micros = 1_000_000;
+/// A millisecond.
+pub const MILLISECOND: Micros = 1_000;
+/// A second.
+pub const SECOND: Micros = 1_000_000;
 
-pub fn address(n: usize) -> SocketAddr {
-    SocketAddr::from(([10, 0, (n >> 8) as u8, n as u8], 7000))
+/// The address of the member with this index.
+pub fn address(index: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, (index >> 8) as u8, index as u8], 7000))
 }
 
-pub fn number(address: SocketAddr) -> usize {
+/// The index of the member at this address.
+pub fn index_of(address: SocketAddr) -> usize {
     match address {
-        SocketAddr::V4(a) => usize::from(a.ip().octets()[2]) << 8 | usize::from(a.ip().octets()[3]),
-        SocketAddr::V6(_) => unreachable!("all are of the other kind"),
+        SocketAddr::V4(address) => {
+            let [_, _, high, low] = address.ip().octets();
+            usize::from(high) << 8 | usize::from(low)
+        }
+        SocketAddr::V6(_) => unreachable!("all addresses are IPv4"),
     }
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum EventKind {
     Tick,
     Datagram(Vec<u8>),
 }
 
-/// What a member is doing.
+/// What happens to a member at a time. Events at the same time happen in the order in which they were scheduled.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Event {
+    at: Micros,
+    sequence: u64,
+    member: usize,
+    kind: EventKind,
+}
+
+/// The state of a member's process.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Doing {
-    Runs,
-    /// Its process is stopped until then; what comes waits in its socket.
-    Sleeps(Micros),
+pub enum ProcessState {
+    Running,
+    /// Stopped until then; datagrams wait in its socket.
+    Paused(Micros),
     Killed,
 }
 
-pub struct World {
+/// A cluster of members.
+pub struct Cluster {
     pub members: Vec<Membership>,
-    pub doing: Vec<Doing>,
-    /// The share of datagrams lost from one to the other, or 1 for a cut.
+    pub processes: Vec<ProcessState>,
+    /// The share of datagrams lost from one member to another; 1 is a partition.
     pub loss: Box<dyn Fn(usize, usize) -> f64>,
     pub now: Micros,
-    due: BinaryHeap<Reverse<(Micros, u64, usize, Due)>>,
-    count: u64,
+    events: BinaryHeap<Reverse<Event>>,
+    event_count: u64,
     rng: fastrand::Rng,
     key: Vec<u8>,
 }
 
-impl World {
-    /// So many that start within a second and know the first two.
-    pub fn new(count: usize, seed: u64) -> World {
-        let mut world = World {
+impl Cluster {
+    /// A cluster of `count` members that start within a second, with the first two as seeds.
+    pub fn new(count: usize, seed: u64) -> Cluster {
+        let mut cluster = Cluster {
             members: Vec::new(),
-            doing: vec![Doing::Runs; count],
+            processes: vec![ProcessState::Running; count],
             loss: Box::new(|_, _| 0.0),
             now: 0,
-            due: BinaryHeap::new(),
-            count: 0,
+            events: BinaryHeap::new(),
+            event_count: 0,
             rng: fastrand::Rng::with_seed(seed),
             key: b"a key of the simulation".to_vec(),
         };
-        for n in 0..count {
-            let member = world.member(n, 1_000, 0);
-            world.members.push(member);
-            let at = world.rng.i64(0..S);
-            world.push(at, n, Due::Tick);
+        for index in 0..count {
+            let member = cluster.new_member(index, 1_000, 0);
+            cluster.members.push(member);
+            let at = cluster.rng.i64(0..SECOND);
+            cluster.schedule(at, index, EventKind::Tick);
         }
-        world
+        cluster
     }
 
-    fn member(&mut self, n: usize, life: u64, now: Micros) -> Membership {
+    fn new_member(&mut self, index: usize, incarnation: u64, now: Micros) -> Membership {
         let seeds = vec![address(0), address(1)];
         let settings = Settings { seeds, ..Settings::new(self.key.clone()) };
-        Membership::new(Id::new(&format!("n{n}"), life, address(n)), settings, self.rng.u64(..), now)
+        let id = Id::new(&format!("n{index}"), incarnation, address(index));
+        Membership::new(id, settings, self.rng.u64(..), now)
     }
 
-    fn push(&mut self, at: Micros, n: usize, due: Due) {
-        self.count += 1;
-        self.due.push(Reverse((at, self.count, n, due)));
+    fn schedule(&mut self, at: Micros, member: usize, kind: EventKind) {
+        self.event_count += 1;
+        self.events.push(Reverse(Event { at, sequence: self.event_count, member, kind }));
     }
 
-    pub fn kill(&mut self, n: usize) {
-        self.doing[n] = Doing::Killed;
+    /// Kills a member's process.
+    pub fn kill(&mut self, index: usize) {
+        self.processes[index] = ProcessState::Killed;
     }
 
-    pub fn sleep(&mut self, n: usize, time: Micros) {
-        self.doing[n] = Doing::Sleeps(self.now + time);
+    /// Pauses a member's process.
+    pub fn pause(&mut self, index: usize, duration: Micros) {
+        self.processes[index] = ProcessState::Paused(self.now + duration);
     }
 
-    /// Starts it again under its name and address, as another life.
-    pub fn restart(&mut self, n: usize, life: u64) {
-        let member = self.member(n, life, self.now);
-        self.members[n] = member;
-        self.doing[n] = Doing::Runs;
+    /// Starts a member again under its name and address, as another incarnation.
+    pub fn restart(&mut self, index: usize, incarnation: u64) {
+        let member = self.new_member(index, incarnation, self.now);
+        self.members[index] = member;
+        self.processes[index] = ProcessState::Running;
         let at = self.now;
-        self.push(at, n, Due::Tick);
+        self.schedule(at, index, EventKind::Tick);
     }
 
-    fn send(&mut self, from: usize, out: Vec<(SocketAddr, Vec<u8>)>) {
-        for (to, datagram) in out {
-            assert!(datagram.len() < 1_400, "{} bytes", datagram.len());
-            let to = number(to);
-            let lost = self.rng.f64() < (self.loss)(from, to);
-            let at = self.now + self.rng.i64(MS / 2..3 * MS);
-            if !lost && to < self.members.len() {
-                self.push(at, to, Due::Datagram(datagram));
+    /// Has a member leave the cluster.
+    pub fn leave(&mut self, index: usize) {
+        let datagrams = self.members[index].leave(self.now);
+        self.send(index, datagrams);
+        self.processes[index] = ProcessState::Killed;
+    }
+
+    fn send(&mut self, from: usize, datagrams: Vec<OutgoingDatagram>) {
+        for OutgoingDatagram { to, bytes } in datagrams {
+            assert!(bytes.len() < 1_400, "{} bytes", bytes.len());
+            let to = index_of(to);
+            let is_lost = self.rng.f64() < (self.loss)(from, to);
+            let at = self.now + self.rng.i64(MILLISECOND / 2..3 * MILLISECOND);
+            if !is_lost && to < self.members.len() {
+                self.schedule(at, to, EventKind::Datagram(bytes));
             }
         }
     }
 
-    pub fn leave(&mut self, n: usize) {
-        let out = self.members[n].leave(self.now);
-        self.send(n, out);
-        self.doing[n] = Doing::Killed;
+    /// Runs the cluster until this time.
+    pub fn run(&mut self, until: Micros) {
+        while self.events.peek().is_some_and(|event| event.0.at <= until) {
+            let Some(Reverse(event)) = self.events.pop() else { return };
+            self.now = event.at;
+            self.handle(event);
+        }
+        self.now = until;
     }
 
-    pub fn run(&mut self, until: Micros) {
-        while self.due.peek().is_some_and(|d| d.0.0 <= until) {
-            let Some(Reverse((at, _, n, due))) = self.due.pop() else { return };
-            self.now = at;
-            match (self.doing[n], due) {
-                (Doing::Killed, _) => {}
-                // Datagrams wait in the socket and are read before anything else is done.
-                (Doing::Sleeps(end), Due::Datagram(bytes)) if end > at => {
-                    self.push(end, n, Due::Datagram(bytes))
-                }
-                (Doing::Sleeps(end), Due::Tick) if end > at => self.push(end + 1, n, Due::Tick),
-                (_, Due::Datagram(bytes)) => {
-                    self.members[n].datagram(at, &bytes);
-                    let out = self.members[n].tick_if_awake(at, self.doing[n]);
-                    self.send(n, out);
-                }
-                (_, Due::Tick) => {
-                    self.doing[n] = Doing::Runs;
-                    let out = self.members[n].tick(at);
-                    self.send(n, out);
-                    let next = self.members[n].next().clamp(at + MS, at + S);
-                    self.push(next, n, Due::Tick);
-                }
+    fn handle(&mut self, event: Event) {
+        let Event { at, member, kind, .. } = event;
+        match (self.processes[member], kind) {
+            (ProcessState::Killed, _) => {}
+            // Datagrams wait in the socket and are handled before anything else.
+            (ProcessState::Paused(end), EventKind::Datagram(bytes)) if end > at => {
+                self.schedule(end, member, EventKind::Datagram(bytes));
             }
+            (ProcessState::Paused(end), EventKind::Tick) if end > at => {
+                self.schedule(end + 1, member, EventKind::Tick);
+            }
+            (_, EventKind::Datagram(bytes)) => self.handle_datagram(member, &bytes),
+            (_, EventKind::Tick) => self.tick(member),
         }
-        self.now = until;
     }
 
-    /// What one holds of another.
-    pub fn view(&self, n: usize, of: usize) -> Option<MemberState> {
-        self.members[n].row(address(of)).map(|row| row.state)
+    fn handle_datagram(&mut self, index: usize, bytes: &[u8]) {
+        self.members[index].handle_datagram(self.now, bytes);
+        // After a pause all datagrams that wait are handled before the first tick.
+        if self.processes[index] == ProcessState::Running {
+            let datagrams = self.members[index].tick(self.now);
+            self.send(index, datagrams);
+        }
     }
 
-    /// Whether all that run hold this of one.
-    pub fn all_hold(&self, of: usize, standing: MemberState) -> bool {
-        self.running().all(|n| n == of || self.view(n, of) == Some(standing))
+    fn tick(&mut self, index: usize) {
+        self.processes[index] = ProcessState::Running;
+        let datagrams = self.members[index].tick(self.now);
+        self.send(index, datagrams);
+        let next = self.members[index].next_tick_at().clamp(self.now + MILLISECOND, self.now + SECOND);
+        self.schedule(next, index, EventKind::Tick);
     }
 
-    pub fn running(&self) -> impl Iterator<Item = usize> {
-        (0..self.members.len()).filter(|&n| self.doing[n] != Doing::Killed)
+    /// What one member believes of another.
+    pub fn state(&self, observer: usize, index: usize) -> Option<MemberState> {
+        self.members[observer].member(address(index)).map(|member| member.state)
     }
 
-    /// Whether all that run hold all that run for alive, in the lives that they have now.
-    pub fn whole(&self) -> bool {
-        let ids: Vec<&Id> = self.running().map(|n| self.members[n].id()).collect();
-        let alive = |n: usize, id: &Id| {
-            self.members[n]
-                .row(id.address)
-                .is_some_and(|row| row.id == *id && row.state == MemberState::Alive)
-        };
-        self.running().all(|n| ids.iter().all(|id| alive(n, id)))
+    /// Whether all running members believe this of another one.
+    pub fn all_agree(&self, index: usize, state: MemberState) -> bool {
+        self.running().all(|observer| observer == index || self.state(observer, index) == Some(state))
     }
 
-    /// Runs until it holds, and tells when; panics where it does not by then.
-    pub fn until(&mut self, limit: Micros, what: impl Fn(&World) -> bool) -> Micros {
-        while !what(self) {
-            assert!(self.now < limit, "not by {} s", limit / S);
-            self.run(self.now + 100 * MS);
-        }
-        self.now
+    /// The members that were not killed.
+    pub fn running(&self) -> impl Iterator<Item = usize> {
+        (0..self.members.len()).filter(|&index| self.processes[index] != ProcessState::Killed)
     }
 
-    pub fn sum(&self, figure: impl Fn(&Metrics) -> u64) -> u64 {
-        self.members.iter().map(|m| figure(&m.metrics())).sum()
+    /// Whether all running members believe that all running members are alive, in their current incarnations.
+    pub fn is_converged(&self) -> bool {
+        let ids: Vec<&Id> = self.running().map(|index| self.members[index].id()).collect();
+        self.running().all(|observer| ids.iter().all(|id| self.believes_alive(observer, id)))
     }
-}
 
-/// A socket that was woken by a datagram still has its own times to see to, once it is awake.
-trait Woken {
-    fn tick_if_awake(&mut self, now: Micros, doing: Doing) -> Vec<(SocketAddr, Vec<u8>)>;
-}
+    fn believes_alive(&self, observer: usize, id: &Id) -> bool {
+        let member = self.members[observer].member(id.address);
+        member.is_some_and(|member| member.id == *id && member.state == MemberState::Alive)
+    }
+
+    /// Runs the cluster until a condition holds, and returns the time; panics if it does not hold by `deadline`.
+    pub fn run_until(&mut self, deadline: Micros, condition: impl Fn(&Cluster) -> bool) -> Micros {
+        while !condition(self) {
+            assert!(self.now < deadline, "not by {} s", deadline / SECOND);
+            self.run(self.now + 100 * MILLISECOND);
+        }
+        self.now
+    }
 
-impl Woken for Membership {
-    fn tick_if_awake(&mut self, now: Micros, doing: Doing) -> Vec<(SocketAddr, Vec<u8>)> {
-        if doing == Doing::Runs { self.tick(now) } else { Vec::new() }
+    /// The sum of a metric over all members.
+    pub fn sum(&self, metric: impl Fn(&Metrics) -> u64) -> u64 {
+        self.members.iter().map(|member| metric(&member.metrics())).sum()
     }
 }
--- a/crates/membership/tests/compatibility.rs
+++ b/crates/membership/tests/compatibility.rs
@@ -1,7 +1,7 @@
 //! Nodes of the previous version and of this one are members of the same cluster during a rolling upgrade: datagrams
 //! recorded from the previous version are understood, and the same inputs give the same bytes.
 
-use sorrelhaven_membership::{Id, Member, MemberState, Membership, Micros, Settings};
+use sorrelhaven_membership::{Id, Member, MemberState, Membership, Micros, OutgoingDatagram, Settings};
 use std::net::SocketAddr;
 
 /// The exchange as the previous version wrote it: each line is a [`Datagram`].
@@ -58,8 +58,13 @@
     Membership::new(Id::new("b", 1_700_000_000_000_002, address(7002)), settings(vec![]), 2, 0)
 }
 
-fn sent_by(sender: &str, sent_at: Micros, datagrams: Vec<(SocketAddr, Vec<u8>)>) -> Vec<Datagram> {
-    let datagram = |(receiver, bytes)| Datagram { sender: sender.to_string(), sent_at, receiver, bytes };
+fn sent_by(sender: &str, sent_at: Micros, datagrams: Vec<OutgoingDatagram>) -> Vec<Datagram> {
+    let datagram = |OutgoingDatagram { to: receiver, bytes }| Datagram {
+        sender: sender.to_string(),
+        sent_at,
+        receiver,
+        bytes,
+    };
     datagrams.into_iter().map(datagram).collect()
 }
 
@@ -77,13 +82,13 @@
             member.tick(now);
         }
         if datagram.sender == "a-leaves" {
-            let state = state_of_a(&member).map(|a| a.state);
+            let state = state_of_a(&member).map(|member| member.state);
             assert!(
                 matches!(state, Some(MemberState::Alive | MemberState::Left)),
                 "{state:?} before it left"
             );
         }
-        member.datagram(now, &datagram.bytes);
+        member.handle_datagram(now, &datagram.bytes);
     }
     for _ in 0..20 {
         now += TICK_INTERVAL;
@@ -99,20 +104,20 @@
 
 #[test]
 fn the_same_inputs_give_the_datagrams_of_the_previous_version() {
-    let (mut a, mut b) = (member_a(), member_b());
+    let (mut leaving, mut staying) = (member_a(), member_b());
     let mut exchange = Vec::new();
     let mut now = 0;
     while now < LEAVE_TIME {
         now += TICK_INTERVAL;
-        for datagram in sent_by("a", now, a.tick(now)) {
-            b.datagram(now, &datagram.bytes);
+        for datagram in sent_by("a", now, leaving.tick(now)) {
+            staying.handle_datagram(now, &datagram.bytes);
             exchange.push(datagram);
         }
-        for datagram in sent_by("b", now, b.tick(now)) {
-            a.datagram(now, &datagram.bytes);
+        for datagram in sent_by("b", now, staying.tick(now)) {
+            leaving.handle_datagram(now, &datagram.bytes);
             exchange.push(datagram);
         }
     }
-    exchange.extend(sent_by("a-leaves", now, a.leave(now)));
+    exchange.extend(sent_by("a-leaves", now, leaving.leave(now)));
     assert_eq!(exchange, recorded_exchange());
 }
