--- a/crates/simulator/src/wire.rs
+++ b/crates/simulator/src/wire.rs
@@ -1,189 +1,300 @@
-//! The wire as it is written: one JSON value a line, ids as words, positions for classes and zones.
+//! The simulator's wire: one JSON value a line, ids as names, positions for classes and zones. The names of
+//! its keys are mapped here to those of the code, and nowhere else.
 
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
 /// A batch of events.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
 pub struct Batch<'a> {
-    pub sim_time: i64,
-    #[serde(borrow)]
-    pub dispatchers: Vec<Group<'a>>,
+    /// The time of all its events, in microseconds.
+    #[serde(rename = "simTime")]
+    pub now: i64,
+    /// Grouped by instance.
+    #[serde(borrow, rename = "dispatchers")]
+    pub groups: Vec<MessageGroup<'a>>,
 }
 
-/// The events of one instance.
+/// The messages to one instance.
 #[derive(Deserialize)]
-pub struct Group<'a> {
-    #[serde(borrow)]
-    pub dispatcher: Cow<'a, str>,
-    pub arrivals: Vec<Message<'a>>,
+pub struct MessageGroup<'a> {
+    /// Its name.
+    #[serde(borrow, rename = "dispatcher")]
+    pub instance: Cow<'a, str>,
+    /// In the order in which they are to be handled.
+    #[serde(rename = "arrivals")]
+    pub messages: Vec<Message<'a>>,
 }
 
-/// One event.
+/// A message to an instance, or to the process about it.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
 pub enum Message<'a> {
-    Create {
-        salt: u64,
-        conf: serde_json::Value,
+    /// An instance starts.
+    #[serde(rename = "create")]
+    CreateInstance {
+        /// The seed of its random numbers.
+        #[serde(rename = "salt")]
+        seed: u64,
+        /// Its settings, as the deploy file has them.
+        #[serde(rename = "conf")]
+        settings: serde_json::Value,
     },
-    Kill {},
-    Ledger {
-        bank: usize,
-        #[serde(borrow)]
-        rows: Vec<Row<'a>>,
+    /// An instance is killed.
+    #[serde(rename = "kill")]
+    DropInstance {},
+    /// A worker list that later updates refer to.
+    #[serde(rename = "ledger")]
+    WorkerList {
+        /// The number of the list.
+        #[serde(rename = "bank")]
+        list: usize,
+        /// Its workers.
+        #[serde(borrow, rename = "rows")]
+        workers: Vec<WorkerRow<'a>>,
     },
-    Update {
-        #[serde(default)]
-        bank: usize,
+    /// An instance gets an update of its worker list.
+    #[serde(rename = "update")]
+    WorkerListUpdate {
+        /// The number of the list that holds it.
+        #[serde(default, rename = "bank")]
+        list: usize,
+        /// How the list is to be taken.
         mode: u8,
     },
-    Inbound(#[serde(borrow)] Inbound<'a>),
-    Notice {
-        #[serde(borrow)]
-        call: Cow<'a, str>,
+    /// A request arrives.
+    #[serde(rename = "inbound")]
+    Arrival(#[serde(borrow)] ArrivalMessage<'a>),
+    /// A job has started or makes progress.
+    #[serde(rename = "notice")]
+    JobNotice {
+        /// The request.
+        #[serde(borrow, rename = "call")]
+        request: Cow<'a, str>,
+        /// The worker.
         worker: Cow<'a, str>,
+        /// Start or progress.
         kind: u8,
-        #[serde(default)]
-        amount: f64,
+        /// The fraction done.
+        #[serde(default, rename = "amount")]
+        progress: f64,
+        /// The attempt.
         #[serde(default, rename = "try")]
         attempt: u32,
     },
-    Begun {
-        #[serde(borrow)]
-        call: Cow<'a, str>,
+    /// A streamed answer has begun.
+    #[serde(rename = "begun")]
+    ResponseStreaming {
+        /// The request.
+        #[serde(borrow, rename = "call")]
+        request: Cow<'a, str>,
+        /// The worker.
         worker: Cow<'a, str>,
+        /// The attempt.
         #[serde(default, rename = "try")]
         attempt: u32,
     },
-    Verdict(#[serde(borrow)] Verdict<'a>),
-    Lapsed {
-        #[serde(borrow)]
-        call: Cow<'a, str>,
+    /// An attempt ended.
+    #[serde(rename = "verdict")]
+    AttemptEnded(#[serde(borrow)] AttemptEndMessage<'a>),
+    /// A client has disconnected.
+    #[serde(rename = "lapsed")]
+    ClientDisconnected {
+        /// The request.
+        #[serde(borrow, rename = "call")]
+        request: Cow<'a, str>,
     },
-    #[serde(rename_all = "camelCase")]
-    PingResult {
+    /// A probe ended.
+    #[serde(rename = "pingResult")]
+    ProbeEnded {
+        /// The worker.
         #[serde(borrow)]
         worker: Cow<'a, str>,
-        #[serde(default)]
-        result: u8,
-        #[serde(default)]
-        metrics: Vec<f64>,
+        /// How it ended.
+        #[serde(default, rename = "result")]
+        outcome: u8,
+        /// The worker's load report.
+        #[serde(default, rename = "metrics")]
+        load_report: Vec<f64>,
     },
-    Wakeup {
-        handle: u64,
+    /// A timer has fired.
+    #[serde(rename = "wakeup")]
+    Timer {
+        /// Its token.
+        #[serde(rename = "handle")]
+        token: u64,
     },
-    Memo {},
+    /// A note that needs no action.
+    #[serde(rename = "memo")]
+    Note {},
 }
 
-/// A request.
+/// A request that arrives.
 #[derive(Deserialize)]
-pub struct Inbound<'a> {
-    #[serde(borrow)]
-    pub call: Cow<'a, str>,
-    #[serde(default)]
-    pub grade: usize,
-    pub due: i64,
-    #[serde(default)]
-    pub cost: Option<i64>,
-    #[serde(default)]
-    pub width: Option<f64>,
-    #[serde(default)]
-    pub resent: bool,
-    #[serde(borrow, default)]
-    pub object: Option<Cow<'a, str>>,
+pub struct ArrivalMessage<'a> {
+    /// Its name.
+    #[serde(borrow, rename = "call")]
+    pub request: Cow<'a, str>,
+    /// Its class.
+    #[serde(default, rename = "grade")]
+    pub class: usize,
+    /// When the client stops waiting, in microseconds.
+    #[serde(rename = "due")]
+    pub deadline: i64,
+    /// Its expected running time, in microseconds.
+    #[serde(default, rename = "cost")]
+    pub work_hint: Option<i64>,
+    /// The slots that it takes.
+    #[serde(default, rename = "width")]
+    pub slots: Option<f64>,
+    /// The client marks it as a retry.
+    #[serde(default, rename = "resent")]
+    pub is_retry: bool,
+    /// What it is about.
+    #[serde(borrow, default, rename = "object")]
+    pub affinity_key: Option<Cow<'a, str>>,
 }
 
 /// The end of an attempt.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub struct Verdict<'a> {
-    #[serde(borrow)]
-    pub call: Cow<'a, str>,
+pub struct AttemptEndMessage<'a> {
+    /// The request.
+    #[serde(borrow, rename = "call")]
+    pub request: Cow<'a, str>,
+    /// The attempt.
     #[serde(default, rename = "try")]
     pub attempt: u32,
-    pub result: u8,
-    #[serde(default)]
-    pub wait_time: i64,
+    /// How it ended.
+    #[serde(rename = "result")]
+    pub outcome: u8,
+    /// The time since it was sent, in microseconds.
+    #[serde(default, rename = "waitTime")]
+    pub elapsed: i64,
+    /// The worker.
     pub worker: Cow<'a, str>,
-    #[serde(default)]
-    pub over: bool,
-    #[serde(default)]
-    pub metrics: Vec<f64>,
+    /// The request has its final answer.
+    #[serde(default, rename = "over")]
+    pub request_concluded: bool,
+    /// The worker's load report.
+    #[serde(default, rename = "metrics")]
+    pub load_report: Vec<f64>,
 }
 
-/// A line of the worker list.
+/// A worker of a worker list.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub struct Row<'a> {
-    #[serde(borrow)]
-    pub worker: Cow<'a, str>,
-    #[serde(default)]
-    pub group: u64,
+pub struct WorkerRow<'a> {
+    /// Its name.
+    #[serde(borrow, rename = "worker")]
+    pub name: Cow<'a, str>,
+    /// Its cell.
+    #[serde(default, rename = "group")]
+    pub cell: u64,
+    /// The state of its process.
     #[serde(default)]
     pub lifecycle: u8,
-    #[serde(default)]
-    pub born: i64,
-    #[serde(default)]
-    pub machine: usize,
-    #[serde(default)]
-    pub region_part: usize,
-    #[serde(default = "one")]
-    pub rating: f64,
+    /// When it last started, in microseconds; 0 for long ago.
+    #[serde(default, rename = "born")]
+    pub started_at: i64,
+    /// Its kind of machine.
+    #[serde(default, rename = "machine")]
+    pub kind: usize,
+    /// Its zone.
+    #[serde(default, rename = "regionPart")]
+    pub zone: usize,
+    /// Its capacity, relative to other workers.
+    #[serde(default = "default_weight", rename = "rating")]
+    pub weight: f64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
 /// The reply to a batch.
 #[derive(Serialize)]
 pub struct Reply {
-    pub dispatchers: Vec<Outbox>,
+    /// The instances that act.
+    #[serde(rename = "dispatchers")]
+    pub groups: Vec<CommandGroup>,
 }
 
 /// The actions of one instance.
 #[derive(Serialize)]
-pub struct Outbox {
-    pub dispatcher: String,
-    pub outbox: Vec<Order>,
+pub struct CommandGroup {
+    /// Its name.
+    #[serde(rename = "dispatcher")]
+    pub instance: String,
+    /// In the order in which they are to be carried out.
+    #[serde(rename = "outbox")]
+    pub commands: Vec<Command>,
 }
 
 /// One action.
 #[derive(Serialize)]
-#[serde(rename_all = "camelCase")]
-pub enum Order {
-    Relay {
-        call: String,
+pub enum Command {
+    /// Begin an attempt.
+    #[serde(rename = "relay")]
+    Send {
+        /// The request.
+        #[serde(rename = "call")]
+        request: String,
+        /// In microseconds; 0 for the request's deadline.
         timeout: i64,
+        /// The worker.
         worker: String,
     },
+    /// Withdraw an attempt.
+    #[serde(rename = "cancel")]
     Cancel {
-        call: String,
+        /// The request.
+        #[serde(rename = "call")]
+        request: String,
+        /// The attempt.
         #[serde(rename = "try")]
         attempt: u32,
     },
-    #[serde(rename_all = "camelCase")]
-    TurnAway {
-        call: String,
-        retry_in: i64,
+    /// Answer a request: not executed.
+    #[serde(rename = "turnAway")]
+    Reject {
+        /// The request.
+        #[serde(rename = "call")]
+        request: String,
+        /// In microseconds.
+        #[serde(rename = "retryIn")]
+        retry_after: i64,
     },
-    Error {
-        call: String,
+    /// Answer a request: failed.
+    #[serde(rename = "error")]
+    Fail {
+        /// The request.
+        #[serde(rename = "call")]
+        request: String,
     },
-    Test {
+    /// Probe a worker.
+    #[serde(rename = "test")]
+    Probe {
+        /// The worker.
         worker: String,
     },
-    #[serde(rename_all = "camelCase")]
-    Sleep {
-        sleep_for: i64,
-        handle: u64,
+    /// Set a timer.
+    #[serde(rename = "sleep")]
+    SetTimer {
+        /// In microseconds.
+        #[serde(rename = "sleepFor")]
+        delay: i64,
+        /// Comes back when it fires.
+        #[serde(rename = "handle")]
+        token: u64,
     },
-    StreamChanges {
+    /// Subscribe to changes of the worker list.
+    #[serde(rename = "streamChanges")]
+    WatchWorkerList {
+        /// Always true.
         enable: bool,
     },
-    Record {
+    /// Write a log line.
+    #[serde(rename = "record")]
+    Log {
+        /// The line.
         text: String,
     },
 }
--- a/crates/simulator/tests/binary.rs
+++ b/crates/simulator/tests/binary.rs
@@ -1,4 +1,4 @@
-//! Runs the adapter's binary on small hand-written batches.
+//! Runs the program on small hand-written batches.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -21,7 +21,7 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
+        .expect("the program starts");
     child.stdin.take().expect("a pipe").write_all(input.as_bytes()).expect("it reads");
     child.wait_with_output().expect("it ends")
 }
@@ -30,17 +30,17 @@
     format!(r#"{{"simTime":{time},"dispatchers":[{{"dispatcher":"{name}","arrivals":[{events}]}}]}}"#) + "\n"
 }
 
-fn inbound(call: &str, due: u64) -> String {
-    format!(r#"{{"inbound":{{"call":"{call}","grade":0,"due":{due},"cost":50000,"width":1}}}}"#)
+fn arrival(request: &str, deadline: u64) -> String {
+    format!(r#"{{"inbound":{{"call":"{request}","grade":0,"due":{deadline},"cost":50000,"width":1}}}}"#)
 }
 
 #[test]
-fn a_request_is_relayed_and_its_outcome_taken() {
+fn request_is_sent_and_its_outcome_accepted() {
     let mut input = String::from("{\"simTime\":1,\"dispatchers\":[]}\n");
-    input += &batch(1000, "dispatcher-0", &format!("{CREATE},{LIST},{}", inbound("r-one", 5_001_000)));
-    let verdict =
+    input += &batch(1000, "dispatcher-0", &format!("{CREATE},{LIST},{}", arrival("r-one", 5_001_000)));
+    let attempt_ended =
         r#"{"verdict":{"call":"r-one","try":0,"result":0,"waitTime":90000,"worker":"worker_b","over":true}}"#;
-    input += &batch(91_000, "dispatcher-0", verdict);
+    input += &batch(91_000, "dispatcher-0", attempt_ended);
     input += &batch(92_000, "dispatcher-0", r#"{"lapsed":{"call":"r-one"}},{"wakeup":{"handle":77}}"#);
     let output = run(&input);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
@@ -48,15 +48,15 @@
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len(), 4);
     assert_eq!(lines[0], r#"{"dispatchers":[]}"#);
-    let relay = r#"{"relay":{"call":"r-one","timeout":0,"worker":"worker_b"}}"#;
-    assert!(lines[1].contains(relay), "{}", lines[1]);
+    let send = r#"{"relay":{"call":"r-one","timeout":0,"worker":"worker_b"}}"#;
+    assert!(lines[1].contains(send), "{}", lines[1]);
     assert!(!lines[2].contains("r-one"), "{}", lines[2]);
     assert!(!lines[3].contains("r-one"), "{}", lines[3]);
 }
 
 #[test]
-fn an_instance_acts_alike_beside_another() {
-    let own = |name: &str| batch(1000, name, &format!("{CREATE},{LIST},{}", inbound("r-x", 5_001_000)));
+fn instance_acts_the_same_beside_another() {
+    let own = |name: &str| batch(1000, name, &format!("{CREATE},{LIST},{}", arrival("r-x", 5_001_000)));
     let alone = run(&own("dispatcher-1"));
     let both = run(&(own("dispatcher-0") + &own("dispatcher-1")));
     let text = String::from_utf8(both.stdout).expect("UTF-8");
@@ -65,9 +65,9 @@
 }
 
 #[test]
-fn a_malformed_line_ends_it_with_a_message() {
-    for bad in ["not json", r#"{"simTime":"late","dispatchers":[]}"#, r#"{"simTime":1}"#] {
-        let output = run(&format!("{{\"simTime\":1,\"dispatchers\":[]}}\n{bad}\n"));
+fn malformed_line_ends_the_program_with_a_message() {
+    for malformed in ["not json", r#"{"simTime":"late","dispatchers":[]}"#, r#"{"simTime":1}"#] {
+        let output = run(&format!("{{\"simTime\":1,\"dispatchers\":[]}}\n{malformed}\n"));
         assert!(!output.status.success());
         let message = String::from_utf8_lossy(&output.stderr);
         assert!(message.contains("line 2"), "{message}");
@@ -75,8 +75,8 @@
 }
 
 #[test]
-fn a_killed_instance_is_forgotten() {
-    let mut input = batch(1000, "dispatcher-0", &format!("{CREATE},{LIST},{}", inbound("r-one", 5_001_000)));
+fn killed_instance_is_forgotten() {
+    let mut input = batch(1000, "dispatcher-0", &format!("{CREATE},{LIST},{}", arrival("r-one", 5_001_000)));
     input += &batch(2000, "dispatcher-0", &format!(r#"{{"kill":{{}}}},{CREATE},{LIST}"#));
     input += &batch(3000, "dispatcher-0", r#"{"lapsed":{"call":"r-one"}}"#);
     let output = run(&input);
