--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -1,17 +1,17 @@
-//! Small builders that the tests share.
+//! Builders and a harness that the tests share.
 #![allow(dead_code)]
 
 use sorrelhaven_dispatcher::*;
 
 pub const MS: Micros = 1_000;
-pub const S: Micros = 1_000_000;
+pub const SEC: Micros = 1_000_000;
 
-pub fn class(effect: Idempotency) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
-        idempotency: effect,
+        idempotency,
         latency_objective: 200 * MS,
         objective_stretch: 2.5,
-        deadline: 5 * S,
+        deadline: 5 * SEC,
         priority_weight: 1.0,
         late_fraction: 0.0,
         worker_kind: None,
@@ -19,10 +19,10 @@
 }
 
 pub fn keyed(scope: Scope) -> Idempotency {
-    Idempotency::Keyed { scope, window: 3 * S }
+    Idempotency::Keyed { scope, window: 3 * SEC }
 }
 
-/// Class 0 is safe, 1 unsafe, 2 keyed within a zone, 3 keyed everywhere, 4 keyed within a cell.
+/// Class 0 is idempotent, 1 not idempotent, 2 keyed within a zone, 3 keyed everywhere, 4 keyed within a cell.
 pub fn settings() -> Settings {
     Settings {
         instance: 0,
@@ -43,15 +43,15 @@
             hedging: false,
             cancel: true,
             probes: false,
-            max_retry_after: 2 * S,
+            max_retry_after: 2 * SEC,
             connect_timeout: 250 * MS,
             rejection_may_have_run: false,
         },
         slow_start: SlowStartRules {
             initial_capacity: 0.2,
-            duration: 10 * S,
+            duration: 10 * SEC,
             overload_factor: 3.0,
-            overload_window: 2 * S,
+            overload_window: 2 * SEC,
         },
         penalties: Penalties::default(),
         marks_retry: true,
@@ -64,112 +64,136 @@
     }
 }
 
-pub fn entry(n: u32) -> WorkerEntry {
+/// A ready worker; those of an even number are in zone 0, the others in zone 1.
+pub fn entry(number: u32) -> WorkerEntry {
     WorkerEntry {
-        worker: WorkerId(n),
-        name_hash: u64::from(n) * 7919 % 101,
+        worker: WorkerId(number),
+        name_hash: u64::from(number) * 7919 % 101,
         lifecycle: Lifecycle::Ready,
         started_at: 0,
         kind: 0,
-        zone: (n % 2) as usize,
-        cell: u64::from(n % 3),
+        zone: (number % 2) as usize,
+        cell: u64::from(number % 3),
         weight: 1.0,
     }
 }
 
-/// A first try without a key, whose body can be sent again.
-pub fn arrival(request: RequestId, class: usize, due: Micros, hint: Micros) -> Arrival {
-    let (hint, width) = (Some(hint), 1.0);
+/// The first attempt of a request without a key, whose body can be sent.
+pub fn arrival(request: RequestId, class: usize, deadline: Micros, work_hint: Micros) -> Arrival {
     Arrival {
         request,
         class,
-        deadline: due,
-        work_hint: hint,
-        slots: width,
+        deadline,
+        work_hint: Some(work_hint),
+        slots: 1.0,
         is_retry: false,
         affinity_key: 0,
         body_sendable: true,
     }
 }
 
-/// A dispatcher with its host's side of the story.
-pub struct Desk {
+/// A complete worker list.
+pub fn full_list(entries: impl IntoIterator<Item = WorkerEntry>) -> Event {
+    Event::WorkerList(WorkerListUpdate::Full(entries.into_iter().collect()))
+}
+
+/// Changed entries of the worker list.
+pub fn list_delta(entries: impl IntoIterator<Item = WorkerEntry>) -> Event {
+    Event::WorkerList(WorkerListUpdate::Delta(entries.into_iter().collect()))
+}
+
+/// The end of an attempt without a load report; the request has its final answer if it was served.
+pub fn attempt_ended(
+    request: RequestId,
+    (worker, attempt): (WorkerId, u32),
+    outcome: Outcome,
+    elapsed: Micros,
+) -> Event {
+    Event::AttemptEnded {
+        request,
+        attempt,
+        worker,
+        outcome,
+        elapsed,
+        request_concluded: outcome == Outcome::Ok,
+        load_report: Vec::new(),
+    }
+}
+
+/// A dispatcher, and the numbers of its requests.
+pub struct DispatcherHarness {
     pub dispatcher: Dispatcher,
-    pub next: u64,
+    pub next_request: u64,
 }
 
-impl Desk {
+impl DispatcherHarness {
+    /// With so many ready workers.
     pub fn new(settings: Settings, workers: u32) -> Self {
-        let mut desk = Desk { dispatcher: Dispatcher::new(settings, 7), next: 0 };
-        desk.tell(0, Event::WorkerList(WorkerListUpdate::Full((0..workers).map(entry).collect())));
-        desk
+        let mut harness = DispatcherHarness::without_workers(settings, 7);
+        harness.dispatch(0, full_list((0..workers).map(entry)));
+        harness
+    }
+
+    pub fn without_workers(settings: Settings, seed: u64) -> Self {
+        DispatcherHarness { dispatcher: Dispatcher::new(settings, seed), next_request: 0 }
     }
 
-    pub fn tell(&mut self, now: Micros, event: Event) -> Vec<Action> {
+    pub fn dispatch(&mut self, now: Micros, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.dispatcher.handle(now, event, &mut actions);
         actions
     }
 
-    /// The id of its next request.
-    pub fn request(&mut self) -> RequestId {
-        self.next += 1;
-        RequestId(self.next - 1)
+    /// The id of the next request.
+    pub fn next_id(&mut self) -> RequestId {
+        self.next_request += 1;
+        RequestId(self.next_request - 1)
     }
 
-    pub fn arrive(&mut self, now: Micros, class: usize, hint: Micros) -> (RequestId, Vec<Action>) {
-        let request = self.request();
-        (request, self.tell(now, Event::Arrival(arrival(request, class, now + 5 * S, hint))))
+    /// A request arrives whose client waits for 5 s.
+    pub fn arrive(&mut self, now: Micros, class: usize, work_hint: Micros) -> (RequestId, Vec<Action>) {
+        let request = self.next_id();
+        let arrival = arrival(request, class, now + 5 * SEC, work_hint);
+        (request, self.dispatch(now, Event::Arrival(arrival)))
     }
 
-    pub fn end(
+    /// A request of class 0 and 100 ms arrives with an affinity key; the worker it is sent to, if it is.
+    pub fn arrive_with_key(&mut self, now: Micros, affinity_key: u64) -> Option<WorkerId> {
+        let request = self.next_id();
+        let arrival = Arrival { affinity_key, ..arrival(request, 0, now + 5 * SEC, 100 * MS) };
+        sends(&self.dispatch(now, Event::Arrival(arrival))).first().map(|send| send.1)
+    }
+
+    /// An attempt ends after 10 ms.
+    pub fn end_attempt(
         &mut self,
         now: Micros,
         request: RequestId,
         sent: (WorkerId, u32),
         outcome: Outcome,
     ) -> Vec<Action> {
-        let (worker, attempt) = sent;
-        let (closed, report) = (outcome == Outcome::Ok, Vec::new());
-        self.tell(
-            now,
-            Event::AttemptEnded {
-                request,
-                attempt,
-                worker,
-                outcome,
-                elapsed: 10 * MS,
-                request_concluded: closed,
-                load_report: report,
-            },
-        )
+        self.dispatch(now, attempt_ended(request, sent, outcome, 10 * MS))
     }
 
-    /// Sends a job and has it served at `speed`; gives the worker that had it.
-    pub fn serve(&mut self, now: Micros, hint: Micros, speed: impl Fn(WorkerId) -> f64) -> Option<WorkerId> {
-        let (request, actions) = self.arrive(now, 0, hint);
-        let worker = sends(&actions).first().map(|s| s.1)?;
-        self.tell(now + MS, Event::AttemptStarted { request, attempt: 0, worker });
-        let took = (hint as f64 / speed(worker)) as Micros;
-        let (outcome, report) = (Outcome::Ok, Vec::new());
-        self.tell(
-            now + took,
-            Event::AttemptEnded {
-                request,
-                attempt: 0,
-                worker,
-                outcome,
-                elapsed: took,
-                request_concluded: true,
-                load_report: report,
-            },
-        );
+    /// Sends a job that is served by a worker of this speed; the worker that got it, if one did.
+    pub fn serve(
+        &mut self,
+        now: Micros,
+        work_hint: Micros,
+        speed: impl Fn(WorkerId) -> f64,
+    ) -> Option<WorkerId> {
+        let (request, actions) = self.arrive(now, 0, work_hint);
+        let worker = sends(&actions).first().map(|send| send.1)?;
+        self.dispatch(now + MS, Event::AttemptStarted { request, attempt: 0, worker });
+        let elapsed = (work_hint as f64 / speed(worker)) as Micros;
+        self.dispatch(now + elapsed, attempt_ended(request, (worker, 0), Outcome::Ok, elapsed));
         Some(worker)
     }
 }
 
+/// The requests that were sent, and to which workers.
 pub fn sends(actions: &[Action]) -> Vec<(RequestId, WorkerId)> {
-    let send = |a: &Action| match a {
+    let send = |action: &Action| match action {
         Action::Send { request, worker, .. } => Some((*request, *worker)),
         _ => None,
     };
--- a/crates/dispatcher/tests/fleet.rs
+++ b/crates/dispatcher/tests/many_dispatchers.rs
@@ -22,7 +22,7 @@
 
 /// All of them, and what was sent to each worker.
 struct Fleet {
-    nodes: Vec<Desk>,
+    nodes: Vec<DispatcherHarness>,
     due: BinaryHeap<Reverse<(Micros, usize, Due)>>,
     rng: fastrand::Rng,
     born: BTreeMap<u32, Micros>,
@@ -35,8 +35,8 @@
         let nodes = (0..NODES).map(|me| {
             let rules = SlowStartRules {
                 initial_capacity: 0.12,
-                duration: 24 * S,
-                overload_window: S,
+                duration: 24 * SEC,
+                overload_window: SEC,
                 ..settings().slow_start
             };
             let settings = Settings {
@@ -46,7 +46,7 @@
                 slow_start: rules,
                 ..settings()
             };
-            Desk { dispatcher: Dispatcher::new(settings, 1000 + me as u64), next: 0 }
+            DispatcherHarness::without_workers(settings, 1000 + me as u64)
         });
         let mut fleet = Fleet {
             nodes: nodes.collect(),
@@ -58,7 +58,7 @@
         };
         let list: Vec<WorkerEntry> = (0..WORKERS).map(|n| fleet.entry(n)).collect();
         for node in 0..NODES {
-            fleet.tell(0, node, Event::WorkerList(WorkerListUpdate::Full(list.clone())));
+            fleet.dispatch(0, node, Event::WorkerList(WorkerListUpdate::Full(list.clone())));
             let first = fleet.rng.i64(0..200 * MS);
             fleet.due.push(Reverse((first, node, Due::Arrival)));
         }
@@ -75,17 +75,17 @@
         self.born.insert(n, now);
         self.free[n as usize].fill(now);
         for node in 0..NODES {
-            self.tell(now, node, Event::WorkerList(WorkerListUpdate::Delta(vec![self.entry(n)])));
+            self.dispatch(now, node, list_delta([self.entry(n)]));
         }
     }
 
     fn warmth(&self, now: Micros, n: u32) -> f64 {
         let age = self.born.get(&n).map_or(Micros::MAX, |born| now - born);
-        (0.12 + 0.88 * age as f64 / (24 * S) as f64).min(1.0)
+        (0.12 + 0.88 * age as f64 / (24 * SEC) as f64).min(1.0)
     }
 
-    fn tell(&mut self, now: Micros, node: usize, event: Event) {
-        for action in self.nodes[node].tell(now, event) {
+    fn dispatch(&mut self, now: Micros, node: usize, event: Event) {
+        for action in self.nodes[node].dispatch(now, event) {
             match action {
                 Action::Send { request, worker, .. } => {
                     let size = self.size(node, request);
@@ -121,30 +121,30 @@
             }
             match due {
                 Due::Arrival => {
-                    let request = RequestId(self.nodes[node].next);
-                    self.nodes[node].next += 1;
+                    let request = RequestId(self.nodes[node].next_request);
+                    self.nodes[node].next_request += 1;
                     let hint = Some((self.size(node, request) * 1e6) as Micros);
                     let (class, width, resent, key, sendable) = (1, 1.0, false, 0, true);
                     let arrival = Arrival {
                         request,
                         class,
-                        deadline: now + 5 * S,
+                        deadline: now + 5 * SEC,
                         work_hint: hint,
                         slots: width,
                         is_retry: resent,
                         affinity_key: key,
                         body_sendable: sendable,
                     };
-                    self.tell(now, node, Event::Arrival(arrival));
+                    self.dispatch(now, node, Event::Arrival(arrival));
                     let gap = self.rng.i64(MS..500 * MS);
                     self.due.push(Reverse((now + gap, node, Due::Arrival)));
                 }
                 Due::Started(request, attempt, worker) => {
-                    self.tell(now, node, Event::AttemptStarted { request, attempt, worker })
+                    self.dispatch(now, node, Event::AttemptStarted { request, attempt, worker })
                 }
                 Due::Done(request, attempt, worker, took) => {
                     let (outcome, closed, report) = (Outcome::Ok, true, Vec::new());
-                    self.tell(
+                    self.dispatch(
                         now,
                         node,
                         Event::AttemptEnded {
@@ -158,7 +158,7 @@
                         },
                     )
                 }
-                Due::Timer(token) => self.tell(now, node, Event::Timer(token)),
+                Due::Timer(token) => self.dispatch(now, node, Event::Timer(token)),
             }
         }
     }
@@ -176,25 +176,26 @@
 fn a_hundred_nodes_share_a_cold_worker_without_a_word() {
     for cold in [vec![7], (0..WORKERS).filter(|n| n % 5 < 3).collect::<Vec<_>>()] {
         let mut fleet = Fleet::new();
-        fleet.run(8 * S);
+        fleet.run(8 * SEC);
         for (i, &n) in cold.iter().enumerate() {
-            let at = 8 * S + i as Micros * 200 * MS;
+            let at = 8 * SEC + i as Micros * 200 * MS;
             fleet.run(at);
             fleet.restart(at, n);
         }
-        let last = 8 * S + cold.len() as Micros * 200 * MS;
-        fleet.run(last + 10 * S);
+        let last = 8 * SEC + cold.len() as Micros * 200 * MS;
+        fleet.run(last + 10 * SEC);
         let (mut most, mut room) = (0.0_f64, 0.0);
         for &n in &cold {
             let born = fleet.born[&n];
-            for at in (born..last + 9 * S).step_by(100_000) {
-                let share = fleet.work(|w| w == n, at, at + S) / (CORES * fleet.warmth(at, n));
+            for at in (born..last + 9 * SEC).step_by(100_000) {
+                let share = fleet.work(|w| w == n, at, at + SEC) / (CORES * fleet.warmth(at, n));
                 most = most.max(share);
             }
-            room += (born + 4 * S..last + 9 * S).step_by(1_000_000).map(|t| fleet.warmth(t, n)).sum::<f64>();
+            room +=
+                (born + 4 * SEC..last + 9 * SEC).step_by(1_000_000).map(|t| fleet.warmth(t, n)).sum::<f64>();
         }
         let used: f64 =
-            cold.iter().map(|&n| fleet.work(|w| w == n, fleet.born[&n] + 4 * S, last + 9 * S)).sum();
+            cold.iter().map(|&n| fleet.work(|w| w == n, fleet.born[&n] + 4 * SEC, last + 9 * SEC)).sum();
         assert!(most < 3.0, "a window of 1 s held {most} times what a worker could do");
         // One cold worker is the slowest place of an idle fleet, and is rightly left alone at first.
         let least = if cold.len() > 1 { 0.3 } else { 0.0 };
@@ -212,12 +213,12 @@
     for me in 0..NODES {
         let zone = me % 3;
         let settings = Settings { instance: me as u32, instances: NODES as u32, zone, ..settings() };
-        let mut desk = Desk { dispatcher: Dispatcher::new(settings, me as u64), next: 0 };
+        let mut harness = DispatcherHarness::without_workers(settings, me as u64);
         let of = |n: u32| WorkerEntry { zone: (n % 3) as usize, name_hash: u64::from(n) * 7919, ..entry(n) };
-        desk.tell(0, Event::WorkerList(WorkerListUpdate::Full((0..WORKERS).map(of).collect())));
+        harness.dispatch(0, full_list((0..WORKERS).map(of)));
         for key in 1..40 {
-            let (request, now) = (RequestId(key), key as Micros * S);
-            let (due, hint) = (now + 5 * S, Some(300 * MS));
+            let (request, now) = (RequestId(key), key as Micros * SEC);
+            let (due, hint) = (now + 5 * SEC, Some(300 * MS));
             let arrival = Arrival {
                 request,
                 class: 1,
@@ -228,13 +229,13 @@
                 affinity_key: key,
                 body_sendable: true,
             };
-            let sent = sends(&desk.tell(now, Event::Arrival(arrival)));
+            let sent = sends(&harness.dispatch(now, Event::Arrival(arrival)));
             let worker = sent[0].1;
             *places.entry((zone, key)).or_default().entry(worker.0).or_default() += 1;
             crossed += usize::from(worker.0 as usize % 3 != zone);
             all += 1;
             let (attempt, outcome, took, report) = (0, Outcome::Ok, 200 * MS, Vec::new());
-            desk.tell(now + MS, Event::AttemptStarted { request, attempt, worker });
+            harness.dispatch(now + MS, Event::AttemptStarted { request, attempt, worker });
             let done = Event::AttemptEnded {
                 request,
                 attempt,
@@ -244,7 +245,7 @@
                 request_concluded: true,
                 load_report: report,
             };
-            desk.tell(now + took, done);
+            harness.dispatch(now + took, done);
         }
     }
     let used: usize = places.values().map(|p| p.len()).sum();
@@ -257,16 +258,16 @@
 /// worker that is cold meanwhile gets work from them, and under three times what it can do at present.
 #[test]
 fn two_modules_of_one_node_keep_a_cold_worker_within_its_room() {
-    const COLD: Micros = 10 * S;
+    const COLD: Micros = 10 * SEC;
     let rules = SlowStartRules {
         initial_capacity: 0.2,
         duration: COLD,
         overload_factor: 3.0,
-        overload_window: 2 * S,
+        overload_window: 2 * SEC,
     };
     let node = |seed| {
         let settings = Settings { instances: 1, slow_start: rules.clone(), ..settings() };
-        Desk { dispatcher: Dispatcher::new(settings, seed), next: seed << 32 }
+        DispatcherHarness { dispatcher: Dispatcher::new(settings, seed), next_request: seed << 32 }
     };
     let mut nodes = [node(1), node(2)];
     let list = |born| -> Vec<WorkerEntry> {
@@ -278,22 +279,22 @@
     let (size, gap) = (200 * MS, 200 * MS / 14);
     let (mut rng, mut sent, mut due) = (fastrand::Rng::with_seed(5), Vec::new(), BTreeMap::new());
     let mut free = [[0; 4]; 4];
-    let warmth = |now: Micros| (0.2 + 0.8 * (now - 5 * S) as f64 / COLD as f64).clamp(0.2, 1.0);
-    nodes.iter_mut().for_each(|n| _ = n.tell(0, Event::WorkerList(WorkerListUpdate::Full(list(0)))));
+    let warmth = |now: Micros| (0.2 + 0.8 * (now - 5 * SEC) as f64 / COLD as f64).clamp(0.2, 1.0);
+    nodes.iter_mut().for_each(|n| _ = n.dispatch(0, Event::WorkerList(WorkerListUpdate::Full(list(0)))));
     let mut number = 0_u64;
-    for step in 0..(15 * S / gap) {
+    for step in 0..(15 * SEC / gap) {
         let now = step * gap;
-        if now >= 5 * S && now - gap < 5 * S {
+        if now >= 5 * SEC && now - gap < 5 * SEC {
             free[0].fill(now);
             nodes
                 .iter_mut()
-                .for_each(|n| _ = n.tell(now, Event::WorkerList(WorkerListUpdate::Delta(list(5 * S)))));
+                .for_each(|n| _ = n.dispatch(now, Event::WorkerList(WorkerListUpdate::Delta(list(5 * SEC)))));
         }
         let mut actions: Vec<(usize, Micros, Vec<Action>)> = Vec::new();
         let later = due.split_off(&(now + 1, 0));
         for ((at, _), (which, event)) in std::mem::replace(&mut due, later) {
-            let node: &mut Desk = &mut nodes[which];
-            actions.push((which, at, node.tell(at, event)));
+            let node: &mut DispatcherHarness = &mut nodes[which];
+            actions.push((which, at, node.dispatch(at, event)));
         }
         let which = rng.usize(0..2);
         let hint = rng.i64(size / 2..size * 3 / 2);
@@ -304,8 +305,8 @@
                 match action {
                     Action::Send { request, worker, .. } => {
                         let w = worker.0 as usize;
-                        let speed = if w == 0 && at >= 5 * S { warmth(at) } else { 1.0 };
-                        if w == 0 && at >= 5 * S {
+                        let speed = if w == 0 && at >= 5 * SEC { warmth(at) } else { 1.0 };
+                        if w == 0 && at >= 5 * SEC {
                             sent.push((at, size as f64));
                         }
                         let slot = (0..4).min_by_key(|&i| free[w][i]).unwrap_or(0);
@@ -338,13 +339,14 @@
         }
     }
     let mut most: f64 = 0.0;
-    for from in (5 * S..13 * S).step_by(50 * MS as usize) {
-        let in_window = sent.iter().filter(|s| (from..from + 2 * S).contains(&s.0)).map(|s| s.1).sum::<f64>();
+    for from in (5 * SEC..13 * SEC).step_by(50 * MS as usize) {
+        let in_window =
+            sent.iter().filter(|s| (from..from + 2 * SEC).contains(&s.0)).map(|s| s.1).sum::<f64>();
         // What it could do in the window, at its four slots, by the least warmth in it.
-        most = most.max(in_window / (4.0 * warmth(from) * 2.0 * S as f64));
+        most = most.max(in_window / (4.0 * warmth(from) * 2.0 * SEC as f64));
     }
     assert!(most < 3.0, "{most:.2} times what it could do");
-    let early = sent.iter().filter(|s| s.0 < 8 * S).count();
+    let early = sent.iter().filter(|s| s.0 < 8 * SEC).count();
     assert!(early >= 10, "{early} jobs in its first 3 s");
     println!(
         "at most {most:.2} times what it could do; {early} jobs in its first 3 s, {} in all",
--- a/crates/dispatcher/tests/mix.rs
+++ b/crates/dispatcher/tests/mixed_classes.rs
@@ -16,7 +16,7 @@
 const KEYS: usize = 300;
 const CHARGE: usize = 1;
 const HEAVY: usize = 2;
-const LIMIT: Micros = 5 * S;
+const LIMIT: Micros = 5 * SEC;
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Job {
@@ -52,7 +52,7 @@
 }
 
 struct World {
-    nodes: Vec<(Desk, u32, bool)>,
+    nodes: Vec<(DispatcherHarness, u32, bool)>,
     workers: Vec<Worker>,
     due: BinaryHeap<Reverse<(Micros, u64, Due)>>,
     open: BTreeMap<(usize, RequestId), Job>,
@@ -72,7 +72,7 @@
 
 /// The share of its pace that a worker has which started then.
 fn warmth(now: Micros, born: Micros) -> f64 {
-    let age = (now - born) as f64 / (24 * S) as f64;
+    let age = (now - born) as f64 / (24 * SEC) as f64;
     if born == 0 { 1.0 } else { (0.2 + 0.8 * age).min(1.0) }
 }
 
@@ -89,12 +89,12 @@
     classes
 }
 
-fn node(me: usize, life: u32) -> Desk {
+fn node(me: usize, life: u32) -> DispatcherHarness {
     let limits = Limits { cancel: false, ..settings().limits };
     let rules = SlowStartRules {
         initial_capacity: 0.2,
-        duration: 24 * S,
-        overload_window: S,
+        duration: 24 * SEC,
+        overload_window: SEC,
         ..settings().slow_start
     };
     let settings = Settings {
@@ -107,9 +107,9 @@
         ..settings()
     };
     let seed = 100 * u64::from(life) + me as u64;
-    let mut desk = Desk { dispatcher: Dispatcher::new(settings, seed), next: 0 };
-    desk.tell(0, Event::WorkerList(WorkerListUpdate::Full((0..WORKERS).map(of).collect())));
-    desk
+    let mut harness = DispatcherHarness::without_workers(settings, seed);
+    harness.dispatch(0, full_list((0..WORKERS).map(of)));
+    harness
 }
 
 impl World {
@@ -136,9 +136,9 @@
         self.due.push(Reverse((when, self.number, due)));
     }
 
-    fn tell(&mut self, now: Micros, node: usize, event: Event) {
+    fn dispatch(&mut self, now: Micros, node: usize, event: Event) {
         let life = self.nodes[node].1;
-        for action in self.nodes[node].0.tell(now, event) {
+        for action in self.nodes[node].0.dispatch(now, event) {
             match action {
                 Action::Send { request, worker, .. } => {
                     let job = self.open[&(node, request)];
@@ -175,7 +175,7 @@
             self.at(now + fetch + run, Due::Done(n, job, sent));
             if self.nodes[job.node].1 == job.life {
                 let (request, attempt, worker) = (job.request, 0, WorkerId(n));
-                self.tell(now, job.node, Event::AttemptStarted { request, attempt, worker });
+                self.dispatch(now, job.node, Event::AttemptStarted { request, attempt, worker });
             }
         }
     }
@@ -188,13 +188,13 @@
         let size = ((-mean * (1.0 - self.rng.f64()).ln()).clamp(20.0, 4.0 * mean) * 1e3) as Micros;
         // Keys are asked for as unevenly as 1/rank.
         let key = (KEYS as f64).powf(self.rng.f64()) as u64;
-        let request = self.nodes[node].0.request();
+        let request = self.nodes[node].0.next_id();
         let job = Job { node, life: self.nodes[node].1, request, class, size, affinity_key: key, born: now };
         self.open.insert((node, request), job);
-        self.worth.entry((class, now / S)).or_default().0 += size as f64;
+        self.worth.entry((class, now / SEC)).or_default().0 += size as f64;
         let key = key.wrapping_mul(0x2545_f491_4f6c_dd1d);
         let arrival = Arrival { affinity_key: key, ..arrival(request, class, now + LIMIT, size) };
-        self.tell(now, node, Event::Arrival(arrival));
+        self.dispatch(now, node, Event::Arrival(arrival));
     }
 
     fn run(&mut self, until: Micros) {
@@ -216,7 +216,7 @@
                     self.end(now, n, job, Outcome::Timeout, LIMIT);
                 }
                 Due::Timer(node, life, token) if self.nodes[node].1 == life => {
-                    self.tell(now, node, Event::Timer(token));
+                    self.dispatch(now, node, Event::Timer(token));
                 }
                 Due::Timer(..) => {}
             }
@@ -231,11 +231,11 @@
             let spec = &classes()[job.class];
             let aim = spec.latency_objective + (spec.objective_stretch * job.size as f64) as Micros;
             let part = if now - job.born <= aim { 1.0 } else { spec.late_fraction };
-            self.worth.entry((job.class, job.born / S)).or_default().1 += part * job.size as f64;
+            self.worth.entry((job.class, job.born / SEC)).or_default().1 += part * job.size as f64;
         }
         let (request, attempt, worker, report) = (job.request, 0, WorkerId(n), Vec::new());
         let closed = outcome == Outcome::Ok;
-        self.tell(
+        self.dispatch(
             now,
             job.node,
             Event::AttemptEnded {
@@ -274,12 +274,12 @@
         let left = WorkerEntry { lifecycle: Lifecycle::Draining, ..of(old) };
         for node in 0..NODES {
             let list = vec![left.clone(), WorkerEntry { started_at: now, ..of(new) }];
-            self.tell(now, node, Event::WorkerList(WorkerListUpdate::Delta(list)));
+            self.dispatch(now, node, Event::WorkerList(WorkerListUpdate::Delta(list)));
         }
     }
 
     fn served(&self, class: usize, from: Micros, to: Micros) -> f64 {
-        let within = self.worth.range((class, from / S)..(class, to / S));
+        let within = self.worth.range((class, from / SEC)..(class, to / SEC));
         let (asked, got) = within.fold((0.0, 0.0), |a, (_, w)| (a.0 + w.0, a.1 + w.1));
         got / asked
     }
@@ -290,8 +290,8 @@
 #[test]
 fn charges_get_their_share_among_heavier_jobs_that_fill_every_worker() {
     let mut world = World::new(2_800, 0.05);
-    world.run(25 * S);
-    let (charges, heavy) = (world.served(CHARGE, 2 * S, 18 * S), world.served(HEAVY, 2 * S, 18 * S));
+    world.run(25 * SEC);
+    let (charges, heavy) = (world.served(CHARGE, 2 * SEC, 18 * SEC), world.served(HEAVY, 2 * SEC, 18 * SEC));
     println!("charges {charges:.2}, heavy {heavy:.2}");
     assert!(charges >= 0.5, "{charges:.2} of the charges' worth");
     assert!(heavy >= 0.75, "{heavy:.2} of the heavy jobs' worth");
@@ -301,12 +301,12 @@
 #[test]
 fn charges_are_not_starved_while_survivors_of_a_herd_relearn() {
     let mut world = World::new(2_000, 0.5);
-    world.run(8 * S);
+    world.run(8 * SEC);
     world.kill(70);
-    world.run(11 * S);
+    world.run(11 * SEC);
     world.back(70);
-    world.run(28 * S);
-    let (before, after) = (world.served(CHARGE, 2 * S, 7 * S), world.served(CHARGE, 8 * S, 20 * S));
+    world.run(28 * SEC);
+    let (before, after) = (world.served(CHARGE, 2 * SEC, 7 * SEC), world.served(CHARGE, 8 * SEC, 20 * SEC));
     println!("charges {before:.2} before, {after:.2} from the kill on");
     assert!(after >= 0.5, "{after:.2} of the charges' worth");
 }
@@ -316,14 +316,14 @@
 #[test]
 fn charges_are_served_while_most_workers_start_cold() {
     let mut world = World::new(2_600, 0.5);
-    world.run(8 * S);
+    world.run(8 * SEC);
     for n in 0..WORKERS * 6 / 10 {
-        let now = 8 * S + Micros::from(n) * 7 * S / 36;
+        let now = 8 * SEC + Micros::from(n) * 7 * SEC / 36;
         world.run(now);
         world.replace(now, n);
     }
-    world.run(30 * S);
-    let (charges, heavy) = (world.served(CHARGE, 9 * S, 24 * S), world.served(HEAVY, 9 * S, 24 * S));
+    world.run(30 * SEC);
+    let (charges, heavy) = (world.served(CHARGE, 9 * SEC, 24 * SEC), world.served(HEAVY, 9 * SEC, 24 * SEC));
     println!("charges {charges:.3}, heavy {heavy:.3} from the release on");
     assert!(charges >= 0.4, "{charges:.2} of the charges' worth");
     assert!(heavy >= 0.75, "{heavy:.2} of the heavy jobs' worth");
@@ -335,26 +335,26 @@
 fn a_third_that_falls_silent_and_comes_back_cold_is_used_again_soon() {
     let third = WORKERS / 3;
     let mut world = World::new(3_600, 0.3);
-    world.run(8 * S);
+    world.run(8 * SEC);
     for n in 0..third {
         world.workers[n as usize].silent = true;
     }
-    world.run(14 * S);
+    world.run(14 * SEC);
     // Those that ended take what they held with them; all nodes are told at once.
     for n in 0..third {
         let at = n as usize;
-        world.workers[at] = Worker { born: 14 * S, ..Worker::default() };
+        world.workers[at] = Worker { born: 14 * SEC, ..Worker::default() };
         world.due.retain(|due| !matches!(&due.0.2, Due::Done(of, ..) if *of == n));
         for node in 0..NODES {
-            let list = vec![WorkerEntry { started_at: 14 * S, ..of(n) }];
-            world.tell(14 * S, node, Event::WorkerList(WorkerListUpdate::Delta(list)));
+            let list = vec![WorkerEntry { started_at: 14 * SEC, ..of(n) }];
+            world.dispatch(14 * SEC, node, Event::WorkerList(WorkerListUpdate::Delta(list)));
         }
     }
-    world.run(18 * S);
+    world.run(18 * SEC);
     let used = (0..third).filter(|&n| world.workers[n as usize].begun > 0).count();
-    world.run(40 * S);
+    world.run(40 * SEC);
     let served = |from, to| [CHARGE, HEAVY].map(|class| world.served(class, from, to));
-    let (silent, after) = (served(9 * S, 14 * S), served(18 * S, 30 * S));
+    let (silent, after) = (served(9 * SEC, 14 * SEC), served(18 * SEC, 30 * SEC));
     println!("{silent:.2?} while a third is silent, {after:.2?} after, {used} of {third} used within 4 s");
     assert!(used == third as usize, "{used} of {third} have work again");
     assert!(silent.iter().all(|s| *s >= 0.4), "{silent:?} while a third is silent");
--- a/crates/dispatcher/tests/properties.rs
+++ b/crates/dispatcher/tests/random_event_orders.rs
@@ -60,7 +60,7 @@
 }
 
 struct World {
-    desk: Desk,
+    harness: DispatcherHarness,
     now: Micros,
     seen: BTreeMap<RequestId, Seen>,
     out: Vec<Out>,
@@ -70,8 +70,8 @@
 }
 
 impl World {
-    fn tell(&mut self, event: Event) {
-        let actions = self.desk.tell(self.now, event);
+    fn dispatch(&mut self, event: Event) {
+        let actions = self.harness.dispatch(self.now, event);
         for action in actions {
             self.obey(action);
         }
@@ -94,7 +94,7 @@
                 };
                 if let Some((first, at)) = r.ran {
                     assert!(same(first), "repeat outside its group");
-                    assert!(r.class == 0 || now - at <= 3 * S, "repeat outside its window");
+                    assert!(r.class == 0 || now - at <= 3 * SEC, "repeat outside its window");
                 }
                 self.out.push(Out { request, attempt: r.attempts, worker, sent: now, cancelled: false });
                 r.attempts += 1;
@@ -138,7 +138,7 @@
         }
         r.ended |= outcome == Outcome::Ok;
         let closed = r.ended;
-        self.tell(Event::AttemptEnded {
+        self.dispatch(Event::AttemptEnded {
             request: o.request,
             attempt: o.attempt,
             worker: o.worker,
@@ -158,7 +158,7 @@
             self.timers = later;
             let due: Vec<(Micros, u64)> = due;
             for (_, token) in due {
-                self.tell(Event::Timer(token));
+                self.dispatch(Event::Timer(token));
             }
             while let Some(i) = self.out.iter().position(|o| o.cancelled) {
                 self.end(i, Outcome::Cancelled);
@@ -175,13 +175,13 @@
     fn run(&mut self, step: Step) {
         match step {
             Step::Arrive { class, hint, left } => {
-                let request = RequestId(self.desk.next);
-                self.desk.next += 1;
+                let request = RequestId(self.harness.next_request);
+                self.harness.next_request += 1;
                 let due = self.now + left;
                 let seen = Seen { class, due, attempts: 0, ran: None, ended: false };
                 self.seen.insert(request, seen);
                 let hint = (hint != 0).then_some(hint);
-                self.tell(Event::Arrival(Arrival {
+                self.dispatch(Event::Arrival(Arrival {
                     request,
                     class,
                     deadline: due,
@@ -196,24 +196,24 @@
             Step::Start { pick } if !self.out.is_empty() => {
                 let o = &self.out[pick % self.out.len()];
                 let (request, attempt, worker) = (o.request, o.attempt, o.worker);
-                self.tell(Event::AttemptStarted { request, attempt, worker });
+                self.dispatch(Event::AttemptStarted { request, attempt, worker });
             }
             Step::Lapse { pick } if !self.seen.is_empty() => {
                 let id = RequestId((pick % self.seen.len()) as u64);
                 self.seen.get_mut(&id).expect("a known request").ended = true;
-                self.tell(Event::ClientDisconnected(id));
+                self.dispatch(Event::ClientDisconnected(id));
             }
             Step::List { worker, lifecycle, cold } => {
                 self.ready[worker as usize] = lifecycle == Lifecycle::Ready;
                 let born = if cold { self.now } else { 0 };
                 let entry = WorkerEntry { lifecycle, started_at: born, ..entry(worker) };
-                self.tell(Event::WorkerList(WorkerListUpdate::Delta(vec![entry])));
+                self.dispatch(list_delta([entry]));
             }
             Step::Stray { n } => {
-                self.tell(Event::Timer(n % 4));
-                self.tell(Event::ClientDisconnected(RequestId(u64::MAX - n % 9)));
+                self.dispatch(Event::Timer(n % 4));
+                self.dispatch(Event::ClientDisconnected(RequestId(u64::MAX - n % 9)));
                 let worker = WorkerId((n % 6) as u32);
-                self.tell(Event::AttemptStarted { request: RequestId(u64::MAX), attempt: 0, worker });
+                self.dispatch(Event::AttemptStarted { request: RequestId(u64::MAX), attempt: 0, worker });
             }
             Step::Pass { time } => self.pass(time),
             _ => {}
@@ -231,13 +231,13 @@
         .run(&steps, |(steps, full_proves)| {
             let mut settings = settings();
             settings.limits.rejection_may_have_run = !full_proves;
-            let desk = Desk::new(settings, 6);
+            let harness = DispatcherHarness::new(settings, 6);
             let (seen, out, timers) = (BTreeMap::new(), Vec::new(), Vec::new());
-            let mut world = World { desk, now: S, seen, out, timers, ready: [true; 6], full_proves };
+            let mut world = World { harness, now: SEC, seen, out, timers, ready: [true; 6], full_proves };
             for step in steps {
                 world.run(step);
             }
-            world.pass(6 * S);
+            world.pass(6 * SEC);
             assert!(world.seen.values().all(|r| r.ended), "a request was never answered");
             Ok(())
         })
--- a/crates/dispatcher/tests/untold.rs
+++ b/crates/dispatcher/tests/unreported_starts.rs
@@ -15,12 +15,12 @@
 const RENEWED: Micros = 700 * MS;
 /// Safe and short, safe and long, must not run twice: mean size, aim, stretch, patience and share of the requests.
 const KINDS: [(f64, Micros, f64, Micros, f64); 3] = [
-    (320e3, 150 * MS, 2.0, 5 * S, 0.37),
-    (1_900e3, S, 2.0, 25 * S, 0.32),
-    (160e3, 150 * MS, 1.5, 5 * S, 0.31),
+    (320e3, 150 * MS, 2.0, 5 * SEC, 0.37),
+    (1_900e3, SEC, 2.0, 25 * SEC, 0.32),
+    (160e3, 150 * MS, 1.5, 5 * SEC, 0.31),
 ];
 const ONCE: usize = 2;
-const COLD: Micros = 20 * S;
+const COLD: Micros = 20 * SEC;
 
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
@@ -58,7 +58,7 @@
 }
 
 struct World {
-    nodes: Vec<Desk>,
+    nodes: Vec<DispatcherHarness>,
     boxes: Vec<Box>,
     jobs: BTreeMap<(usize, RequestId), Job>,
     due: BinaryHeap<Reverse<(Micros, u64, Due)>>,
@@ -103,7 +103,7 @@
             let rules = SlowStartRules {
                 initial_capacity: 0.15,
                 duration: COLD,
-                overload_window: S,
+                overload_window: SEC,
                 ..settings().slow_start
             };
             let settings = Settings {
@@ -118,7 +118,7 @@
                 report_fields: ReportFields { util: Some(1), free_slots: Some(0) },
                 ..settings()
             };
-            Desk { dispatcher: Dispatcher::new(settings, seed + me as u64), next: 0 }
+            DispatcherHarness::without_workers(settings, seed + me as u64)
         };
         let mut world = World {
             nodes: (0..NODES).map(node).collect(),
@@ -135,7 +135,7 @@
         };
         for node in 0..NODES {
             let list = (0..WORKERS).map(|n| world.entry(0, n)).collect();
-            world.tell(0, node, Event::WorkerList(WorkerListUpdate::Cached(list)));
+            world.dispatch(0, node, Event::WorkerList(WorkerListUpdate::Cached(list)));
         }
         world.at(0, Due::Arrival);
         world.at(0, Due::Renew);
@@ -155,8 +155,8 @@
         self.due.push(Reverse((when, self.number, due)));
     }
 
-    fn tell(&mut self, now: Micros, node: usize, event: Event) {
-        for action in self.nodes[node].tell(now, event) {
+    fn dispatch(&mut self, now: Micros, node: usize, event: Event) {
+        for action in self.nodes[node].dispatch(now, event) {
             match action {
                 Action::Send { request, worker, .. } => self.sent(now, node, request, worker.0 as usize),
                 Action::SetTimer { delay, token } => self.at(now + delay, Due::Timer(node, token)),
@@ -228,7 +228,7 @@
         };
         let report = if free == 0.0 || outcome == Outcome::Ok { report } else { Vec::new() };
         let (closed, worker) = (job.over, WorkerId(n as u32));
-        self.tell(
+        self.dispatch(
             now,
             node,
             Event::AttemptEnded {
@@ -249,12 +249,12 @@
         let class = if draw < KINDS[0].4 { 0 } else { usize::from(draw >= KINDS[0].4 + KINDS[1].4) + 1 };
         let size = (-KINDS[class].0 * (1.0 - self.rng.f64()).ln()).clamp(20e3, 5.0 * KINDS[class].0);
         let hint = (size * (0.6 + 0.9 * self.rng.f64())) as Micros;
-        let request = self.nodes[node].request();
+        let request = self.nodes[node].next_id();
         let due = now + KINDS[class].3;
         let job = Job { class, size, born: now, sent: Vec::new(), ran: 0, over: false };
         self.jobs.insert((node, request), job);
         self.at(due, Due::GivenUp(node, request));
-        self.tell(now, node, Event::Arrival(arrival(request, class, due, hint)));
+        self.dispatch(now, node, Event::Arrival(arrival(request, class, due, hint)));
     }
 
     fn run(&mut self, until: Micros) {
@@ -285,12 +285,12 @@
                         let attempt = job.sent.len() as u32 - 1;
                         self.end(now, n, (node, request, attempt), Outcome::Timeout);
                     }
-                    self.tell(now, node, Event::ClientDisconnected(request));
+                    self.dispatch(now, node, Event::ClientDisconnected(request));
                     let job = self.jobs.get_mut(&(node, request)).expect("a request");
                     assert!(job.over || job.sent.is_empty() || job.ran > 0, "no answer in time");
                     job.over = true;
                 }
-                Due::Timer(node, token) => self.tell(now, node, Event::Timer(token)),
+                Due::Timer(node, token) => self.dispatch(now, node, Event::Timer(token)),
                 Due::Renew => {
                     for w in &mut self.boxes {
                         w.held.push_back((now, w.busy.len() + w.queue.len()));
@@ -308,7 +308,7 @@
         }
         for node in 0..NODES {
             let list = (0..WORKERS).map(|n| self.entry(now, n)).collect();
-            self.tell(now, node, Event::WorkerList(WorkerListUpdate::Delta(list)));
+            self.dispatch(now, node, Event::WorkerList(WorkerListUpdate::Delta(list)));
         }
     }
 
@@ -341,7 +341,7 @@
     fn pushed(&self) -> f64 {
         let mean: f64 = KINDS.iter().map(|k| k.0 * k.4).sum();
         let share = |w: &Box, from: Micros| {
-            let within = w.pressure.iter().filter(|p| (from..from + S).contains(&p.0));
+            let within = w.pressure.iter().filter(|p| (from..from + SEC).contains(&p.0));
             let n = 3.0 * SLOTS as f64 * warmth(from, w.born) * 1e6 / mean;
             within.map(|p| p.1).sum::<f64>() / mean / (n + 3.0 * n.sqrt() + 3.0)
         };
@@ -364,8 +364,8 @@
 #[test]
 fn what_waits_for_a_worker_that_tells_no_start_waits_at_its_dispatcher() {
     let mut world = World::new(1.15, 5);
-    world.run(45 * S);
-    let [short, long, once] = world.in_time(5 * S, 30 * S);
+    world.run(45 * SEC);
+    let [short, long, once] = world.in_time(5 * SEC, 30 * SEC);
     println!("in time {short:.2} {long:.2} {once:.2}, held at most {}", world.most_held);
     assert!(world.most_held <= SLOTS + NODES, "a worker held {}", world.most_held);
     assert!(short >= 0.4 && long >= 0.5 && once >= 0.4, "in time {short:.2} {long:.2} {once:.2}");
@@ -382,12 +382,12 @@
 #[test]
 fn a_quarter_that_dies_and_comes_back_cold_is_not_overrun_and_nothing_runs_twice() {
     let mut world = World::new(0.7, 6);
-    world.run(10 * S);
-    world.die(10 * S, 0..3);
-    world.run(18 * S);
-    world.back(18 * S, 0..3);
-    world.run(50 * S);
-    let ([short, long, once], pushed) = (world.in_time(11 * S, 35 * S), world.pushed());
+    world.run(10 * SEC);
+    world.die(10 * SEC, 0..3);
+    world.run(18 * SEC);
+    world.back(18 * SEC, 0..3);
+    world.run(50 * SEC);
+    let ([short, long, once], pushed) = (world.in_time(11 * SEC, 35 * SEC), world.pushed());
     println!("in time {short:.2} {long:.2} {once:.2}, pushed {pushed:.2}");
     assert!(pushed > 0.1 && pushed < 1.0, "a cold worker was sent {pushed:.2} of what it falls at");
     assert!(short >= 0.6 && long >= 0.7 && once >= 0.6, "in time {short:.2} {long:.2} {once:.2}");
@@ -399,17 +399,17 @@
 fn work_goes_on_while_discovery_is_out_for_half_of_the_day() {
     let mut world = World::new(0.5, 7);
     (world.silent, world.boxes[0].dead, world.boxes[1].dead, world.boxes[2].dead) = (true, true, true, true);
-    world.run(6 * S);
-    world.die(6 * S, 3..6);
-    world.run(15 * S);
-    world.back(15 * S, 0..6);
-    world.run(25 * S);
+    world.run(6 * SEC);
+    world.die(6 * SEC, 3..6);
+    world.run(15 * SEC);
+    world.back(15 * SEC, 0..6);
+    world.run(25 * SEC);
     world.silent = false;
-    world.run(50 * S);
-    let [short, long, once] = world.in_time(0, 25 * S);
+    world.run(50 * SEC);
+    let [short, long, once] = world.in_time(0, 25 * SEC);
     println!("in time {short:.2} {long:.2} {once:.2}");
     assert!(short >= 0.5 && long >= 0.6 && once >= 0.5, "in time {short:.2} {long:.2} {once:.2}");
-    let later = world.in_time(27 * S, 40 * S);
+    let later = world.in_time(27 * SEC, 40 * SEC);
     assert!(later.iter().all(|share| *share >= 0.8), "{later:?} once the list is back");
 }
 
@@ -421,30 +421,30 @@
         let rules = SlowStartRules {
             initial_capacity: 0.15,
             duration: COLD,
-            overload_window: S,
+            overload_window: SEC,
             ..settings().slow_start
         };
         let settings = Settings { weights_include_load: true, slow_start: rules, ..settings() };
-        let mut desk = Desk { dispatcher: Dispatcher::new(settings, 3), next: 0 };
+        let mut harness = DispatcherHarness::without_workers(settings, 3);
         let of = |n: u32, rating: f64| WorkerEntry { weight: rating, ..entry(n) };
-        desk.tell(0, Event::WorkerList(WorkerListUpdate::Full((0..6).map(|n| of(n, 3.0)).collect())));
-        let mut now = S;
+        harness.dispatch(0, Event::WorkerList(WorkerListUpdate::Full((0..6).map(|n| of(n, 3.0)).collect())));
+        let mut now = SEC;
         for _ in 0..40 {
-            desk.serve(now, 200 * MS, |_| 1.0);
+            harness.serve(now, 200 * MS, |_| 1.0);
             now += 300 * MS;
         }
         let mut list: Vec<WorkerEntry> = (1..6).map(|n| of(n, 3.0 / loaded)).collect();
         list.push(WorkerEntry { started_at: now, ..of(0, 3.0) });
-        desk.tell(now, Event::WorkerList(WorkerListUpdate::Delta(list)));
+        harness.dispatch(now, Event::WorkerList(WorkerListUpdate::Delta(list)));
         // The warm ones say nothing any more, and are soon full: only its budget holds the cold one back.
         let mut sent = 0;
         for n in 0..200 {
-            let (request, actions) = desk.arrive(now + n * 4 * MS, 1, 50 * MS);
+            let (request, actions) = harness.arrive(now + n * 4 * MS, 1, 50 * MS);
             if sends(&actions).iter().any(|s| s.1 == WorkerId(0)) {
                 sent += 1;
                 let (attempt, worker) = (0, WorkerId(0));
-                desk.tell(now + n * 4 * MS + MS, Event::AttemptStarted { request, attempt, worker });
-                desk.end(now + n * 4 * MS + 2 * MS, request, (worker, attempt), Outcome::Ok);
+                harness.dispatch(now + n * 4 * MS + MS, Event::AttemptStarted { request, attempt, worker });
+                harness.end_attempt(now + n * 4 * MS + 2 * MS, request, (worker, attempt), Outcome::Ok);
             }
         }
         sent
@@ -459,8 +459,8 @@
 fn a_dispatcher_whose_fellows_rest_uses_what_they_leave_free() {
     let mut world = World::new(0.55, 8);
     world.active = 1;
-    world.run(40 * S);
-    let [short, long, once] = world.in_time(2 * S, 30 * S);
+    world.run(40 * SEC);
+    let [short, long, once] = world.in_time(2 * SEC, 30 * SEC);
     println!("in time {short:.2} {long:.2} {once:.2}, held at most {}", world.most_held);
     assert!(short >= 0.85 && long >= 0.85 && once >= 0.85, "in time {short:.2} {long:.2} {once:.2}");
 }
@@ -470,11 +470,11 @@
     let mut at = vec![0; lists[0].len()];
     for me in 0..48 {
         let settings = Settings { instance: me, ..settings.clone() };
-        let mut desk = Desk { dispatcher: Dispatcher::new(settings, 100 + u64::from(me)), next: 0 };
+        let mut harness = DispatcherHarness::without_workers(settings, 100 + u64::from(me));
         for list in lists {
-            desk.tell(0, Event::WorkerList(WorkerListUpdate::Full(list.to_vec())));
+            harness.dispatch(0, Event::WorkerList(WorkerListUpdate::Full(list.to_vec())));
         }
-        let (_, actions) = desk.arrive(2 * MS, 0, 200 * MS);
+        let (_, actions) = harness.arrive(2 * MS, 0, 200 * MS);
         at[sends(&actions)[0].1.0 as usize] += 1;
     }
     at
