--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -81,7 +81,7 @@
 impl Dispatcher {
     /// A dispatcher that knows its settings and nothing else; equal seeds and events give equal actions.
     pub fn new(mut settings: Settings, seed: u64) -> Self {
-        // A class out of range is the host's error: the strictest one stands in, so that the rules are kept.
+        // A class out of range is the host's error: the strictest one stands in, so that the rules hold.
         settings.classes.push(Class { late_fraction: 1.0, ..Class::default() });
         let classes = settings.classes.len();
         Dispatcher {
--- a/crates/dispatcher/src/dispatcher/attempt.rs
+++ b/crates/dispatcher/src/dispatcher/attempt.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::{Micros, Outcome, RequestId, WorkerId};
 
-/// A start notice takes a connection, a handshake and two network crossings; a later one indicates a queue.
+/// A start notice takes a connection, a handshake and two network delays; a later one indicates a queue.
 pub(super) const START_GRACE: Micros = 25_000;
 
 /// Which attempt of which request, and the worker it was sent to.
@@ -24,7 +24,7 @@
     pub(super) slots: f64,
     /// When it was sent; for a long body, when the last byte was.
     pub(super) sent_at: Micros,
-    /// An answer after this time is worth nothing.
+    /// An answer after this time has no value.
     pub(super) useful_until: Micros,
     pub(super) started_at: Option<Micros>,
 }
--- a/crates/dispatcher/src/dispatcher/capacity.rs
+++ b/crates/dispatcher/src/dispatcher/capacity.rs
@@ -8,13 +8,13 @@
 const MIN_CAPACITY: f64 = 1e-3;
 /// The least and the most that a worker's weight alone makes of the mean capacity.
 const WEIGHT_FACTOR_RANGE: (f64, f64) = (0.5, 2.0);
-/// How many times longer a kind of machine and the whole fleet are averaged than one worker.
+/// How many times longer a kind of machine and all workers are averaged than one worker.
 const KIND_HISTORY_FACTOR: f64 = 2.0;
 /// See [`KIND_HISTORY_FACTOR`].
-const FLEET_HISTORY_FACTOR: f64 = 4.0;
+const ALL_WORKERS_HISTORY_FACTOR: f64 = 4.0;
 
 /// The Estimated Processing Capacity (EPC) of one worker outside slow start: the running time of a job on a
-/// standard core over the time that the worker took for it, averaged. 1 is a standard core without a queue.
+/// standard core over the time that the worker needed for it, averaged. 1 is a standard core without a queue.
 #[derive(Default)]
 pub(super) struct EstimatedCapacity {
     /// What was observed, by class.
@@ -63,7 +63,7 @@
             observed.add(capacity, HISTORY_OBSERVATIONS);
         }
         if is_full {
-            self.all_workers.add(capacity, FLEET_HISTORY_FACTOR * HISTORY_OBSERVATIONS);
+            self.all_workers.add(capacity, ALL_WORKERS_HISTORY_FACTOR * HISTORY_OBSERVATIONS);
             workers.kind_mut(id).capacity.add(capacity, KIND_HISTORY_FACTOR * HISTORY_OBSERVATIONS);
         }
         self.estimate(workers, id);
--- a/crates/dispatcher/src/dispatcher/machine_kind.rs
+++ b/crates/dispatcher/src/dispatcher/machine_kind.rs
@@ -44,7 +44,7 @@
         self.available_share.add(available, HISTORY_OBSERVATIONS / 2.0);
     }
 
-    /// The share of its slots that this dispatcher can use, a fair one before reports tell.
+    /// The share of its slots that this dispatcher can use, a fair one before any load report.
     pub(super) fn available_share(&self, fair_share: f64) -> f64 {
         self.available_share.mean(fair_share)
     }
--- a/crates/dispatcher/src/dispatcher/observations.rs
+++ b/crates/dispatcher/src/dispatcher/observations.rs
@@ -25,7 +25,7 @@
         self.workers.kind_mut(id.worker).record_running(running);
     }
 
-    /// A load report came with an answer: how many slots are free, at some earlier time.
+    /// An answer carried a load report: how many slots were free at some earlier time.
     pub(super) fn on_load_report(&mut self, id: WorkerId, report: &[f64]) {
         let field = self.settings.report_fields.free_slots;
         let Some(&free) = field.and_then(|index| report.get(index)) else { return };
--- a/crates/dispatcher/src/dispatcher/prediction.rs
+++ b/crates/dispatcher/src/dispatcher/prediction.rs
@@ -39,7 +39,7 @@
     }
 
     /// Predicts how long a job sent now would take: the work ahead of it and its own, over the worker's
-    /// capacity, after the wait that start notices tell of.
+    /// capacity, after the wait that start notices show.
     pub(super) fn predict(&self, request: &Request, id: WorkerId, now: Micros) -> Prediction {
         let worker = self.workers.get(id);
         let class = request.class;
@@ -77,7 +77,7 @@
 
     /// Whether a job sent now would be in time. Where `accepts_late`, one that starts at once may be late
     /// by as much as a hint errs.
-    pub(super) fn worth_sending(
+    pub(super) fn would_be_useful(
         &self,
         request: &Request,
         id: WorkerId,
@@ -119,8 +119,9 @@
         worker.outstanding_slots() + 1.0 <= limit
     }
 
-    /// The wait for jobs of other dispatchers, as a weight that includes the load tells, in microseconds. It
-    /// counts as far as the one job that may always be sent is more than this dispatcher's part of the slots.
+    /// The wait for jobs of other dispatchers, inferred from a weight that includes the load, in
+    /// microseconds. It counts as far as the one job that may always be sent is more than this dispatcher's
+    /// part of the slots.
     pub(super) fn hidden_wait(&self, request: &Request, id: WorkerId, now: Micros) -> f64 {
         let worker = self.workers.get(id);
         let slots_per_instance =
--- a/crates/dispatcher/src/dispatcher/request.rs
+++ b/crates/dispatcher/src/dispatcher/request.rs
@@ -29,7 +29,7 @@
     pub(super) deadline: Micros,
     /// When the latency objective ends.
     pub(super) objective_until: Micros,
-    /// An answer after this time is worth nothing: the objective's end or, where late answers count, the
+    /// An answer after this time has no value: the objective's end or, where late answers count, the
     /// deadline.
     pub(super) useful_until: Micros,
     /// The attempts that were sent.
--- a/crates/dispatcher/src/dispatcher/requests.rs
+++ b/crates/dispatcher/src/dispatcher/requests.rs
@@ -31,7 +31,7 @@
         self.place(now, arrival.request, actions);
     }
 
-    /// A request from its arrival, with what is assumed where the arrival does not tell.
+    /// A request from its arrival, with defaults for what it does not state.
     fn admit(&mut self, now: Micros, arrival: &Arrival) -> Request {
         let class = arrival.class.min(self.settings.classes.len() - 1);
         let hint = arrival.work_hint.filter(|&hint| hint > 0).map(|hint| hint as f64);
@@ -58,7 +58,7 @@
     }
 
     /// When the client sent the request first, for a client's retries count from there. Where it may be a
-    /// retry, the deadline and the longest patience of its class tell.
+    /// retry, it is inferred from the deadline and the longest patience of its class.
     fn first_client_send(&mut self, now: Micros, arrival: &Arrival, class: usize) -> Micros {
         let patience = self.arrivals.record_patience(class, arrival.deadline.saturating_sub(now));
         let is_first = self.settings.marks_retry && !arrival.is_retry;
--- a/crates/dispatcher/src/dispatcher/selection.rs
+++ b/crates/dispatcher/src/dispatcher/selection.rs
@@ -156,7 +156,7 @@
         let worker = self.context.workers.get(id);
         let expected_wait = self.context.expected_wait(worker, self.request.class, self.now);
         self.context.starts_at_once(self.request, id, self.now, expected_wait)
-            && self.context.worth_sending(self.request, id, self.now, false)
+            && self.context.would_be_useful(self.request, id, self.now, false)
     }
 
     /// The cheapest candidate or worker of the affinity set that has room. A request that would be late
@@ -169,11 +169,11 @@
             .filter(|&worker| self.suits_key(worker) && self.context.has_room(worker, self.now))
             .map(|worker| (self.cost(worker), worker))
             .min_by(|left, right| left.0.total_cmp(&right.0))?;
-        self.context.worth_sending(self.request, best, self.now, self.is_most_urgent).then_some(best)
+        self.context.would_be_useful(self.request, best, self.now, self.is_most_urgent).then_some(best)
     }
 
-    /// Whether a worker is likely to have the request's key: a key is worth a wait. In a large zone a
-    /// worker that is free does as well.
+    /// Whether a worker is likely to have the request's key: a fetch costs more than a wait. In a large
+    /// zone a worker that is free does as well.
     fn suits_key(&self, worker: WorkerId) -> bool {
         let key = self.request.affinity_key;
         key == 0
--- a/crates/dispatcher/src/dispatcher/worker_table.rs
+++ b/crates/dispatcher/src/dispatcher/worker_table.rs
@@ -8,7 +8,8 @@
 pub(super) const ZONE_GROUP_WORKERS: f64 = 4.0;
 /// A zone of more groups is large: a dispatcher sees little of what is sent to its workers.
 const LARGE_ZONE_GROUPS: f64 = 2.0;
-/// The highest kind of machine that is told apart: one out of range must not claim memory for all below it.
+/// The highest kind of machine that is distinguished: one out of range must not claim memory for all below
+/// it.
 const MAX_KIND: usize = 1023;
 /// The least total that a weight is divided by.
 const MIN_TOTAL_WEIGHT: f64 = 1e-9;
--- a/crates/dispatcher/src/interface/events.rs
+++ b/crates/dispatcher/src/interface/events.rs
@@ -87,7 +87,7 @@
         elapsed: Micros,
         /// The request has its final answer.
         request_concluded: bool,
-        /// The worker's load report; empty when none came.
+        /// The worker's load report; empty if there was none.
         load_report: Vec<f64>,
     },
     /// The answer of a streamed class has begun: no timeout or deadline applies any longer.
@@ -118,7 +118,7 @@
         worker: WorkerId,
         /// How it ended.
         outcome: Outcome,
-        /// The worker's load report; empty when none came.
+        /// The worker's load report; empty if there was none.
         load_report: Vec<f64>,
     },
     /// The timer of this token has fired.
--- a/crates/dispatcher/tests/many_dispatchers.rs
+++ b/crates/dispatcher/tests/many_dispatchers.rs
@@ -1,4 +1,4 @@
-//! Many dispatchers that share nothing, on a simulated clock, with the workers in common.
+//! Many dispatchers that do not talk to each other, on a simulated clock, with the workers in common.
 
 mod common;
 use common::*;
@@ -6,350 +6,397 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-const NODES: usize = 100;
+const DISPATCHERS: usize = 100;
 const WORKERS: u32 = 60;
-/// What a worker can do when warm, in standard cores; each of its slots is one.
+const ZONES: usize = 3;
+/// What a worker can do outside slow start, in standard cores; each of its slots is one.
 const CORES: f64 = 4.0;
-const MEAN: f64 = 0.35;
+const SLOTS: usize = CORES as usize;
+const MEAN_SIZE_SECONDS: f64 = 0.35;
+const INITIAL_CAPACITY: f64 = 0.12;
+const SLOW_START: Micros = 24 * SEC;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Occurrence {
     Arrival,
-    Started(RequestId, u32, WorkerId),
-    Done(RequestId, u32, WorkerId, Micros),
+    Started { request: RequestId, worker: WorkerId },
+    Served { request: RequestId, worker: WorkerId, elapsed: Micros },
     Timer(u64),
 }
 
-/// All of them, and what was sent to each worker.
-struct Fleet {
-    nodes: Vec<DispatcherHarness>,
-    due: BinaryHeap<Reverse<(Micros, usize, Due)>>,
+/// A job that was sent to a worker.
+struct SentJob {
+    at: Micros,
+    worker: u32,
+    size_seconds: f64,
+}
+
+/// All dispatchers and workers, and what was sent.
+struct Cluster {
+    dispatchers: Vec<DispatcherHarness>,
+    schedule: BinaryHeap<Reverse<(Micros, usize, Occurrence)>>,
     rng: fastrand::Rng,
-    born: BTreeMap<u32, Micros>,
-    free: Vec<[Micros; CORES as usize]>,
-    sent: Vec<(Micros, u32, f64)>,
+    started_at: BTreeMap<u32, Micros>,
+    /// When each slot of each worker is free.
+    free_at: Vec<[Micros; SLOTS]>,
+    sent: Vec<SentJob>,
 }
 
-impl Fleet {
-    fn new() -> Fleet {
-        let nodes = (0..NODES).map(|me| {
-            let rules = SlowStartRules {
-                initial_capacity: 0.12,
-                duration: 24 * SEC,
-                overload_window: SEC,
-                ..settings().slow_start
-            };
-            let settings = Settings {
-                instance: me as u32,
-                instances: NODES as u32,
-                zone: me % 3,
-                slow_start: rules,
-                ..settings()
-            };
-            DispatcherHarness::without_workers(settings, 1000 + me as u64)
-        });
-        let mut fleet = Fleet {
-            nodes: nodes.collect(),
-            due: BinaryHeap::new(),
+fn cluster_settings(instance: usize) -> Settings {
+    let slow_start = SlowStartRules {
+        initial_capacity: INITIAL_CAPACITY,
+        duration: SLOW_START,
+        overload_window: SEC,
+        ..settings().slow_start
+    };
+    Settings {
+        instance: instance as u32,
+        instances: DISPATCHERS as u32,
+        zone: instance % ZONES,
+        slow_start,
+        ..settings()
+    }
+}
+
+impl Cluster {
+    fn new() -> Cluster {
+        let dispatcher = |instance: usize| {
+            DispatcherHarness::without_workers(cluster_settings(instance), 1000 + instance as u64)
+        };
+        let mut cluster = Cluster {
+            dispatchers: (0..DISPATCHERS).map(dispatcher).collect(),
+            schedule: BinaryHeap::new(),
             rng: fastrand::Rng::with_seed(3),
-            born: BTreeMap::new(),
-            free: vec![[0; CORES as usize]; WORKERS as usize],
+            started_at: BTreeMap::new(),
+            free_at: vec![[0; SLOTS]; WORKERS as usize],
             sent: Vec::new(),
         };
-        let list: Vec<WorkerEntry> = (0..WORKERS).map(|n| fleet.entry(n)).collect();
-        for node in 0..NODES {
-            fleet.dispatch(0, node, Event::WorkerList(WorkerListUpdate::Full(list.clone())));
-            let first = fleet.rng.i64(0..200 * MS);
-            fleet.due.push(Reverse((first, node, Due::Arrival)));
+        let list: Vec<WorkerEntry> = (0..WORKERS).map(|number| cluster.entry(number)).collect();
+        for instance in 0..DISPATCHERS {
+            cluster.dispatch(0, instance, full_list(list.clone()));
+            let first_arrival = cluster.rng.i64(0..200 * MS);
+            cluster.schedule(first_arrival, instance, Occurrence::Arrival);
         }
-        fleet
+        cluster
     }
 
-    fn entry(&self, n: u32) -> WorkerEntry {
-        let born = self.born.get(&n).copied().unwrap_or(0);
-        WorkerEntry { started_at: born, weight: CORES, zone: (n % 3) as usize, ..entry(n) }
+    fn schedule(&mut self, at: Micros, instance: usize, occurrence: Occurrence) {
+        self.schedule.push(Reverse((at, instance, occurrence)));
     }
 
-    /// A worker starts again, and all are told within 0.1 s.
-    fn restart(&mut self, now: Micros, n: u32) {
-        self.born.insert(n, now);
-        self.free[n as usize].fill(now);
-        for node in 0..NODES {
-            self.dispatch(now, node, list_delta([self.entry(n)]));
+    fn entry(&self, number: u32) -> WorkerEntry {
+        let started_at = self.started_at.get(&number).copied().unwrap_or(0);
+        WorkerEntry { started_at, weight: CORES, zone: number as usize % ZONES, ..entry(number) }
+    }
+
+    /// A worker starts again, and all dispatchers are notified.
+    fn restart(&mut self, now: Micros, number: u32) {
+        self.started_at.insert(number, now);
+        self.free_at[number as usize].fill(now);
+        for instance in 0..DISPATCHERS {
+            self.dispatch(now, instance, list_delta([self.entry(number)]));
         }
     }
 
-    fn warmth(&self, now: Micros, n: u32) -> f64 {
-        let age = self.born.get(&n).map_or(Micros::MAX, |born| now - born);
-        (0.12 + 0.88 * age as f64 / (24 * SEC) as f64).min(1.0)
+    fn capacity_fraction(&self, now: Micros, number: u32) -> f64 {
+        let age = self.started_at.get(&number).map_or(Micros::MAX, |started_at| now - started_at);
+        (INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * age as f64 / SLOW_START as f64).min(1.0)
     }
 
-    fn dispatch(&mut self, now: Micros, node: usize, event: Event) {
-        for action in self.nodes[node].dispatch(now, event) {
+    fn dispatch(&mut self, now: Micros, instance: usize, event: Event) {
+        for action in self.dispatchers[instance].dispatch(now, event) {
             match action {
-                Action::Send { request, worker, .. } => {
-                    let size = self.size(node, request);
-                    self.sent.push((now, worker.0, size));
-                    let slots = &self.free[worker.0 as usize];
-                    let slot = (0..slots.len()).min_by_key(|&s| slots[s]).expect("it has slots");
-                    let start = slots[slot].max(now + 2 * MS);
-                    let end = start + (size * 1e6 / self.warmth(start, worker.0)) as Micros;
-                    self.free[worker.0 as usize][slot] = end;
-                    self.due.push(Reverse((start, node, Due::Started(request, 0, worker))));
-                    self.due.push(Reverse((end, node, Due::Done(request, 0, worker, end - now))));
-                }
+                Action::Send { request, worker, .. } => self.execute(now, instance, request, worker),
                 Action::SetTimer { delay, token } => {
-                    self.due.push(Reverse((now + delay, node, Due::Timer(token))))
+                    self.schedule(now + delay, instance, Occurrence::Timer(token));
                 }
                 _ => {}
             }
         }
     }
 
-    /// The size of a node's job in seconds: exponential, drawn from its number.
-    fn size(&self, node: usize, request: RequestId) -> f64 {
-        let draw = fastrand::Rng::with_seed(request.0 << 8 | node as u64).f64();
-        -MEAN * (1.0 - draw).ln().max(-4.0)
+    /// A worker runs a job in the slot that is free first.
+    fn execute(&mut self, now: Micros, instance: usize, request: RequestId, worker: WorkerId) {
+        let size_seconds = self.size_seconds(instance, request);
+        self.sent.push(SentJob { at: now, worker: worker.0, size_seconds });
+        let slots = &self.free_at[worker.0 as usize];
+        let slot = (0..SLOTS).min_by_key(|&slot| slots[slot]).expect("it has slots");
+        let start = slots[slot].max(now + 2 * MS);
+        let end = start + (size_seconds * 1e6 / self.capacity_fraction(start, worker.0)) as Micros;
+        self.free_at[worker.0 as usize][slot] = end;
+        self.schedule(start, instance, Occurrence::Started { request, worker });
+        self.schedule(end, instance, Occurrence::Served { request, worker, elapsed: end - now });
     }
 
-    /// Goes on until then; each node takes a job every 0.25 s or so.
+    /// The size of a dispatcher's job: exponential, drawn from its number.
+    fn size_seconds(&self, instance: usize, request: RequestId) -> f64 {
+        let draw = fastrand::Rng::with_seed(request.0 << 8 | instance as u64).f64();
+        -MEAN_SIZE_SECONDS * (1.0 - draw).ln().max(-4.0)
+    }
+
+    /// Continues until that time; each dispatcher gets a job every 0.25 s or so.
     fn run(&mut self, until: Micros) {
-        while let Some(Reverse((now, node, due))) = self.due.pop() {
+        while let Some(Reverse((now, instance, occurrence))) = self.schedule.pop() {
             if now >= until {
-                self.due.push(Reverse((now, node, due)));
+                self.schedule(now, instance, occurrence);
                 return;
             }
-            match due {
-                Due::Arrival => {
-                    let request = RequestId(self.nodes[node].next_request);
-                    self.nodes[node].next_request += 1;
-                    let hint = Some((self.size(node, request) * 1e6) as Micros);
-                    let (class, width, resent, key, sendable) = (1, 1.0, false, 0, true);
-                    let arrival = Arrival {
-                        request,
-                        class,
-                        deadline: now + 5 * SEC,
-                        work_hint: hint,
-                        slots: width,
-                        is_retry: resent,
-                        affinity_key: key,
-                        body_sendable: sendable,
-                    };
-                    self.dispatch(now, node, Event::Arrival(arrival));
-                    let gap = self.rng.i64(MS..500 * MS);
-                    self.due.push(Reverse((now + gap, node, Due::Arrival)));
-                }
-                Due::Started(request, attempt, worker) => {
-                    self.dispatch(now, node, Event::AttemptStarted { request, attempt, worker })
+            match occurrence {
+                Occurrence::Arrival => self.arrive(now, instance),
+                Occurrence::Started { request, worker } => {
+                    self.dispatch(now, instance, Event::AttemptStarted { request, attempt: 0, worker });
                 }
-                Due::Done(request, attempt, worker, took) => {
-                    let (outcome, closed, report) = (Outcome::Ok, true, Vec::new());
-                    self.dispatch(
-                        now,
-                        node,
-                        Event::AttemptEnded {
-                            request,
-                            attempt,
-                            worker,
-                            outcome,
-                            elapsed: took,
-                            request_concluded: closed,
-                            load_report: report,
-                        },
-                    )
+                Occurrence::Served { request, worker, elapsed } => {
+                    let served = attempt_ended(request, (worker, 0), Outcome::Ok, elapsed);
+                    self.dispatch(now, instance, served);
                 }
-                Due::Timer(token) => self.dispatch(now, node, Event::Timer(token)),
+                Occurrence::Timer(token) => self.dispatch(now, instance, Event::Timer(token)),
             }
         }
     }
 
-    /// Work sent to these workers within a time.
-    fn work(&self, workers: impl Fn(u32) -> bool, from: Micros, to: Micros) -> f64 {
-        let within = |s: &&(Micros, u32, f64)| workers(s.1) && s.0 >= from && s.0 < to;
-        self.sent.iter().filter(within).map(|s| s.2).sum()
+    fn arrive(&mut self, now: Micros, instance: usize) {
+        let request = self.dispatchers[instance].next_id();
+        let work_hint = (self.size_seconds(instance, request) * 1e6) as Micros;
+        let arrival = arrival(request, 1, now + 5 * SEC, work_hint);
+        self.dispatch(now, instance, Event::Arrival(arrival));
+        let gap = self.rng.i64(MS..500 * MS);
+        self.schedule(now + gap, instance, Occurrence::Arrival);
+    }
+
+    /// The work sent to a worker within a time, in seconds on a standard core.
+    fn work_sent(&self, worker: u32, from: Micros, to: Micros) -> f64 {
+        let matches = |job: &&SentJob| job.worker == worker && job.at >= from && job.at < to;
+        self.sent.iter().filter(matches).map(|job| job.size_seconds).sum()
     }
 }
 
-/// Each node's part of a cold worker's room is less than a job: none may take that for a reason to send it
-/// nothing, and not all may send it the one job.
+/// Each dispatcher's share of what a worker in slow start can take is less than a job: none may take that for a
+/// reason to send it nothing, and not all may send it one job.
 #[test]
-fn a_hundred_nodes_share_a_cold_worker_without_a_word() {
-    for cold in [vec![7], (0..WORKERS).filter(|n| n % 5 < 3).collect::<Vec<_>>()] {
-        let mut fleet = Fleet::new();
-        fleet.run(8 * SEC);
-        for (i, &n) in cold.iter().enumerate() {
-            let at = 8 * SEC + i as Micros * 200 * MS;
-            fleet.run(at);
-            fleet.restart(at, n);
+fn hundred_dispatchers_use_workers_in_slow_start_without_an_overload() {
+    for restarted in [vec![7], (0..WORKERS).filter(|number| number % 5 < 3).collect::<Vec<_>>()] {
+        let mut cluster = Cluster::new();
+        cluster.run(8 * SEC);
+        for (index, &number) in restarted.iter().enumerate() {
+            let at = 8 * SEC + index as Micros * 200 * MS;
+            cluster.run(at);
+            cluster.restart(at, number);
         }
-        let last = 8 * SEC + cold.len() as Micros * 200 * MS;
-        fleet.run(last + 10 * SEC);
-        let (mut most, mut room) = (0.0_f64, 0.0);
-        for &n in &cold {
-            let born = fleet.born[&n];
-            for at in (born..last + 9 * SEC).step_by(100_000) {
-                let share = fleet.work(|w| w == n, at, at + SEC) / (CORES * fleet.warmth(at, n));
-                most = most.max(share);
+        let last = 8 * SEC + restarted.len() as Micros * 200 * MS;
+        cluster.run(last + 10 * SEC);
+        let (mut max_overload, mut capacity) = (0.0_f64, 0.0);
+        for &number in &restarted {
+            let started_at = cluster.started_at[&number];
+            for at in (started_at..last + 9 * SEC).step_by(100_000) {
+                let sent = cluster.work_sent(number, at, at + SEC);
+                max_overload = max_overload.max(sent / (CORES * cluster.capacity_fraction(at, number)));
             }
-            room +=
-                (born + 4 * SEC..last + 9 * SEC).step_by(1_000_000).map(|t| fleet.warmth(t, n)).sum::<f64>();
+            capacity += (started_at + 4 * SEC..last + 9 * SEC)
+                .step_by(1_000_000)
+                .map(|at| cluster.capacity_fraction(at, number))
+                .sum::<f64>();
         }
-        let used: f64 =
-            cold.iter().map(|&n| fleet.work(|w| w == n, fleet.born[&n] + 4 * SEC, last + 9 * SEC)).sum();
-        assert!(most < 3.0, "a window of 1 s held {most} times what a worker could do");
-        // One cold worker is the slowest place of an idle fleet, and is rightly left alone at first.
-        let least = if cold.len() > 1 { 0.3 } else { 0.0 };
-        assert!(used >= least * room * CORES, "{used} of {} s of room were used", room * CORES);
-        println!("{} cold: at most {most:.2} times, {used:.0} s of {:.0} s used", cold.len(), room * CORES);
+        let used: f64 = restarted
+            .iter()
+            .map(|&number| cluster.work_sent(number, cluster.started_at[&number] + 4 * SEC, last + 9 * SEC))
+            .sum();
+        assert!(max_overload < 3.0, "a window of 1 s held {max_overload} times what a worker could do");
+        // A single one is the slowest of mostly idle workers, and rightly gets little at first.
+        let min_use = if restarted.len() > 1 { 0.3 } else { 0.0 };
+        let available = capacity * CORES;
+        assert!(used >= min_use * capacity * CORES, "{used} of {available} s of capacity were used");
+        println!(
+            "{} in slow start: at most {max_overload:.2} times, {used:.0} s of {available:.0} s used",
+            restarted.len()
+        );
     }
 }
 
-/// Nodes see few jobs each, so what one has fetched for a key is of use only if the others know where it is
-/// without a word: jobs of a key must meet in few places of a zone, and stay in the zone while it has room.
+/// Each dispatcher sees few jobs, so that data which a worker has fetched for a key is of use only if the others know,
+/// without talking to each other, where it is: jobs of a key must meet at few workers of a zone, and stay in the zone
+/// while it has room.
 #[test]
-fn a_hundred_nodes_send_a_key_to_few_places_of_their_zone() {
-    let mut places: BTreeMap<(usize, u64), BTreeMap<u32, u32>> = BTreeMap::new();
-    let (mut crossed, mut all) = (0, 0);
-    for me in 0..NODES {
-        let zone = me % 3;
-        let settings = Settings { instance: me as u32, instances: NODES as u32, zone, ..settings() };
-        let mut harness = DispatcherHarness::without_workers(settings, me as u64);
-        let of = |n: u32| WorkerEntry { zone: (n % 3) as usize, name_hash: u64::from(n) * 7919, ..entry(n) };
-        harness.dispatch(0, full_list((0..WORKERS).map(of)));
+fn hundred_dispatchers_send_a_key_to_few_workers_of_their_zone() {
+    let mut workers_of_key: BTreeMap<(usize, u64), BTreeMap<u32, u32>> = BTreeMap::new();
+    let (mut crossed_zones, mut all) = (0, 0);
+    let entry = |number: u32| WorkerEntry {
+        zone: number as usize % ZONES,
+        name_hash: u64::from(number) * 7919,
+        ..entry(number)
+    };
+    for instance in 0..DISPATCHERS {
+        let zone = instance % ZONES;
+        let settings =
+            Settings { instance: instance as u32, instances: DISPATCHERS as u32, zone, ..settings() };
+        let mut harness = DispatcherHarness::without_workers(settings, instance as u64);
+        harness.dispatch(0, full_list((0..WORKERS).map(entry)));
         for key in 1..40 {
             let (request, now) = (RequestId(key), key as Micros * SEC);
-            let (due, hint) = (now + 5 * SEC, Some(300 * MS));
-            let arrival = Arrival {
-                request,
-                class: 1,
-                deadline: due,
-                work_hint: hint,
-                slots: 1.0,
-                is_retry: false,
-                affinity_key: key,
-                body_sendable: true,
-            };
-            let sent = sends(&harness.dispatch(now, Event::Arrival(arrival)));
-            let worker = sent[0].1;
-            *places.entry((zone, key)).or_default().entry(worker.0).or_default() += 1;
-            crossed += usize::from(worker.0 as usize % 3 != zone);
+            let arrival = Arrival { affinity_key: key, ..arrival(request, 1, now + 5 * SEC, 300 * MS) };
+            let worker = sends(&harness.dispatch(now, Event::Arrival(arrival)))[0].1;
+            *workers_of_key.entry((zone, key)).or_default().entry(worker.0).or_default() += 1;
+            crossed_zones += usize::from(worker.0 as usize % ZONES != zone);
             all += 1;
-            let (attempt, outcome, took, report) = (0, Outcome::Ok, 200 * MS, Vec::new());
-            harness.dispatch(now + MS, Event::AttemptStarted { request, attempt, worker });
-            let done = Event::AttemptEnded {
-                request,
-                attempt,
-                worker,
-                outcome,
-                elapsed: took,
-                request_concluded: true,
-                load_report: report,
-            };
-            harness.dispatch(now + took, done);
+            harness.dispatch(now + MS, Event::AttemptStarted { request, attempt: 0, worker });
+            let served = attempt_ended(request, (worker, 0), Outcome::Ok, 200 * MS);
+            harness.dispatch(now + 200 * MS, served);
         }
     }
-    let used: usize = places.values().map(|p| p.len()).sum();
-    // A key that no one asks for twice has one home, which is in another zone for some.
-    assert!(used <= 2 * places.len(), "{used} places for {} keys of a zone", places.len());
-    assert!(crossed * 3 < all, "{crossed} of {all} jobs crossed zones");
+    let used: usize = workers_of_key.values().map(|workers| workers.len()).sum();
+    // A key that is not asked for twice has one worker, which is in another zone for some dispatchers.
+    let keys = workers_of_key.len();
+    assert!(used <= 2 * keys, "{used} workers for {keys} keys of a zone");
+    assert!(crossed_zones * 3 < all, "{crossed_zones} of {all} jobs crossed zones");
 }
 
-/// An upgrade: two processes stand for one node, each gets half of its requests and knows nothing of the other. A
-/// worker that is cold meanwhile gets work from them, and under three times what it can do at present.
-#[test]
-fn two_modules_of_one_node_keep_a_cold_worker_within_its_room() {
-    const COLD: Micros = 10 * SEC;
-    let rules = SlowStartRules {
-        initial_capacity: 0.2,
-        duration: COLD,
-        overload_factor: 3.0,
-        overload_window: 2 * SEC,
-    };
-    let node = |seed| {
-        let settings = Settings { instances: 1, slow_start: rules.clone(), ..settings() };
-        DispatcherHarness { dispatcher: Dispatcher::new(settings, seed), next_request: seed << 32 }
-    };
-    let mut nodes = [node(1), node(2)];
-    let list = |born| -> Vec<WorkerEntry> {
-        (0..4)
-            .map(|n| WorkerEntry { started_at: if n == 0 { born } else { 0 }, weight: 4.0, ..entry(n) })
+const UPGRADE_SLOW_START: Micros = 10 * SEC;
+const UPGRADE_RESTART: Micros = 5 * SEC;
+const UPGRADE_JOB: Micros = 200 * MS;
+/// Each worker does four jobs at once; with this gap, four workers outside slow start are nine tenths busy.
+const UPGRADE_GAP: Micros = UPGRADE_JOB / 14;
+const UPGRADE_WORKERS: usize = 4;
+
+/// Two dispatchers that believe to be the only one, and four workers, one of which starts again.
+struct Upgrade {
+    dispatchers: [DispatcherHarness; 2],
+    /// By time and number: the dispatcher that is notified, and of what.
+    schedule: BTreeMap<(Micros, u64), (usize, Event)>,
+    next_number: u64,
+    free_at: [[Micros; SLOTS]; UPGRADE_WORKERS],
+    /// The times of the sends to the restarted worker.
+    sent_to_restarted: Vec<Micros>,
+}
+
+impl Upgrade {
+    fn new() -> Self {
+        let slow_start = SlowStartRules {
+            initial_capacity: 0.2,
+            duration: UPGRADE_SLOW_START,
+            overload_factor: 3.0,
+            overload_window: 2 * SEC,
+        };
+        let dispatcher = |seed| {
+            let settings = Settings { instances: 1, slow_start: slow_start.clone(), ..settings() };
+            let dispatcher = Dispatcher::new(settings, seed);
+            DispatcherHarness { dispatcher, next_request: seed << 32 }
+        };
+        let mut upgrade = Upgrade {
+            dispatchers: [dispatcher(1), dispatcher(2)],
+            schedule: BTreeMap::new(),
+            next_number: 0,
+            free_at: [[0; SLOTS]; UPGRADE_WORKERS],
+            sent_to_restarted: Vec::new(),
+        };
+        for dispatcher in &mut upgrade.dispatchers {
+            dispatcher.dispatch(0, full_list(Self::list(0)));
+        }
+        upgrade
+    }
+
+    /// The worker list, where the first worker started at this time.
+    fn list(started_at: Micros) -> Vec<WorkerEntry> {
+        let entry = |number| {
+            let started_at = if number == 0 { started_at } else { 0 };
+            WorkerEntry { started_at, weight: CORES, ..entry(number) }
+        };
+        (0..UPGRADE_WORKERS as u32).map(entry).collect()
+    }
+
+    fn capacity_fraction(now: Micros) -> f64 {
+        let age = (now - UPGRADE_RESTART) as f64;
+        (0.2 + 0.8 * age / UPGRADE_SLOW_START as f64).clamp(0.2, 1.0)
+    }
+
+    fn restart_first_worker(&mut self, now: Micros) {
+        self.free_at[0].fill(now);
+        for dispatcher in &mut self.dispatchers {
+            dispatcher.dispatch(now, list_delta(Self::list(UPGRADE_RESTART)));
+        }
+    }
+
+    /// Handles what is scheduled until now; the actions that follow, each with its dispatcher and time.
+    fn handle_scheduled(&mut self, now: Micros) -> Vec<(usize, Micros, Vec<Action>)> {
+        let later = self.schedule.split_off(&(now + 1, 0));
+        let scheduled = std::mem::replace(&mut self.schedule, later);
+        scheduled
+            .into_iter()
+            .map(|((at, _), (instance, event))| {
+                (instance, at, self.dispatchers[instance].dispatch(at, event))
+            })
             .collect()
-    };
-    // Each worker does four jobs at once; jobs come so that warm ones are nine tenths busy.
-    let (size, gap) = (200 * MS, 200 * MS / 14);
-    let (mut rng, mut sent, mut due) = (fastrand::Rng::with_seed(5), Vec::new(), BTreeMap::new());
-    let mut free = [[0; 4]; 4];
-    let warmth = |now: Micros| (0.2 + 0.8 * (now - 5 * SEC) as f64 / COLD as f64).clamp(0.2, 1.0);
-    nodes.iter_mut().for_each(|n| _ = n.dispatch(0, Event::WorkerList(WorkerListUpdate::Full(list(0)))));
-    let mut number = 0_u64;
-    for step in 0..(15 * SEC / gap) {
-        let now = step * gap;
-        if now >= 5 * SEC && now - gap < 5 * SEC {
-            free[0].fill(now);
-            nodes
-                .iter_mut()
-                .for_each(|n| _ = n.dispatch(now, Event::WorkerList(WorkerListUpdate::Delta(list(5 * SEC)))));
+    }
+
+    fn carry_out(&mut self, instance: usize, at: Micros, action: &Action) {
+        self.next_number += 1;
+        match *action {
+            Action::Send { request, worker, .. } => self.execute(instance, at, request, worker),
+            Action::SetTimer { delay, token } => {
+                self.schedule.insert((at + delay, self.next_number), (instance, Event::Timer(token)));
+            }
+            _ => {}
         }
-        let mut actions: Vec<(usize, Micros, Vec<Action>)> = Vec::new();
-        let later = due.split_off(&(now + 1, 0));
-        for ((at, _), (which, event)) in std::mem::replace(&mut due, later) {
-            let node: &mut DispatcherHarness = &mut nodes[which];
-            actions.push((which, at, node.dispatch(at, event)));
+    }
+
+    fn execute(&mut self, instance: usize, at: Micros, request: RequestId, worker: WorkerId) {
+        let number = worker.0 as usize;
+        let is_restarted = number == 0 && at >= UPGRADE_RESTART;
+        let speed = if is_restarted { Self::capacity_fraction(at) } else { 1.0 };
+        if is_restarted {
+            self.sent_to_restarted.push(at);
         }
-        let which = rng.usize(0..2);
-        let hint = rng.i64(size / 2..size * 3 / 2);
-        actions.push((which, now, nodes[which].arrive(now, 0, hint).1));
-        for (which, at, actions) in actions {
+        let slots = &mut self.free_at[number];
+        let slot = (0..SLOTS).min_by_key(|&slot| slots[slot]).unwrap_or(0);
+        let start = slots[slot].max(at) + MS;
+        let end = start + (UPGRADE_JOB as f64 / speed) as Micros;
+        slots[slot] = end;
+        let started = Event::AttemptStarted { request, attempt: 0, worker };
+        self.schedule.insert((start, self.next_number), (instance, started));
+        let served = attempt_ended(request, (worker, 0), Outcome::Ok, end - at);
+        self.schedule.insert((end, self.next_number), (instance, served));
+    }
+
+    /// The most that was sent to the restarted worker in a window of 2 s, relative to what its four slots could do by
+    /// its least capacity in the window.
+    fn max_overload(&self) -> f64 {
+        let mut max_overload: f64 = 0.0;
+        for from in (UPGRADE_RESTART..13 * SEC).step_by(50 * MS as usize) {
+            let window = from..from + 2 * SEC;
+            let jobs = self.sent_to_restarted.iter().filter(|at| window.contains(at)).count();
+            let capacity = CORES * Self::capacity_fraction(from) * 2.0 * SEC as f64;
+            max_overload = max_overload.max((jobs as Micros * UPGRADE_JOB) as f64 / capacity);
+        }
+        max_overload
+    }
+}
+
+/// An upgrade: two processes stand for one dispatcher, each gets half of its requests and knows nothing of the other. A
+/// worker in slow start gets work from them, and under three times what it can do at present.
+#[test]
+fn two_processes_of_one_dispatcher_do_not_overload_a_worker_in_slow_start() {
+    let mut upgrade = Upgrade::new();
+    let mut rng = fastrand::Rng::with_seed(5);
+    for step in 0..(15 * SEC / UPGRADE_GAP) {
+        let now = step * UPGRADE_GAP;
+        if now >= UPGRADE_RESTART && now - UPGRADE_GAP < UPGRADE_RESTART {
+            upgrade.restart_first_worker(now);
+        }
+        let mut actions = upgrade.handle_scheduled(now);
+        let instance = rng.usize(0..2);
+        let work_hint = rng.i64(UPGRADE_JOB / 2..UPGRADE_JOB * 3 / 2);
+        actions.push((instance, now, upgrade.dispatchers[instance].arrive(now, 0, work_hint).1));
+        for (instance, at, actions) in actions {
             for action in actions {
-                number += 1;
-                match action {
-                    Action::Send { request, worker, .. } => {
-                        let w = worker.0 as usize;
-                        let speed = if w == 0 && at >= 5 * SEC { warmth(at) } else { 1.0 };
-                        if w == 0 && at >= 5 * SEC {
-                            sent.push((at, size as f64));
-                        }
-                        let slot = (0..4).min_by_key(|&i| free[w][i]).unwrap_or(0);
-                        let start = free[w][slot].max(at) + MS;
-                        let end = start + (size as f64 / speed) as Micros;
-                        free[w][slot] = end;
-                        let (attempt, outcome) = (0, Outcome::Ok);
-                        due.insert(
-                            (start, number),
-                            (which, Event::AttemptStarted { request, attempt, worker }),
-                        );
-                        let (took, closed, report) = (end - at, true, Vec::new());
-                        let done = Event::AttemptEnded {
-                            request,
-                            attempt,
-                            worker,
-                            outcome,
-                            elapsed: took,
-                            request_concluded: closed,
-                            load_report: report,
-                        };
-                        due.insert((end, number), (which, done));
-                    }
-                    Action::SetTimer { delay, token } => {
-                        due.insert((at + delay, number), (which, Event::Timer(token)));
-                    }
-                    _ => {}
-                }
+                upgrade.carry_out(instance, at, &action);
             }
         }
     }
-    let mut most: f64 = 0.0;
-    for from in (5 * SEC..13 * SEC).step_by(50 * MS as usize) {
-        let in_window =
-            sent.iter().filter(|s| (from..from + 2 * SEC).contains(&s.0)).map(|s| s.1).sum::<f64>();
-        // What it could do in the window, at its four slots, by the least warmth in it.
-        most = most.max(in_window / (4.0 * warmth(from) * 2.0 * SEC as f64));
-    }
-    assert!(most < 3.0, "{most:.2} times what it could do");
-    let early = sent.iter().filter(|s| s.0 < 8 * SEC).count();
+    let max_overload = upgrade.max_overload();
+    assert!(max_overload < 3.0, "{max_overload:.2} times what it could do");
+    let early = upgrade.sent_to_restarted.iter().filter(|&&at| at < 8 * SEC).count();
     assert!(early >= 10, "{early} jobs in its first 3 s");
     println!(
-        "at most {most:.2} times what it could do; {early} jobs in its first 3 s, {} in all",
-        sent.len()
+        "at most {max_overload:.2} times what it could do; {early} jobs in its first 3 s, {} in all",
+        upgrade.sent_to_restarted.len()
     );
 }
