--- a/crates/dispatcher/tests/random_event_orders.rs
+++ b/crates/dispatcher/tests/random_event_orders.rs
@@ -1,4 +1,4 @@
-//! Odd but legal event orders: the rules are checked on what comes out, by bookkeeping of the test's own.
+//! Odd but legal event orders: the rules are checked on the actions that follow, by bookkeeping of the test's own.
 
 mod common;
 use common::*;
@@ -7,15 +7,22 @@
 use sorrelhaven_dispatcher::*;
 use std::collections::BTreeMap;
 
+const WORKERS: usize = 6;
+const MAX_ATTEMPTS: u32 = 3;
+/// How long workers remember an idempotency key.
+const KEY_WINDOW: Micros = 3 * SEC;
+/// How late an answer may be.
+const MAX_LATENESS: Micros = 5 * MS;
+
 #[derive(Clone, Debug)]
 enum Step {
-    Arrive { class: usize, hint: i64, left: i64 },
-    End { pick: usize, outcome: Outcome },
-    Start { pick: usize },
-    Lapse { pick: usize },
-    List { worker: u32, lifecycle: Lifecycle, cold: bool },
-    Stray { n: u64 },
-    Pass { time: i64 },
+    Arrive { class: usize, work_hint: Micros, time_left: Micros },
+    EndAttempt { pick: usize, outcome: Outcome },
+    StartAttempt { pick: usize },
+    Disconnect { pick: usize },
+    UpdateWorker { worker: u32, lifecycle: Lifecycle, restarts: bool },
+    UnknownIds { number: u64 },
+    Wait { time: Micros },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -29,217 +36,261 @@
         Outcome::NotSent,
     ]);
     let lifecycle = prop::sample::select(vec![Lifecycle::Ready, Lifecycle::Draining, Lifecycle::Gone]);
+    let work_hint = prop_oneof![Just(-5), Just(0), 1..900 * MS, Just(i64::MAX)];
     prop_oneof![
-        6 => (0usize..7, prop_oneof![Just(-5), Just(0), 1..900 * MS, Just(i64::MAX)], -10i64..5_000)
-            .prop_map(|(class, hint, left)| Step::Arrive { class, hint, left: left * MS }),
-        6 => (any::<usize>(), outcome).prop_map(|(pick, outcome)| Step::End { pick, outcome }),
-        3 => any::<usize>().prop_map(|pick| Step::Start { pick }),
-        1 => any::<usize>().prop_map(|pick| Step::Lapse { pick }),
-        2 => (0u32..6, lifecycle, any::<bool>())
-            .prop_map(|(worker, lifecycle, cold)| Step::List { worker, lifecycle, cold }),
-        1 => any::<u64>().prop_map(|n| Step::Stray { n }),
-        6 => (1i64..400).prop_map(|t| Step::Pass { time: t * MS }),
+        6 => (0usize..7, work_hint, -10i64..5_000).prop_map(|(class, work_hint, left)| {
+            Step::Arrive { class, work_hint, time_left: left * MS }
+        }),
+        6 => (any::<usize>(), outcome).prop_map(|(pick, outcome)| Step::EndAttempt { pick, outcome }),
+        3 => any::<usize>().prop_map(|pick| Step::StartAttempt { pick }),
+        1 => any::<usize>().prop_map(|pick| Step::Disconnect { pick }),
+        2 => (0u32..WORKERS as u32, lifecycle, any::<bool>()).prop_map(|(worker, lifecycle, restarts)| {
+            Step::UpdateWorker { worker, lifecycle, restarts }
+        }),
+        1 => any::<u64>().prop_map(|number| Step::UnknownIds { number }),
+        6 => (1i64..400).prop_map(|time| Step::Wait { time: time * MS }),
     ]
 }
 
+/// What the test knows of a request.
 #[derive(Clone)]
-struct Seen {
+struct KnownRequest {
     class: usize,
-    due: Micros,
+    deadline: Micros,
     attempts: u32,
-    ran: Option<(WorkerId, Micros)>,
-    ended: bool,
+    /// The first worker that may have executed it, and when it was sent there.
+    first_execution: Option<(WorkerId, Micros)>,
+    is_concluded: bool,
 }
 
-struct Out {
+struct OutstandingAttempt {
     request: RequestId,
-    attempt: u32,
+    number: u32,
     worker: WorkerId,
-    sent: Micros,
-    cancelled: bool,
+    sent_at: Micros,
+    is_cancelled: bool,
 }
 
 struct World {
     harness: DispatcherHarness,
     now: Micros,
-    seen: BTreeMap<RequestId, Seen>,
-    out: Vec<Out>,
+    requests: BTreeMap<RequestId, KnownRequest>,
+    outstanding: Vec<OutstandingAttempt>,
     timers: Vec<(Micros, u64)>,
-    ready: [bool; 6],
-    full_proves: bool,
+    ready: [bool; WORKERS],
+    rejection_proves_not_run: bool,
+}
+
+/// Whether a worker drops a repeat of a request of this class that another worker had first.
+fn may_repeat_at(class: usize, first: WorkerId, worker: WorkerId) -> bool {
+    match class {
+        0 | 3 => true,
+        2 => first.0 % 2 == worker.0 % 2,
+        4 => first.0 % 3 == worker.0 % 3,
+        _ => false,
+    }
 }
 
 impl World {
+    fn new(harness: DispatcherHarness, rejection_proves_not_run: bool) -> World {
+        World {
+            harness,
+            now: SEC,
+            requests: BTreeMap::new(),
+            outstanding: Vec::new(),
+            timers: Vec::new(),
+            ready: [true; WORKERS],
+            rejection_proves_not_run,
+        }
+    }
+
     fn dispatch(&mut self, event: Event) {
-        let actions = self.harness.dispatch(self.now, event);
-        for action in actions {
-            self.obey(action);
+        for action in self.harness.dispatch(self.now, event) {
+            self.carry_out(action);
         }
     }
 
-    fn obey(&mut self, action: Action) {
-        let now = self.now;
+    fn request(&mut self, id: RequestId) -> &mut KnownRequest {
+        self.requests.get_mut(&id).expect("a known request")
+    }
+
+    fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { request, worker, .. } => {
-                let r = self.seen.get_mut(&request).expect("a known request");
-                assert!(!r.ended, "sent after its end");
-                assert!(self.ready[worker.0 as usize], "sent to a draining worker");
-                assert!(!self.out.iter().any(|o| o.request == request), "two attempts at once");
-                assert!(r.attempts < 3, "too many attempts");
-                let same = |f: WorkerId| match r.class {
-                    0 | 3 => true,
-                    2 => f.0 % 2 == worker.0 % 2,
-                    4 => f.0 % 3 == worker.0 % 3,
-                    _ => false,
-                };
-                if let Some((first, at)) = r.ran {
-                    assert!(same(first), "repeat outside its group");
-                    assert!(r.class == 0 || now - at <= 3 * SEC, "repeat outside its window");
-                }
-                self.out.push(Out { request, attempt: r.attempts, worker, sent: now, cancelled: false });
-                r.attempts += 1;
-            }
-            Action::Reject { request, .. } => {
-                let running = self.out.iter().any(|o| o.request == request);
-                let r = self.seen.get_mut(&request).expect("a known request");
-                assert!(!r.ended, "two answers");
-                assert!(matches!(r.class, 0 | 3) || r.ran.is_none() && !running, "harmful refusal");
-                r.ended = true;
-            }
+            Action::Send { request, worker, .. } => self.check_send(request, worker),
+            Action::Reject { request, .. } => self.check_rejection(request),
             Action::Fail { request } => {
-                let r = self.seen.get_mut(&request).expect("a known request");
-                assert!(!r.ended, "two answers");
-                r.ended = true;
+                let request = self.request(request);
+                assert!(!request.is_concluded, "two answers");
+                request.is_concluded = true;
             }
             Action::Cancel { request, attempt } => {
-                for o in &mut self.out {
-                    o.cancelled |= o.request == request && o.attempt == attempt;
+                for outstanding in &mut self.outstanding {
+                    outstanding.is_cancelled |=
+                        outstanding.request == request && outstanding.number == attempt;
                 }
             }
             Action::SetTimer { delay, token } => {
                 assert!(delay > 0);
-                self.timers.push((now + delay, token));
+                self.timers.push((self.now + delay, token));
             }
             Action::Probe { .. } => panic!("probes are not permitted here"),
             Action::WatchWorkerList | Action::Log(_) => {}
         }
     }
 
-    fn end(&mut self, i: usize, outcome: Outcome) {
-        let o = self.out.swap_remove(i);
-        let r = self.seen.get_mut(&o.request).expect("a known request");
-        let proof = match outcome {
-            Outcome::Rejected => self.full_proves,
+    fn check_send(&mut self, id: RequestId, worker: WorkerId) {
+        let now = self.now;
+        let is_ready = self.ready[worker.0 as usize];
+        let is_outstanding = self.outstanding.iter().any(|attempt| attempt.request == id);
+        let request = self.request(id);
+        assert!(!request.is_concluded, "sent after its end");
+        assert!(is_ready, "sent to a draining worker");
+        assert!(!is_outstanding, "two attempts at once");
+        assert!(request.attempts < MAX_ATTEMPTS, "too many attempts");
+        if let Some((first, at)) = request.first_execution {
+            assert!(may_repeat_at(request.class, first, worker), "repeat outside its scope");
+            assert!(request.class == 0 || now - at <= KEY_WINDOW, "repeat outside its window");
+        }
+        let number = request.attempts;
+        request.attempts += 1;
+        let attempt = OutstandingAttempt { request: id, number, worker, sent_at: now, is_cancelled: false };
+        self.outstanding.push(attempt);
+    }
+
+    fn check_rejection(&mut self, id: RequestId) {
+        let is_running = self.outstanding.iter().any(|attempt| attempt.request == id);
+        let request = self.request(id);
+        assert!(!request.is_concluded, "two answers");
+        let never_ran = request.first_execution.is_none() && !is_running;
+        assert!(matches!(request.class, 0 | 3) || never_ran, "harmful rejection");
+        request.is_concluded = true;
+    }
+
+    fn end_attempt(&mut self, index: usize, outcome: Outcome) {
+        let attempt = self.outstanding.swap_remove(index);
+        let never_ran = match outcome {
+            Outcome::Rejected => self.rejection_proves_not_run,
             Outcome::ConnectFailed | Outcome::NotSent => true,
             _ => false,
         };
-        if !proof && r.ran.is_none() {
-            r.ran = Some((o.worker, o.sent));
+        let request = self.request(attempt.request);
+        if !never_ran && request.first_execution.is_none() {
+            request.first_execution = Some((attempt.worker, attempt.sent_at));
         }
-        r.ended |= outcome == Outcome::Ok;
-        let closed = r.ended;
+        request.is_concluded |= outcome == Outcome::Ok;
+        let request_concluded = request.is_concluded;
         self.dispatch(Event::AttemptEnded {
-            request: o.request,
-            attempt: o.attempt,
-            worker: o.worker,
+            request: attempt.request,
+            attempt: attempt.number,
+            worker: attempt.worker,
             outcome,
-            elapsed: self.now - o.sent,
-            request_concluded: closed,
+            elapsed: self.now - attempt.sent_at,
+            request_concluded,
             load_report: Vec::new(),
         });
     }
 
-    /// Lets time pass: timers fire, withdrawn attempts end, attempts time out when their request is due.
-    fn pass(&mut self, time: Micros) {
+    /// Lets time pass: timers fire, withdrawn attempts end, attempts time out at their request's deadline.
+    fn wait(&mut self, time: Micros) {
         let until = self.now + time;
         while self.now < until {
             self.now += MS;
-            let (due, later) = std::mem::take(&mut self.timers).into_iter().partition(|t| t.0 <= self.now);
-            self.timers = later;
-            let due: Vec<(Micros, u64)> = due;
-            for (_, token) in due {
-                self.dispatch(Event::Timer(token));
+            self.fire_timers();
+            while let Some(index) = self.outstanding.iter().position(|attempt| attempt.is_cancelled) {
+                self.end_attempt(index, Outcome::Cancelled);
             }
-            while let Some(i) = self.out.iter().position(|o| o.cancelled) {
-                self.end(i, Outcome::Cancelled);
+            while let Some(index) = self.outstanding.iter().position(|attempt| self.is_timed_out(attempt)) {
+                self.end_attempt(index, Outcome::Timeout);
             }
-            while let Some(i) = self.out.iter().position(|o| self.seen[&o.request].due <= self.now) {
-                self.end(i, Outcome::Timeout);
-            }
-            for (id, r) in &self.seen {
-                assert!(r.ended || self.now <= r.due + 5 * MS, "no answer in time for {id:?}");
+            for (id, request) in &self.requests {
+                let may_be_open = self.now <= request.deadline + MAX_LATENESS;
+                assert!(request.is_concluded || may_be_open, "no answer in time for {id:?}");
             }
         }
     }
 
+    fn fire_timers(&mut self) {
+        let timers = std::mem::take(&mut self.timers);
+        let (due, later): (Vec<_>, Vec<_>) = timers.into_iter().partition(|timer| timer.0 <= self.now);
+        self.timers = later;
+        for (_, token) in due {
+            self.dispatch(Event::Timer(token));
+        }
+    }
+
+    fn is_timed_out(&self, attempt: &OutstandingAttempt) -> bool {
+        self.requests[&attempt.request].deadline <= self.now
+    }
+
     fn run(&mut self, step: Step) {
         match step {
-            Step::Arrive { class, hint, left } => {
-                let request = RequestId(self.harness.next_request);
-                self.harness.next_request += 1;
-                let due = self.now + left;
-                let seen = Seen { class, due, attempts: 0, ran: None, ended: false };
-                self.seen.insert(request, seen);
-                let hint = (hint != 0).then_some(hint);
-                self.dispatch(Event::Arrival(Arrival {
-                    request,
-                    class,
-                    deadline: due,
-                    work_hint: hint,
-                    slots: 1.0,
-                    is_retry: false,
-                    affinity_key: 0,
-                    body_sendable: true,
-                }));
+            Step::Arrive { class, work_hint, time_left } => self.arrive(class, work_hint, time_left),
+            Step::EndAttempt { pick, outcome } if !self.outstanding.is_empty() => {
+                self.end_attempt(pick % self.outstanding.len(), outcome);
             }
-            Step::End { pick, outcome } if !self.out.is_empty() => self.end(pick % self.out.len(), outcome),
-            Step::Start { pick } if !self.out.is_empty() => {
-                let o = &self.out[pick % self.out.len()];
-                let (request, attempt, worker) = (o.request, o.attempt, o.worker);
-                self.dispatch(Event::AttemptStarted { request, attempt, worker });
+            Step::StartAttempt { pick } if !self.outstanding.is_empty() => {
+                let attempt = &self.outstanding[pick % self.outstanding.len()];
+                let (request, worker) = (attempt.request, attempt.worker);
+                self.dispatch(Event::AttemptStarted { request, attempt: attempt.number, worker });
             }
-            Step::Lapse { pick } if !self.seen.is_empty() => {
-                let id = RequestId((pick % self.seen.len()) as u64);
-                self.seen.get_mut(&id).expect("a known request").ended = true;
+            Step::Disconnect { pick } if !self.requests.is_empty() => {
+                let id = RequestId((pick % self.requests.len()) as u64);
+                self.request(id).is_concluded = true;
                 self.dispatch(Event::ClientDisconnected(id));
             }
-            Step::List { worker, lifecycle, cold } => {
+            Step::UpdateWorker { worker, lifecycle, restarts } => {
                 self.ready[worker as usize] = lifecycle == Lifecycle::Ready;
-                let born = if cold { self.now } else { 0 };
-                let entry = WorkerEntry { lifecycle, started_at: born, ..entry(worker) };
-                self.dispatch(list_delta([entry]));
+                let started_at = if restarts { self.now } else { 0 };
+                self.dispatch(list_delta([WorkerEntry { lifecycle, started_at, ..entry(worker) }]));
             }
-            Step::Stray { n } => {
-                self.dispatch(Event::Timer(n % 4));
-                self.dispatch(Event::ClientDisconnected(RequestId(u64::MAX - n % 9)));
-                let worker = WorkerId((n % 6) as u32);
-                self.dispatch(Event::AttemptStarted { request: RequestId(u64::MAX), attempt: 0, worker });
-            }
-            Step::Pass { time } => self.pass(time),
-            _ => {}
+            Step::UnknownIds { number } => self.name_unknown_ids(number),
+            Step::Wait { time } => self.wait(time),
+            Step::EndAttempt { .. } | Step::StartAttempt { .. } | Step::Disconnect { .. } => {}
         }
     }
+
+    fn arrive(&mut self, class: usize, work_hint: Micros, time_left: Micros) {
+        let id = self.harness.next_id();
+        let deadline = self.now + time_left;
+        let request =
+            KnownRequest { class, deadline, attempts: 0, first_execution: None, is_concluded: false };
+        self.requests.insert(id, request);
+        self.dispatch(Event::Arrival(Arrival {
+            work_hint: (work_hint != 0).then_some(work_hint),
+            ..arrival(id, class, deadline, work_hint)
+        }));
+    }
+
+    /// Timers that were not set, and requests that the dispatcher does not know.
+    fn name_unknown_ids(&mut self, number: u64) {
+        self.dispatch(Event::Timer(number % 4));
+        self.dispatch(Event::ClientDisconnected(RequestId(u64::MAX - number % 9)));
+        let worker = WorkerId((number % WORKERS as u64) as u32);
+        self.dispatch(Event::AttemptStarted { request: RequestId(u64::MAX), attempt: 0, worker });
+    }
 }
 
 #[test]
-fn the_rules_hold_in_any_order_of_events() {
+fn rules_hold_in_any_order_of_events() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, rng);
     let steps = (prop::collection::vec(step(), 1..80), any::<bool>());
     runner
-        .run(&steps, |(steps, full_proves)| {
+        .run(&steps, |(steps, rejection_proves_not_run)| {
             let mut settings = settings();
-            settings.limits.rejection_may_have_run = !full_proves;
-            let harness = DispatcherHarness::new(settings, 6);
-            let (seen, out, timers) = (BTreeMap::new(), Vec::new(), Vec::new());
-            let mut world = World { harness, now: SEC, seen, out, timers, ready: [true; 6], full_proves };
+            settings.limits.rejection_may_have_run = !rejection_proves_not_run;
+            let harness = DispatcherHarness::new(settings, WORKERS as u32);
+            let mut world = World::new(harness, rejection_proves_not_run);
             for step in steps {
                 world.run(step);
             }
-            world.pass(6 * SEC);
-            assert!(world.seen.values().all(|r| r.ended), "a request was never answered");
+            world.wait(6 * SEC);
+            assert!(
+                world.requests.values().all(|request| request.is_concluded),
+                "a request was never answered"
+            );
             Ok(())
         })
-        .expect("every order keeps the rules");
+        .expect("every order obeys the rules");
 }
