--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -19,7 +19,7 @@
 /// The response has to end this soon after its last job line, or its connection is closed rather than used again.
 const RESPONSE_END_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A reused connection that breaks this soon after the request's last byte was closed before the request came.
+/// A reused connection that breaks this soon after the request's last byte was closed before the request arrived.
 const STALE_CONNECTION_WINDOW: Duration = Duration::from_millis(100);
 
 /// Runs one attempt and reports to its request through `messages`; the last message says how the attempt ended.
--- a/crates/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -48,7 +48,7 @@
     pub upstream_connections: Count,
     /// Probes begun.
     pub probes: Count,
-    /// Worker lists applied, whole or partial.
+    /// Worker lists applied, complete or partial.
     pub worker_lists: Count,
     /// Discovery watches that broke or fell silent.
     pub discovery_watches_failed: Count,
--- a/crates/engine/src/dispatcher_loop.rs
+++ b/crates/engine/src/dispatcher_loop.rs
@@ -48,7 +48,7 @@
     dispatcher: Dispatcher,
     requests: HashMap<RequestId, Sender<RequestMessage>>,
     next_request: u64,
-    /// The actions of one event; kept for its memory.
+    /// The actions of one event; a field only to reuse the allocation.
     actions: Vec<Action>,
 }
 
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -13,6 +13,7 @@
 use crate::load_report::LoadReportFields;
 use crate::probe;
 use crate::request::{RequestHandle, Requests};
+use crate::request_task::RequestContext;
 use crate::tasks::Tasks;
 use crate::upstreams::Upstreams;
 use crate::worker_registry::WorkerRegistry;
@@ -49,7 +50,7 @@
     pub body_admission: BodyAdmission,
     /// The node's counters.
     pub counters: Rc<Counters>,
-    requests: Rc<Requests>,
+    requests: Requests,
     probes: Receiver<WorkerId>,
     backoff: Backoff,
     discovery_mode: DiscoveryMode,
@@ -71,15 +72,18 @@
         ));
         let upstreams = Rc::new(new_upstreams(config, &tasks, &counters));
         let bodies = new_body_store(config, disk, &upstreams);
-        let requests = Rc::new(Requests {
+        let request_context = Rc::new(RequestContext {
             dispatcher_loop: dispatcher_loop.clone(),
             upstreams: upstreams.clone(),
             counters: counters.clone(),
             tasks: tasks.clone(),
-            at_most_once: at_most_once_classes(config),
-            rejection_may_have_run: config.settings.limits.rejection_may_have_run,
             open_ids: RefCell::new(HashSet::new()),
         });
+        let requests = Requests::new(
+            request_context,
+            at_most_once_classes(config),
+            config.settings.limits.rejection_may_have_run,
+        );
         let known_workers = upstreams.registry.apply(&config.known, dispatcher_loop.clock.now());
         dispatcher_loop.dispatch(Event::WorkerList(WorkerListUpdate::Cached(known_workers)));
         Rc::new(Engine {
--- a/crates/engine/src/invariants.rs
+++ b/crates/engine/src/invariants.rs
@@ -26,11 +26,11 @@
     /// No attempt is fully sent after its deadline or its idempotency window.
     NoAttemptAfterDeadline,
     /// An at-most-once request is sent once, unless the attempts before are proven not to have run.
-    SingleRunOnce,
+    AtMostOnceSentOnce,
     /// An at-most-once request that may have run is not rejected, since a rejection invites a retry.
-    NoRefusalAfterRun,
+    NoRejectionAfterRun,
     /// No attempt is fully sent to a worker that has been draining for longer than its grace period.
-    NothingToDrained,
+    NothingSentToDrainedWorker,
     /// Each attempt has one outcome before its request ends.
     OneOutcomePerAttempt,
 }
@@ -41,21 +41,21 @@
         Invariant::OneFinalAnswer,
         Invariant::NoAttemptForGoneClient,
         Invariant::NoAttemptAfterDeadline,
-        Invariant::SingleRunOnce,
-        Invariant::NoRefusalAfterRun,
-        Invariant::NothingToDrained,
+        Invariant::AtMostOnceSentOnce,
+        Invariant::NoRejectionAfterRun,
+        Invariant::NothingSentToDrainedWorker,
         Invariant::OneOutcomePerAttempt,
     ];
 
-    /// The invariant's name in logs and metrics.
+    /// The invariant's name in logs and metrics; operators' alerts depend on it, so it stays as it is.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::OneFinalAnswer => "one_final_answer",
             Invariant::NoAttemptForGoneClient => "no_attempt_for_gone_client",
             Invariant::NoAttemptAfterDeadline => "no_attempt_after_deadline",
-            Invariant::SingleRunOnce => "single_run_once",
-            Invariant::NoRefusalAfterRun => "no_refusal_after_run",
-            Invariant::NothingToDrained => "nothing_to_drained",
+            Invariant::AtMostOnceSentOnce => "single_run_once",
+            Invariant::NoRejectionAfterRun => "no_refusal_after_run",
+            Invariant::NothingSentToDrainedWorker => "nothing_to_drained",
             Invariant::OneOutcomePerAttempt => "one_outcome_per_attempt",
         }
     }
@@ -136,11 +136,11 @@
         invariants.check(Invariant::NoAttemptAfterDeadline, request, in_time);
 
         let worker_gone = attempt.drain.as_ref().is_some_and(|drain| now > drain.since + drain.grace);
-        invariants.check(Invariant::NothingToDrained, request, !worker_gone);
+        invariants.check(Invariant::NothingSentToDrainedWorker, request, !worker_gone);
 
         let may_have_run = self.may_have_run();
         self.attempts_sent.set(self.attempts_sent.get() + 1);
-        invariants.check(Invariant::SingleRunOnce, request, !(self.at_most_once && may_have_run));
+        invariants.check(Invariant::AtMostOnceSentOnce, request, !(self.at_most_once && may_have_run));
     }
 
     /// Records the end of an attempt; `fully_sent`: its last byte was written.
@@ -153,7 +153,7 @@
     /// Checks that the request may be rejected, which tells the client that a retry is harmless.
     pub fn request_rejected(&self, invariants: &Invariants, request: &str) {
         let retry_is_harmless = !(self.at_most_once && self.may_have_run());
-        invariants.check(Invariant::NoRefusalAfterRun, request, retry_is_harmless);
+        invariants.check(Invariant::NoRejectionAfterRun, request, retry_is_harmless);
     }
 
     fn may_have_run(&self) -> bool {
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -29,7 +29,7 @@
     pub body_sendable: bool,
     /// The permit of a long body, until the body is fully sent.
     pub body_permit: Option<BodyPermit>,
-    /// Tells whether the client's connection has closed, also before its own task has noticed.
+    /// Shows whether the client's connection has closed, also before its own task has noticed.
     pub client_probe: Option<PeerProbe>,
     /// What is sent to the worker.
     pub payload: RequestPayload,
@@ -77,7 +77,7 @@
     pub client_left_at: Cell<Option<Instant>>,
     /// Whether the last byte of any of its attempts was written.
     pub fully_sent: Cell<bool>,
-    /// Tells whether the client's connection has closed.
+    /// Shows whether the client's connection has closed.
     pub client_probe: Option<PeerProbe>,
     /// The run-time checks of its invariants.
     pub guard: RequestGuard,
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -8,7 +8,8 @@
 //! | module | concern |
 //! | --- | --- |
 //! | `engine` | puts the parts of a node together |
-//! | `request` | the task of one request, from admission to answer |
+//! | `request` | the admission of requests |
+//! | `request_task` | the task of one request, from arrival to answer |
 //! | `attempt`, `probe` | one attempt at a job, one health check of a worker |
 //! | `request_writer`, `response_reader` | the request to a worker, and its response with job lines |
 //! | `attempt_spec` | the limits of one attempt, and whether it may be sent |
@@ -59,6 +60,7 @@
 mod load_report;
 mod probe;
 mod request;
+mod request_task;
 mod request_writer;
 mod response_reader;
 mod responsiveness;
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -1,49 +1,13 @@
-//! The task of one request: it is admitted, its attempts run, and it is answered once.
+//! Admits requests: registers each with the dispatcher and starts its task.
 //!
-//! The task is independent of the client's protocol: a front end submits a [`Job`] and receives one [`Answer`]. All
-//! decisions are the dispatcher's; the task carries them out and reports back what came of them.
+//! A front end submits a [`Job`] and receives one [`Answer`], whatever the client's protocol.
 
-use crate::attempt;
-use crate::attempt_end::AttemptEnd;
-use crate::attempt_spec::AttemptSpec;
-use crate::body_admission::BodyPermit;
-use crate::counters::{Counters, RequestEnd};
-use crate::dispatcher_loop::DispatcherLoop;
-use crate::invariants::{Invariant, RequestGuard};
-use crate::job::{Answer, Job, RequestMessage, RequestPayload, RequestState};
-use crate::tasks::Tasks;
-use crate::upstreams::Upstreams;
+use crate::invariants::RequestGuard;
+use crate::job::{Answer, Job, RequestMessage, RequestState};
+use crate::request_task::{NewRequest, RequestContext, RequestTask};
 use async_channel::{Receiver, Sender};
-use async_executor::Task;
-use async_io::Timer;
-use futures_lite::future::or;
-use sorrelhaven_dispatcher::{Arrival, Event, Micros, RequestId, WorkerId};
-use std::cell::{Cell, RefCell};
-use std::collections::{HashMap, HashSet};
+use sorrelhaven_dispatcher::{Arrival, RequestId};
 use std::rc::Rc;
-use std::time::{Duration, Instant};
-use tracing::{debug, warn};
-
-/// A request without an answer this long after its deadline is failed by its own task. Attempts end at the deadline and
-/// the dispatcher answers then, so this acts only where a message or a wake-up was lost.
-const OVERDUE_ANSWER_DELAY: Duration = Duration::from_millis(100);
-
-/// An attempt that has no outcome yet.
-struct RunningAttempt {
-    worker: WorkerId,
-    /// When it began or, for a long body, when the body was fully sent: its elapsed time counts from here.
-    sent_at: Micros,
-    fully_sent: Rc<Cell<bool>>,
-    task: Task<()>,
-}
-
-/// Why a request's task wakes up.
-enum Wakeup {
-    /// The dispatcher, an attempt or the front end sent a message.
-    Message(RequestMessage),
-    /// The deadline passed [`OVERDUE_ANSWER_DELAY`] ago.
-    Overdue,
-}
 
 /// The front end's handle on a request in progress.
 pub struct RequestHandle {
@@ -64,68 +28,60 @@
     }
 }
 
-/// What the tasks of all requests share.
+/// Admits requests.
 pub struct Requests {
-    /// The dispatcher and its event queue.
-    pub dispatcher_loop: Rc<DispatcherLoop>,
-    /// The workers and the connections to them.
-    pub upstreams: Rc<Upstreams>,
-    /// The node's counters.
-    pub counters: Rc<Counters>,
-    /// The executor that the tasks run on.
-    pub tasks: Rc<Tasks>,
-    /// Whether requests of a class must not run twice, by the class's index in the settings.
-    pub at_most_once: Vec<bool>,
-    /// Whether an attempt that a worker rejected may have run all the same.
-    pub rejection_may_have_run: bool,
-    /// The ids of the requests in progress.
-    pub open_ids: RefCell<HashSet<Rc<str>>>,
+    context: Rc<RequestContext>,
+    at_most_once: Vec<bool>,
+    rejection_may_have_run: bool,
 }
 
 impl Requests {
+    /// Requests whose tasks share `context`.
+    ///
+    /// `at_most_once`: whether the requests of a class must not run twice, by the class's index in the settings.
+    /// `rejection_may_have_run`: whether an attempt that a worker rejected may have run all the same.
+    pub fn new(
+        context: Rc<RequestContext>,
+        at_most_once: Vec<bool>,
+        rejection_may_have_run: bool,
+    ) -> Requests {
+        Requests { context, at_most_once, rejection_may_have_run }
+    }
+
     /// Admits a request and starts its task.
     ///
     /// Returns `None` where a request of the same id is in progress: workers know their jobs by id, so a second one
     /// would be rejected there, or mixed up with the first.
-    pub fn take(self: &Rc<Self>, job: Job) -> Option<RequestHandle> {
-        let name = job.payload.id.clone();
-        if !self.open_ids.borrow_mut().insert(name.clone()) {
+    pub fn take(&self, job: Job) -> Option<RequestHandle> {
+        let is_new = self.context.open_ids.borrow_mut().insert(job.payload.id.clone());
+        if !is_new {
             return None;
         }
         let (messages, receiver) = async_channel::unbounded();
         let (reply, answer) = async_channel::bounded(1);
-        self.counters.request_admitted(job.class);
-        let id = self.dispatcher_loop.register_request(messages.clone());
-        let arrival = Arrival {
-            request: id,
-            class: job.class,
-            deadline: job.deadline,
-            work_hint: job.work_hint,
-            slots: job.slots,
-            is_retry: job.is_retry,
-            affinity_key: job.affinity_key,
-            body_sendable: job.body_sendable,
+        self.context.counters.request_admitted(job.class);
+        let id = self.context.dispatcher_loop.register_request(messages.clone());
+        let arrival = arrival(id, &job);
+        let request = self.new_request(id, job);
+        let task = RequestTask::new(self.context.clone(), request, messages.clone(), reply);
+        self.context.tasks.spawn(task.run(arrival, receiver));
+        Some(RequestHandle { messages, answer })
+    }
+
+    fn new_request(&self, id: RequestId, job: Job) -> NewRequest {
+        let state = RequestState {
+            client_probe: job.client_probe,
+            guard: self.guard(job.class),
+            ..RequestState::default()
         };
-        let task = RequestTask {
-            requests: self.clone(),
+        NewRequest {
             id,
             class: job.class,
             deadline: job.deadline,
-            name,
             payload: Rc::new(job.payload),
-            messages: messages.clone(),
-            reply,
             body_permit: job.body_permit,
-            state: Rc::new(RequestState {
-                client_probe: job.client_probe,
-                guard: self.guard(job.class),
-                ..RequestState::default()
-            }),
-            attempts: HashMap::new(),
-            attempts_begun: 0,
-        };
-        self.tasks.spawn(task.run(arrival, receiver));
-        Some(RequestHandle { messages, answer })
+            state: Rc::new(state),
+        }
     }
 
     /// The run-time checks for a new request; an unknown class is held to the strictest rule.
@@ -135,243 +91,16 @@
     }
 }
 
-/// The state of one request's task.
-struct RequestTask {
-    requests: Rc<Requests>,
-    id: RequestId,
-    class: usize,
-    deadline: Micros,
-    /// The client's id for the request, as logs and workers know it.
-    name: Rc<str>,
-    payload: Rc<RequestPayload>,
-    /// For the attempts to report through.
-    messages: Sender<RequestMessage>,
-    reply: Sender<Answer>,
-    body_permit: Option<BodyPermit>,
-    state: Rc<RequestState>,
-    /// The attempts without an outcome, by number.
-    attempts: HashMap<u32, RunningAttempt>,
-    attempts_begun: u32,
-}
-
-impl RequestTask {
-    /// Runs the request from its arrival until it is answered and all its attempts have ended.
-    async fn run(mut self, arrival: Arrival, messages: Receiver<RequestMessage>) {
-        self.dispatch(Event::Arrival(arrival));
-        let clock = self.requests.dispatcher_loop.clock;
-        let mut overdue_timer = Timer::at(clock.instant(self.deadline) + OVERDUE_ANSWER_DELAY);
-        while !self.is_finished(&messages) {
-            match next_wakeup(&messages, &mut overdue_timer).await {
-                Some(Wakeup::Message(message)) => self.handle(message),
-                Some(Wakeup::Overdue) => {
-                    overdue_timer.clear();
-                    self.answer_overdue();
-                }
-                None => break,
-            }
-        }
-    }
-
-    /// Whether the request has its answer and every attempt its outcome. A message that is still queued may ask for an
-    /// attempt: without an outcome of that one the dispatcher would count it as running for ever.
-    fn is_finished(&self, messages: &Receiver<RequestMessage>) -> bool {
-        self.state.concluded.get() && self.attempts.is_empty() && messages.is_empty()
-    }
-
-    fn handle(&mut self, message: RequestMessage) {
-        match message {
-            RequestMessage::Send { worker, deadline, send_by } => {
-                self.begin_attempt(worker, deadline.min(self.deadline), send_by);
-            }
-            RequestMessage::Cancel { attempt } => {
-                self.end_attempt(attempt, AttemptEnd::Cancelled, Vec::new());
-            }
-            RequestMessage::Reject { retry_after } => self.answer(Answer::Rejected { retry_after }),
-            RequestMessage::Fail => self.answer(Answer::Failed),
-            RequestMessage::AttemptStarted { attempt } => self.attempt_started(attempt),
-            RequestMessage::AttemptProgress { attempt, share } => self.attempt_progress(attempt, share),
-            RequestMessage::RequestSent { attempt } => self.request_sent(attempt),
-            RequestMessage::BodyConsumed => self.dispatch(Event::BodyConsumed(self.id)),
-            RequestMessage::AttemptEnded { attempt, end, load_report } => {
-                self.end_attempt(attempt, end, load_report);
-            }
-            RequestMessage::ClientDisconnected => self.client_disconnected(),
-        }
-    }
-
-    fn dispatch(&self, event: Event) {
-        self.requests.dispatcher_loop.dispatch(event);
-    }
-
-    fn now(&self) -> Micros {
-        self.requests.dispatcher_loop.clock.now()
-    }
-
-    /// Begins an attempt that waits until `deadline` and must not be sent from `send_by` on. An attempt that the
-    /// dispatcher asked for before it knew of the answer ends at once, unsent.
-    fn begin_attempt(&mut self, worker: WorkerId, deadline: Micros, send_by: Micros) {
-        let attempt = self.attempts_begun;
-        self.attempts_begun += 1;
-        self.requests.counters.attempts.add();
-        debug!(id = %self.name, attempt, worker = worker.0, "attempt started");
-        let fully_sent = Rc::<Cell<bool>>::default();
-        let task = if self.state.concluded.get() {
-            let _ = self.messages.try_send(RequestMessage::AttemptEnded {
-                attempt,
-                end: AttemptEnd::RequestConcluded,
-                load_report: Vec::new(),
-            });
-            self.requests.tasks.hold(std::future::ready(()))
-        } else {
-            let clock = self.requests.dispatcher_loop.clock;
-            let spec = AttemptSpec {
-                attempt,
-                worker,
-                deadline: clock.instant(deadline),
-                send_by: clock.instant(send_by.min(deadline)),
-                request: self.state.clone(),
-                fully_sent: fully_sent.clone(),
-            };
-            let upstreams = self.requests.upstreams.clone();
-            let run = attempt::run(upstreams, self.payload.clone(), spec, self.messages.clone());
-            self.requests.tasks.hold(run)
-        };
-        let sent_at = self.now();
-        self.attempts.insert(attempt, RunningAttempt { worker, sent_at, fully_sent, task });
-    }
-
-    /// The worker has started on the job.
-    fn attempt_started(&self, attempt: u32) {
-        if let Some(&RunningAttempt { worker, .. }) = self.attempts.get(&attempt) {
-            self.dispatch(Event::AttemptStarted { request: self.id, attempt, worker });
-        }
-    }
-
-    /// The worker has done this share of the job.
-    fn attempt_progress(&self, attempt: u32, share: f64) {
-        if let Some(&RunningAttempt { worker, .. }) = self.attempts.get(&attempt) {
-            self.dispatch(Event::AttemptProgress { request: self.id, attempt, worker, share });
-        }
-    }
-
-    /// The last byte of a long body was written.
-    fn request_sent(&mut self, attempt: u32) {
-        self.body_permit = None;
-        let now = self.now();
-        let Some(running) = self.attempts.get_mut(&attempt) else { return };
-        // The transfer of a long body says nothing of the worker's speed.
-        running.sent_at = now;
-        let worker = running.worker;
-        self.dispatch(Event::RequestSent { request: self.id, attempt, worker });
-    }
-
-    /// Records the one outcome of an attempt. Where a cancellation crosses its own end, the first of them counts.
-    fn end_attempt(&mut self, attempt: u32, end: AttemptEnd, load_report: Vec<f64>) {
-        let Some(RunningAttempt { worker, sent_at, fully_sent, task }) = self.attempts.remove(&attempt)
-        else {
-            return;
-        };
-        let fully_sent = fully_sent.get();
-        self.state.guard.attempt_ended(&end, fully_sent);
-        debug!(id = %self.name, attempt, worker = worker.0, ?end, fully_sent, "attempt ended");
-        let outcome = end.outcome();
-        self.requests.counters.attempt_ended(outcome);
-        match end {
-            AttemptEnd::Cancelled => drop(task),
-            // What is left of the task returns its connection to the pool.
-            _ => task.detach(),
-        }
-        if let AttemptEnd::Completed(result) = end {
-            self.answer(Answer::Served(result));
-        }
-        self.dispatch(Event::AttemptEnded {
-            request: self.id,
-            attempt,
-            worker,
-            outcome,
-            elapsed: self.now() - sent_at,
-            request_concluded: self.state.concluded.get(),
-            load_report,
-        });
-    }
-
-    fn client_disconnected(&mut self) {
-        if self.state.concluded.replace(true) {
-            return;
-        }
-        self.body_permit = None;
-        self.state.client_left_at.set(Some(Instant::now()));
-        if !self.state.fully_sent.get() {
-            self.requests.counters.client_gone_waiting.add();
-        }
-        self.requests.counters.request_concluded(self.class, RequestEnd::ClientGone);
-        self.dispatch(Event::ClientDisconnected(self.id));
-    }
-
-    /// Fails a request that nothing else has answered, and cancels its attempts.
-    fn answer_overdue(&mut self) {
-        if self.state.concluded.get() {
-            return;
-        }
-        let attempts = self.attempts.len();
-        warn!(id = %self.name, attempts, "request overdue, answered by the deadline guard");
-        self.requests.counters.answered_by_deadline_guard.add();
-        self.answer(Answer::Failed);
-        self.dispatch(Event::ClientDisconnected(self.id));
-        let running: Vec<u32> = self.attempts.keys().copied().collect();
-        for attempt in running {
-            self.end_attempt(attempt, AttemptEnd::Cancelled, Vec::new());
-        }
-    }
-
-    /// Gives the client its answer, unless it has one or has disconnected.
-    fn answer(&mut self, answer: Answer) {
-        if self.state.concluded.replace(true) {
-            return;
-        }
-        self.body_permit = None;
-        if matches!(answer, Answer::Rejected { .. }) {
-            self.state.guard.request_rejected(&self.requests.counters.invariants, &self.name);
-        }
-        debug!(id = %self.name, ?answer, "request concluded");
-        let late = self.now() - self.deadline;
-        if late > 0 {
-            self.requests.counters.answered_late.add();
-            debug!(id = %self.name, late_us = late, "request concluded after its deadline");
-        }
-        let end = match answer {
-            Answer::Served(_) => RequestEnd::Served,
-            Answer::Rejected { .. } => RequestEnd::Rejected,
-            Answer::Failed => RequestEnd::Failed,
-        };
-        self.requests.counters.request_concluded(self.class, end);
-        // A front end that has dropped its handle needs no answer.
-        let _ = self.reply.try_send(answer);
-    }
-}
-
-/// Waits for a message or for the timer; `None` where no one can send a message any more.
-async fn next_wakeup(messages: &Receiver<RequestMessage>, overdue_timer: &mut Timer) -> Option<Wakeup> {
-    let message = async { messages.recv().await.ok().map(Wakeup::Message) };
-    let overdue = async {
-        overdue_timer.await;
-        Some(Wakeup::Overdue)
-    };
-    or(message, overdue).await
-}
-
-impl Drop for RequestTask {
-    fn drop(&mut self) {
-        let counters = &self.requests.counters;
-        let answered = self.state.concluded.get();
-        let all_ended = self.attempts.is_empty();
-        counters.invariants.check(Invariant::OneFinalAnswer, &self.name, answered);
-        counters.invariants.check(Invariant::OneOutcomePerAttempt, &self.name, all_ended);
-        if !answered {
-            // The client's connection learns of it by the closed answer channel, and reports a failure of the node.
-            counters.request_concluded(self.class, RequestEnd::Failed);
-        }
-        self.requests.dispatcher_loop.deregister_request(self.id);
-        self.requests.open_ids.borrow_mut().remove(&self.name);
+/// What the dispatcher needs to know of a new request.
+fn arrival(request: RequestId, job: &Job) -> Arrival {
+    Arrival {
+        request,
+        class: job.class,
+        deadline: job.deadline,
+        work_hint: job.work_hint,
+        slots: job.slots,
+        is_retry: job.is_retry,
+        affinity_key: job.affinity_key,
+        body_sendable: job.body_sendable,
     }
 }
--- /dev/null
+++ b/crates/engine/src/request_task.rs
@@ -0,0 +1,328 @@
+//! The task of one request: runs its attempts and answers it once.
+//!
+//! All decisions are the dispatcher's; the task carries them out and reports the results.
+
+use crate::attempt;
+use crate::attempt_end::AttemptEnd;
+use crate::attempt_spec::AttemptSpec;
+use crate::body_admission::BodyPermit;
+use crate::counters::{Counters, RequestEnd};
+use crate::dispatcher_loop::DispatcherLoop;
+use crate::invariants::Invariant;
+use crate::job::{Answer, RequestMessage, RequestPayload, RequestState};
+use crate::tasks::Tasks;
+use crate::upstreams::Upstreams;
+use async_channel::{Receiver, Sender};
+use async_executor::Task;
+use async_io::Timer;
+use futures_lite::future::{or, ready};
+use sorrelhaven_dispatcher::{Arrival, Event, Micros, RequestId, WorkerId};
+use std::cell::{Cell, RefCell};
+use std::collections::{HashMap, HashSet};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use tracing::{debug, warn};
+
+/// A request without an answer this long after its deadline is failed by its own task. Attempts end at the deadline and
+/// the dispatcher answers then, so this acts only where a message or a wake-up was lost.
+const OVERDUE_ANSWER_DELAY: Duration = Duration::from_millis(100);
+
+/// An attempt that has no outcome yet.
+struct RunningAttempt {
+    worker: WorkerId,
+    /// When it began or, for a long body, when the body was fully sent: its elapsed time counts from here.
+    sent_at: Micros,
+    fully_sent: Rc<Cell<bool>>,
+    task: Task<()>,
+}
+
+/// Why a request's task wakes up.
+enum Wakeup {
+    /// The dispatcher, an attempt or the front end sent a message.
+    Message(RequestMessage),
+    /// The deadline passed [`OVERDUE_ANSWER_DELAY`] ago.
+    Overdue,
+}
+
+/// What the tasks of all requests share.
+pub struct RequestContext {
+    /// The dispatcher and its event queue.
+    pub dispatcher_loop: Rc<DispatcherLoop>,
+    /// The workers and the connections to them.
+    pub upstreams: Rc<Upstreams>,
+    /// The node's counters.
+    pub counters: Rc<Counters>,
+    /// The executor that the tasks run on.
+    pub tasks: Rc<Tasks>,
+    /// The ids of the requests in progress.
+    pub open_ids: RefCell<HashSet<Rc<str>>>,
+}
+
+/// One request, as it is admitted.
+pub struct NewRequest {
+    /// The dispatcher's number for the request.
+    pub id: RequestId,
+    /// The index of its class in the settings.
+    pub class: usize,
+    /// When the client gives up.
+    pub deadline: Micros,
+    /// What is sent to workers.
+    pub payload: Rc<RequestPayload>,
+    /// The permit of a long body.
+    pub body_permit: Option<BodyPermit>,
+    /// The state that its attempts share.
+    pub state: Rc<RequestState>,
+}
+
+/// A request in progress.
+pub struct RequestTask {
+    context: Rc<RequestContext>,
+    request: NewRequest,
+    /// For the attempts to report through.
+    messages: Sender<RequestMessage>,
+    reply: Sender<Answer>,
+    /// The attempts without an outcome, by number.
+    attempts: HashMap<u32, RunningAttempt>,
+    attempts_begun: u32,
+}
+
+impl RequestTask {
+    /// The task of an admitted request. It receives `messages` from its attempts and answers through `reply`.
+    pub fn new(
+        context: Rc<RequestContext>,
+        request: NewRequest,
+        messages: Sender<RequestMessage>,
+        reply: Sender<Answer>,
+    ) -> RequestTask {
+        RequestTask { context, request, messages, reply, attempts: HashMap::new(), attempts_begun: 0 }
+    }
+
+    /// Runs the request from its arrival until it is answered and all its attempts have ended.
+    pub async fn run(mut self, arrival: Arrival, messages: Receiver<RequestMessage>) {
+        self.dispatch(Event::Arrival(arrival));
+        let clock = self.context.dispatcher_loop.clock;
+        let mut overdue_timer = Timer::at(clock.instant(self.request.deadline) + OVERDUE_ANSWER_DELAY);
+        while !self.is_finished(&messages) {
+            match next_wakeup(&messages, &mut overdue_timer).await {
+                Some(Wakeup::Message(message)) => self.handle(message),
+                Some(Wakeup::Overdue) => {
+                    overdue_timer.clear();
+                    self.answer_overdue();
+                }
+                None => break,
+            }
+        }
+    }
+
+    /// Whether the request has its answer and every attempt its outcome. A message that is still queued may ask for an
+    /// attempt: without an outcome of that one the dispatcher would count it as running for ever.
+    fn is_finished(&self, messages: &Receiver<RequestMessage>) -> bool {
+        self.request.state.concluded.get() && self.attempts.is_empty() && messages.is_empty()
+    }
+
+    fn handle(&mut self, message: RequestMessage) {
+        match message {
+            RequestMessage::Send { worker, deadline, send_by } => {
+                self.begin_attempt(worker, deadline.min(self.request.deadline), send_by);
+            }
+            RequestMessage::Cancel { attempt } => {
+                self.end_attempt(attempt, AttemptEnd::Cancelled, Vec::new());
+            }
+            RequestMessage::Reject { retry_after } => self.answer(Answer::Rejected { retry_after }),
+            RequestMessage::Fail => self.answer(Answer::Failed),
+            RequestMessage::AttemptStarted { attempt } => self.attempt_started(attempt),
+            RequestMessage::AttemptProgress { attempt, share } => self.attempt_progress(attempt, share),
+            RequestMessage::RequestSent { attempt } => self.request_sent(attempt),
+            RequestMessage::BodyConsumed => self.dispatch(Event::BodyConsumed(self.request.id)),
+            RequestMessage::AttemptEnded { attempt, end, load_report } => {
+                self.end_attempt(attempt, end, load_report);
+            }
+            RequestMessage::ClientDisconnected => self.client_disconnected(),
+        }
+    }
+
+    fn dispatch(&self, event: Event) {
+        self.context.dispatcher_loop.dispatch(event);
+    }
+
+    /// The client's id for the request, as logs and workers know it.
+    fn name(&self) -> &str {
+        &self.request.payload.id
+    }
+
+    fn now(&self) -> Micros {
+        self.context.dispatcher_loop.clock.now()
+    }
+
+    /// Begins an attempt that waits until `deadline` and must not be sent from `send_by` on.
+    fn begin_attempt(&mut self, worker: WorkerId, deadline: Micros, send_by: Micros) {
+        let attempt = self.attempts_begun;
+        self.attempts_begun += 1;
+        self.context.counters.attempts.add();
+        debug!(id = %self.name(), attempt, worker = worker.0, "attempt started");
+        let clock = self.context.dispatcher_loop.clock;
+        let fully_sent = Rc::<Cell<bool>>::default();
+        let spec = AttemptSpec {
+            attempt,
+            worker,
+            deadline: clock.instant(deadline),
+            send_by: clock.instant(send_by.min(deadline)),
+            request: self.request.state.clone(),
+            fully_sent: fully_sent.clone(),
+        };
+        let task = self.start_attempt_task(spec);
+        let sent_at = self.now();
+        self.attempts.insert(attempt, RunningAttempt { worker, sent_at, fully_sent, task });
+    }
+
+    /// Starts the task of an attempt. An attempt that the dispatcher asked for before it knew of the answer ends at once,
+    /// unsent.
+    fn start_attempt_task(&self, spec: AttemptSpec) -> Task<()> {
+        let tasks = &self.context.tasks;
+        if self.request.state.concluded.get() {
+            let _ = self.messages.try_send(RequestMessage::AttemptEnded {
+                attempt: spec.attempt,
+                end: AttemptEnd::RequestConcluded,
+                load_report: Vec::new(),
+            });
+            return tasks.hold(ready(()));
+        }
+        let upstreams = self.context.upstreams.clone();
+        tasks.hold(attempt::run(upstreams, self.request.payload.clone(), spec, self.messages.clone()))
+    }
+
+    /// The worker has started on the job.
+    fn attempt_started(&self, attempt: u32) {
+        if let Some(&RunningAttempt { worker, .. }) = self.attempts.get(&attempt) {
+            self.dispatch(Event::AttemptStarted { request: self.request.id, attempt, worker });
+        }
+    }
+
+    /// The worker has done this share of the job.
+    fn attempt_progress(&self, attempt: u32, share: f64) {
+        if let Some(&RunningAttempt { worker, .. }) = self.attempts.get(&attempt) {
+            self.dispatch(Event::AttemptProgress { request: self.request.id, attempt, worker, share });
+        }
+    }
+
+    /// The last byte of a long body was written.
+    fn request_sent(&mut self, attempt: u32) {
+        self.request.body_permit = None;
+        let now = self.now();
+        let Some(running) = self.attempts.get_mut(&attempt) else { return };
+        // The transfer of a long body says nothing of the worker's speed.
+        running.sent_at = now;
+        let worker = running.worker;
+        self.dispatch(Event::RequestSent { request: self.request.id, attempt, worker });
+    }
+
+    /// Records the one outcome of an attempt. Where a cancellation crosses its own end, the first of them counts.
+    fn end_attempt(&mut self, attempt: u32, end: AttemptEnd, load_report: Vec<f64>) {
+        let Some(RunningAttempt { worker, sent_at, fully_sent, task }) = self.attempts.remove(&attempt)
+        else {
+            return;
+        };
+        let fully_sent = fully_sent.get();
+        self.request.state.guard.attempt_ended(&end, fully_sent);
+        debug!(id = %self.name(), attempt, worker = worker.0, ?end, fully_sent, "attempt ended");
+        let outcome = end.outcome();
+        self.context.counters.attempt_ended(outcome);
+        match end {
+            AttemptEnd::Cancelled => drop(task),
+            // What is left of the task returns its connection to the pool.
+            _ => task.detach(),
+        }
+        if let AttemptEnd::Completed(result) = end {
+            self.answer(Answer::Served(result));
+        }
+        self.dispatch(Event::AttemptEnded {
+            request: self.request.id,
+            attempt,
+            worker,
+            outcome,
+            elapsed: self.now() - sent_at,
+            request_concluded: self.request.state.concluded.get(),
+            load_report,
+        });
+    }
+
+    fn client_disconnected(&mut self) {
+        if self.request.state.concluded.replace(true) {
+            return;
+        }
+        self.request.body_permit = None;
+        self.request.state.client_left_at.set(Some(Instant::now()));
+        if !self.request.state.fully_sent.get() {
+            self.context.counters.client_gone_waiting.add();
+        }
+        self.context.counters.request_concluded(self.request.class, RequestEnd::ClientGone);
+        self.dispatch(Event::ClientDisconnected(self.request.id));
+    }
+
+    /// Fails a request that nothing else has answered, and cancels its attempts.
+    fn answer_overdue(&mut self) {
+        if self.request.state.concluded.get() {
+            return;
+        }
+        let attempts = self.attempts.len();
+        warn!(id = %self.name(), attempts, "request overdue, answered by the deadline guard");
+        self.context.counters.answered_by_deadline_guard.add();
+        self.answer(Answer::Failed);
+        self.dispatch(Event::ClientDisconnected(self.request.id));
+        let running: Vec<u32> = self.attempts.keys().copied().collect();
+        for attempt in running {
+            self.end_attempt(attempt, AttemptEnd::Cancelled, Vec::new());
+        }
+    }
+
+    /// Gives the client its answer, unless it has one or has disconnected.
+    fn answer(&mut self, answer: Answer) {
+        if self.request.state.concluded.replace(true) {
+            return;
+        }
+        self.request.body_permit = None;
+        if matches!(answer, Answer::Rejected { .. }) {
+            self.request.state.guard.request_rejected(&self.context.counters.invariants, self.name());
+        }
+        debug!(id = %self.name(), ?answer, "request concluded");
+        let late = self.now() - self.request.deadline;
+        if late > 0 {
+            self.context.counters.answered_late.add();
+            debug!(id = %self.name(), late_us = late, "request concluded after its deadline");
+        }
+        let end = match answer {
+            Answer::Served(_) => RequestEnd::Served,
+            Answer::Rejected { .. } => RequestEnd::Rejected,
+            Answer::Failed => RequestEnd::Failed,
+        };
+        self.context.counters.request_concluded(self.request.class, end);
+        // A front end that has dropped its handle needs no answer.
+        let _ = self.reply.try_send(answer);
+    }
+}
+
+/// Waits for a message or for the timer; `None` where no one can send a message any more.
+async fn next_wakeup(messages: &Receiver<RequestMessage>, overdue_timer: &mut Timer) -> Option<Wakeup> {
+    let message = async { messages.recv().await.ok().map(Wakeup::Message) };
+    let overdue = async {
+        overdue_timer.await;
+        Some(Wakeup::Overdue)
+    };
+    or(message, overdue).await
+}
+
+impl Drop for RequestTask {
+    fn drop(&mut self) {
+        let counters = &self.context.counters;
+        let answered = self.request.state.concluded.get();
+        let all_ended = self.attempts.is_empty();
+        counters.invariants.check(Invariant::OneFinalAnswer, self.name(), answered);
+        counters.invariants.check(Invariant::OneOutcomePerAttempt, self.name(), all_ended);
+        if !answered {
+            // The client's connection learns of it by the closed answer channel, and reports a failure of the node.
+            counters.request_concluded(self.request.class, RequestEnd::Failed);
+        }
+        self.context.dispatcher_loop.deregister_request(self.request.id);
+        self.context.open_ids.borrow_mut().remove(self.name());
+    }
+}
--- a/crates/engine/src/request_writer.rs
+++ b/crates/engine/src/request_writer.rs
@@ -36,8 +36,8 @@
     /// How the attempt ends where the request could not be sent completely. A body that breaks off leaves the message
     /// incomplete, so the worker never takes it for a valid request.
     pub async fn write(&self, host: &str, connection: &mut Connection) -> Result<(), AttemptEnd> {
-        let length = self.payload.body.length();
         let mut body = self.payload.body.reader();
+        let length = self.payload.body.length();
         let mut chunk = Vec::new();
         let mut output = Vec::new();
         let mut body_bytes = 0;
--- a/crates/engine/src/response_reader.rs
+++ b/crates/engine/src/response_reader.rs
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     ///
-    /// How the attempt ends where no valid head came.
+    /// How the attempt ends where there is no valid head.
     pub async fn read_head(connection: &mut Connection) -> Result<ResponseReader, AttemptEnd> {
         let head = connection.read_head(Head::parse_response).await.map_err(AttemptEnd::unreadable)?;
         let StartLine::Response { status } = head.start else { return Err(AttemptEnd::Malformed) };
--- a/crates/engine/src/responsiveness.rs
+++ b/crates/engine/src/responsiveness.rs
@@ -25,19 +25,19 @@
 impl Responsiveness {
     /// Records a step that started at `started` and has just ended.
     pub fn step_ended(&self, started: Instant) {
-        let took = started.elapsed();
-        self.longest_step.note(took);
-        if took > LONG_STEP {
+        let elapsed = started.elapsed();
+        self.longest_step.note(elapsed);
+        if elapsed > LONG_STEP {
             self.long_steps.add();
-            warn!(took_ms = took.as_millis(), "slow event loop step");
+            warn!(took_ms = elapsed.as_millis(), "slow event loop step");
         }
     }
 
     /// Logs the part of a step that started at `started` and has just ended, where it alone took long.
     pub fn part_ended(&self, part: &'static str, started: Instant) {
-        let took = started.elapsed();
-        if took > LONG_STEP {
-            warn!(part, took_ms = took.as_millis(), "slow part of an event loop step");
+        let elapsed = started.elapsed();
+        if elapsed > LONG_STEP {
+            warn!(part, took_ms = elapsed.as_millis(), "slow part of an event loop step");
         }
     }
 }
--- a/crates/engine/src/start_times.rs
+++ b/crates/engine/src/start_times.rs
@@ -19,7 +19,7 @@
 
 /// A worker's start as it was evaluated.
 struct RecordedStart {
-    /// The date that discovery gave.
+    /// The date in the list.
     dated: Micros,
     /// The start on the node's clock.
     started_at: Micros,
--- a/crates/engine/src/tests/pooled_connection.rs
+++ b/crates/engine/src/tests/pooled_connection.rs
@@ -107,7 +107,7 @@
     !script.hangs && !rest.iter().any(|step| matches!(step, Step::Close | Step::Huge))
 }
 
-/// Plays a worker for one request; false if none came.
+/// Plays a worker for one request; false if there was none.
 pub fn play(
     stream: &mut TcpStream,
     script: &ServerScript,
