--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -16,13 +16,16 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The response has to end this soon after its last job line, or its connection is closed rather than used again.
+/// The response has to end this soon after its last job line, or its connection is closed rather than used
+/// again.
 const RESPONSE_END_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A reused connection that breaks this soon after the request's last byte was closed before the request arrived.
+/// A reused connection that breaks this soon after the request's last byte was closed before the request
+/// arrived.
 const STALE_CONNECTION_WINDOW: Duration = Duration::from_millis(100);
 
-/// Runs one attempt and reports to its request through `messages`; the last message says how the attempt ended.
+/// Runs one attempt and reports to its request through `messages`; the last message says how the attempt
+/// ended.
 pub async fn run(
     upstreams: Rc<Upstreams>,
     payload: Rc<RequestPayload>,
@@ -60,10 +63,11 @@
         Ok(())
     }
 
-    /// Writes the request to a pooled or a new connection. Until its last byte is written the job has not run.
+    /// Writes the request to a pooled or a new connection. Until its last byte is written the job has not
+    /// run.
     ///
-    /// A connection may take its time to come up, so what has changed meanwhile is checked again: nothing is sent for a
-    /// client that has left, to a worker that drains, or after the idempotency window.
+    /// A connection may take its time to come up, so what has changed meanwhile is checked again: nothing is
+    /// sent for a client that has left, to a worker that drains, or after the idempotency window.
     async fn send_request(&self) -> Result<PooledConnection, AttemptEnd> {
         let AttemptSpec { worker, send_by, .. } = self.spec;
         let connect_by = send_by.min(Instant::now() + self.upstreams.connect_timeout);
--- a/crates/engine/src/attempt_end.rs
+++ b/crates/engine/src/attempt_end.rs
@@ -27,7 +27,8 @@
     DeadlineTooClose,
     /// The time in which a duplicate is recognised and dropped ended before the last byte was written.
     IdempotencyWindowExpired,
-    /// The request's body could not be read to its end, so its last byte was not written. Not the worker's fault.
+    /// The request's body could not be read to its end, so its last byte was not written. Not the worker's
+    /// fault.
     BodyUnavailable(BodyReadError),
     /// The node has no descriptor for a connection.
     NoDescriptor,
@@ -39,7 +40,8 @@
     ResetBeforeSent,
     /// The time was up before the request's last byte was written.
     TimeoutBeforeSent,
-    /// A reused connection broke as soon as the request was written. The job has probably not run, but may have.
+    /// A reused connection broke as soon as the request was written. The job has probably not run, but may
+    /// have.
     StaleConnection,
     /// The connection broke after the request's last byte was written.
     Reset,
@@ -59,8 +61,8 @@
 
 impl AttemptEnd {
     /// The outcome for the dispatcher. The outcomes that say that the job never ran ([`Outcome::Rejected`],
-    /// [`Outcome::ConnectFailed`], [`Outcome::NotSent`]) are given only where the protocol proves it: the worker reports
-    /// it, or the request's last byte was never written.
+    /// [`Outcome::ConnectFailed`], [`Outcome::NotSent`]) are given only where the protocol proves it: the
+    /// worker reports it, or the request's last byte was never written.
     pub fn outcome(&self) -> Outcome {
         match self {
             AttemptEnd::Completed(_) => Outcome::Ok,
--- a/crates/engine/src/attempt_spec.rs
+++ b/crates/engine/src/attempt_spec.rs
@@ -10,8 +10,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Nothing is sent for a client that waits for less than this. The transfer alone takes as long, and a worker may drop
-/// a request with so little time left without reporting it.
+/// Nothing is sent for a client that waits for less than this. The transfer alone takes as long, and a worker
+/// may drop a request with so little time left without reporting it.
 const MIN_REMAINING_TIME: Duration = Duration::from_millis(1);
 
 /// How often an attempt whose client's connection has closed looks whether that was reported to the request.
@@ -51,8 +51,8 @@
 
     /// Checks whether the request may be sent at this moment.
     ///
-    /// Waits while the client's connection has closed and that was not reported yet: whoever reads from the connection
-    /// reports it, and may have much input to read before.
+    /// Waits while the client's connection has closed and that was not reported yet: whoever reads from the
+    /// connection reports it, and may have much input to read before.
     ///
     /// # Errors
     ///
@@ -74,13 +74,14 @@
         Ok(())
     }
 
-    /// How the attempt ends that timed out before its request was fully sent; `timeout` unless the idempotency window
-    /// ended it.
+    /// How the attempt ends that timed out before its request was fully sent; `timeout` unless the
+    /// idempotency window ended it.
     pub fn unsent_timeout(&self, timeout: AttemptEnd) -> AttemptEnd {
         if self.idempotency_window_expired() { AttemptEnd::IdempotencyWindowExpired } else { timeout }
     }
 
-    /// Whether the time is over in which a duplicate would be recognised and dropped, while the client still waits.
+    /// Whether the time is over in which a duplicate would be recognised and dropped, while the client still
+    /// waits.
     fn idempotency_window_expired(&self) -> bool {
         self.send_by < self.deadline && Instant::now() >= self.send_by
     }
--- a/crates/engine/src/backoff.rs
+++ b/crates/engine/src/backoff.rs
@@ -1,4 +1,5 @@
-//! Delays between the polls of discovery: exponential backoff with full jitter, and the delay of hedged polls.
+//! Delays between the polls of discovery: exponential backoff with full jitter, and the delay of hedged
+//! polls.
 
 use crate::clock::length;
 use sorrelhaven_dispatcher::Micros;
@@ -21,9 +22,9 @@
 
 /// Draws the delays between polls of discovery.
 ///
-/// Each delay after a failure lies anywhere between zero and a bound that doubles. Nodes that are killed together start
-/// together: without jitter they would poll at the same moments for ever, and discovery, which can answer some of them,
-/// would reject the same others each time.
+/// Each delay after a failure lies anywhere between zero and a bound that doubles. Nodes that are killed
+/// together start together: without jitter they would poll at the same moments for ever, and discovery, which
+/// can answer some of them, would reject the same others each time.
 #[derive(Clone)]
 pub struct Backoff {
     rng: fastrand::Rng,
@@ -35,9 +36,9 @@
 impl Backoff {
     /// Starts with the shortest bound; equal seeds draw equal delays.
     ///
-    /// `drain_grace`: how long after the notice of a drain requests may still be sent to the worker. `poll_within`: what
-    /// discovery published so long ago counts as known to the node, and four times that after a failed poll. A delay
-    /// takes half of the latter at most, and leaves the rest to the poll.
+    /// `drain_grace`: how long after the notice of a drain requests may still be sent to the worker.
+    /// `poll_within`: what discovery published so long ago counts as known to the node, and four times that
+    /// after a failed poll. A delay takes half of the latter at most, and leaves the rest to the poll.
     pub fn new(seed: u64, drain_grace: Micros, poll_within: Micros) -> Backoff {
         Backoff {
             rng: fastrand::Rng::with_seed(seed),
@@ -57,11 +58,12 @@
         delay
     }
 
-    /// Draws the delay before an agent on the node's own machine is polled again beside the polls that it has not
-    /// answered yet.
+    /// Draws the delay before an agent on the node's own machine is polled again beside the polls that it has
+    /// not answered yet.
     ///
-    /// Such an agent answers at once and at no cost, and the node counts as notified of whatever the agent has. After a
-    /// silence that may be a drain whose grace has begun already, so the delay is a part of that.
+    /// Such an agent answers at once and at no cost, and the node counts as notified of whatever the agent
+    /// has. After a silence that may be a drain whose grace has begun already, so the delay is a part of
+    /// that.
     pub fn hedge_delay(&mut self) -> Duration {
         let share = MIN_HEDGE_SHARE + (MAX_HEDGE_SHARE - MIN_HEDGE_SHARE) * self.rng.f64();
         self.drain_grace.mul_f64(share)
--- a/crates/engine/src/body_admission.rs
+++ b/crates/engine/src/body_admission.rs
@@ -1,8 +1,8 @@
 //! Permits for long bodies that are sent to workers.
 //!
-//! A worker is occupied for as long as the transfer of a body takes, and all transfers share one core and one network:
-//! more of them at once make each slower and occupy more workers, and none ends sooner. The permits guard against a surge
-//! of long bodies that occupies every worker while small jobs wait.
+//! A worker is occupied for as long as the transfer of a body takes, and all transfers share one core and one
+//! network: more of them at once make each slower and occupy more workers, and none ends sooner. The permits
+//! guard against a surge of long bodies that occupies every worker while small jobs wait.
 
 use crate::tasks::Tasks;
 use async_io::Timer;
@@ -24,7 +24,7 @@
     tasks: Rc<Tasks>,
 }
 
-/// The right to send a long body; returned when dropped, or after [`PERMIT_TIMEOUT`].
+/// The right to send a long body; returned when dropped, or after `PERMIT_TIMEOUT`.
 pub struct BodyPermit {
     _guard: Rc<RefCell<Option<SemaphoreGuardArc>>>,
 }
--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -1,7 +1,7 @@
 //! The clock of the dispatcher's events: Unix time in microseconds at the start, and monotonic from there.
 //!
-//! Discovery dates the starts of workers in Unix time, so events are dated in it; but a wall clock that is set while the
-//! node runs must move no deadline.
+//! Discovery dates the starts of workers in Unix time, so events are dated in it; but a wall clock that is
+//! set while the node runs must move no deadline.
 
 use sorrelhaven_dispatcher::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
--- a/crates/engine/src/connection_pool.rs
+++ b/crates/engine/src/connection_pool.rs
@@ -11,8 +11,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// An idle connection is closed this long before the worker may close it. A request that crosses the worker's close
-/// ends in a reset, and one that must not run twice could not be retried.
+/// An idle connection is closed this long before the worker may close it. A request that crosses the worker's
+/// close ends in a reset, and one that must not run twice could not be retried.
 const KEEPALIVE_MARGIN: Duration = Duration::from_secs(2);
 /// The idle timeout is no shorter than this, however soon connections go stale.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(50);
@@ -85,11 +85,12 @@
         }
     }
 
-    /// Records that a connection broke on reuse after it had been idle for `idle`, and shortens the idle timeout for a
-    /// while.
+    /// Records that a connection broke on reuse after it had been idle for `idle`, and shortens the idle
+    /// timeout for a while.
     ///
-    /// Something on the way, or the workers, drop connections without notice and sooner than the settings say. Each
-    /// further one may cost a request that must not run twice, where a new connection costs a handshake.
+    /// Something on the way, or the workers, drop connections without notice and sooner than the settings
+    /// say. Each further one may cost a request that must not run twice, where a new connection costs a
+    /// handshake.
     pub fn record_stale(&self, idle: Duration) {
         if idle <= MIN_IDLE_TIMEOUT {
             return;
@@ -99,7 +100,8 @@
         self.stale_finding.set(Some(StaleFinding { idle_timeout, valid_until }));
     }
 
-    /// Takes a usable connection to the worker out of the pool: the one used last, so that the others can expire.
+    /// Takes a usable connection to the worker out of the pool: the one used last, so that the others can
+    /// expire.
     pub fn checkout(&self, worker: WorkerId, address: SocketAddr) -> Option<PooledConnection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&worker)?;
@@ -117,8 +119,8 @@
     ///
     /// # Errors
     ///
-    /// [`AttemptEnd::NoDescriptor`] where the node is short of descriptors or memory, which says nothing of the worker;
-    /// [`AttemptEnd::Unreachable`] where the connection fails.
+    /// [`AttemptEnd::NoDescriptor`] where the node is short of descriptors or memory, which says nothing of
+    /// the worker; [`AttemptEnd::Unreachable`] where the connection fails.
     pub async fn connect(&self, address: SocketAddr) -> Result<PooledConnection, AttemptEnd> {
         let permit = self.acquire_descriptor().ok_or(AttemptEnd::NoDescriptor)?;
         self.counters.upstream_connections.add();
@@ -142,7 +144,8 @@
         self.idle.borrow_mut().entry(worker).or_default().push(IdleConnection { upstream, since });
     }
 
-    /// A permit for a descriptor. Where none is free, the connection that has been idle the longest is closed for it.
+    /// A permit for a descriptor. Where none is free, the connection that has been idle the longest is closed
+    /// for it.
     pub fn acquire_descriptor(&self) -> Option<Permit> {
         self.descriptors.acquire().or_else(|| {
             self.close_longest_idle();
--- a/crates/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -38,7 +38,7 @@
     pub client_gone_waiting: Count,
     /// Attempts whose last byte was written after the client had disconnected.
     pub sent_after_client_gone: Count,
-    /// Those of them that were written [`MAX_SEND_AFTER_DISCONNECT`] after the disconnect, or later.
+    /// Those of them that were written `MAX_SEND_AFTER_DISCONNECT` after the disconnect, or later.
     pub sent_late_after_client_gone: Count,
     /// Valid load reports.
     pub load_reports: Count,
@@ -118,7 +118,8 @@
         self.classes.iter().map(|(_, counters)| counter(counters).get()).sum()
     }
 
-    /// Counts an attempt whose last byte was written just now; `client_left_at`: when its client disconnected, if it has.
+    /// Counts an attempt whose last byte was written just now; `client_left_at`: when its client
+    /// disconnected, if it has.
     pub fn request_sent(&self, client_left_at: Option<Instant>) {
         self.requests_sent.add();
         let Some(left_at) = client_left_at else { return };
--- a/crates/engine/src/descriptor_budget.rs
+++ b/crates/engine/src/descriptor_budget.rs
@@ -3,8 +3,8 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Descriptors that are not for connections of clients and workers: standard streams, the poller, signals, the listener
-/// and where it was handed over, the discovery polls, and the admin listener with its clients.
+/// Descriptors that are not for connections of clients and workers: standard streams, the poller, signals,
+/// the listener and where it was handed over, the discovery polls, and the admin listener with its clients.
 const RESERVED_DESCRIPTORS: usize = 40;
 /// Whatever the limit, one connection of a client and one to a worker can be open.
 const MIN_DESCRIPTORS: usize = 2;
@@ -26,13 +26,14 @@
         Rc::new(budget)
     }
 
-    /// Sets another limit of the process. Where more permits are out than it allows, those stay valid until they are
-    /// dropped.
+    /// Sets another limit of the process. Where more permits are out than it allows, those stay valid until
+    /// they are dropped.
     pub fn resize(&self, process_limit: usize) {
         self.limit.set(process_limit.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_DESCRIPTORS));
     }
 
-    /// The most downstream connections: two thirds, so that clients alone cannot use up what the workers need.
+    /// The most downstream connections: two thirds, so that clients alone cannot use up what the workers
+    /// need.
     pub fn max_downstream(&self) -> usize {
         self.limit.get() * 2 / 3
     }
--- a/crates/engine/src/discovery_poll.rs
+++ b/crates/engine/src/discovery_poll.rs
@@ -13,8 +13,8 @@
 
 /// Discovery sends something every 2 s; a response without a byte for this long has failed.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
-/// A list that has begun must end within this time. One that trickles withholds what it would notify of, and the node
-/// counts as notified 6 s after the watch has broken.
+/// A list that has begun must end within this time. One that trickles withholds what it would notify of, and
+/// the node counts as notified 6 s after the watch has broken.
 const LIST_TIMEOUT: Duration = Duration::from_secs(6);
 /// The most polls of one agent at a time. An older one may still be the one that is answered.
 const MAX_CONCURRENT_POLLS: usize = 4;
@@ -101,8 +101,9 @@
     }
 }
 
-/// Polls an agent until a poll is answered or fails. While the agent is silent, further polls are sent beside those that
-/// are out: the node counts as notified of what the agent has from the moment in which the agent could answer.
+/// Polls an agent until a poll is answered or fails. While the agent is silent, further polls are sent beside
+/// those that are out: the node counts as notified of what the agent has from the moment in which the agent
+/// could answer.
 ///
 /// # Errors
 ///
--- a/crates/engine/src/discovery_watch.rs
+++ b/crates/engine/src/discovery_watch.rs
@@ -17,7 +17,8 @@
 /// A watch that lasted this long ends a series of failures.
 const STABLE_WATCH_DURATION: Duration = SILENCE_TIMEOUT.saturating_mul(2);
 
-/// The watch on discovery. The last list stays in force while the watch fails and after a move, until a new one comes.
+/// The watch on discovery. The last list stays in force while the watch fails and after a move, until a new
+/// one comes.
 pub struct DiscoveryWatch<'a> {
     counters: &'a Counters,
     mode: DiscoveryMode,
@@ -60,7 +61,8 @@
         }
     }
 
-    /// Continues at another address. Versions there may be counted differently, so a complete list is fetched.
+    /// Continues at another address. Versions there may be counted differently, so a complete list is
+    /// fetched.
     fn move_to(&mut self, address: SocketAddr) {
         info!(%address, "discovery address changed");
         self.address = address;
@@ -93,8 +95,8 @@
         match (self.mode, error) {
             // Retried at once: the hedged polls have delays of their own.
             (DiscoveryMode::Push, WatchError::Silent | WatchError::NoResponse) => Duration::ZERO,
-            // The node counts as notified 6 s after the silence began, and half of that has passed: the delay must not
-            // grow by polls that failed before the watch.
+            // The node counts as notified 6 s after the silence began, and half of that has passed: the delay
+            // must not grow by polls that failed before the watch.
             (DiscoveryMode::Poll, WatchError::Silent) => {
                 self.backoff.reset();
                 self.backoff.retry_delay(false)
@@ -120,8 +122,8 @@
         self.last_error = Some(error);
     }
 
-    /// Runs one watch until it fails. Without a version to continue from, the complete list is fetched first, and the
-    /// watch goes on from it on the same connection.
+    /// Runs one watch until it fails. Without a version to continue from, the complete list is fetched first,
+    /// and the watch goes on from it on the same connection.
     async fn watch(&mut self, apply: &impl Fn(&DiscoveryList)) -> Result<Infallible, WatchError> {
         let mut stream = self.poll().await?;
         loop {
@@ -147,8 +149,8 @@
         }
     }
 
-    /// Applies the lists of a response. Returns its connection once a fetched list is complete; the response to a watch
-    /// has no valid end.
+    /// Applies the lists of a response. Returns its connection once a fetched list is complete; the response
+    /// to a watch has no valid end.
     async fn apply_lists(
         &mut self,
         mut stream: ListStream,
--- a/crates/engine/src/dispatcher_loop.rs
+++ b/crates/engine/src/dispatcher_loop.rs
@@ -1,8 +1,8 @@
 //! Owns the node's one [`Dispatcher`] and is the only caller of its `handle`.
 //!
-//! Events are handled one by one in the order of the calls of [`DispatcherLoop::dispatch`]. Each action of the
-//! dispatcher is routed to the request, the timer, the probe or the log that it concerns; one event may act on many
-//! requests.
+//! Events are handled one by one in the order of the calls of [`DispatcherLoop::dispatch`]. Each action of
+//! the dispatcher is routed to the request, the timer, the probe or the log that it concerns; one event may
+//! act on many requests.
 
 use crate::clock::Clock;
 use crate::job::RequestMessage;
@@ -53,7 +53,8 @@
 }
 
 impl DispatcherLoop {
-    /// A loop that sends the workers to be probed to `probes`, and reports the time of each event to `responsiveness`.
+    /// A loop that sends the workers to be probed to `probes`, and reports the time of each event to
+    /// `responsiveness`.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -118,8 +119,8 @@
     ) {
         match action {
             Action::Send { request, worker, timeout, send_by } => {
-                // The dispatcher's timeout is relative, and 0 for "until the client gives up". From here on there are
-                // only deadlines.
+                // The dispatcher's timeout is relative, and 0 for "until the client gives up". From here on
+                // there are only deadlines.
                 let deadline = if timeout == 0 { Micros::MAX } else { now.saturating_add(timeout) };
                 send_message(requests, request, RequestMessage::Send { worker, deadline, send_by });
             }
@@ -201,7 +202,8 @@
     }
 }
 
-/// Sends a message to a request. An action may concern one that was deregistered in the same moment: it is dropped.
+/// Sends a message to a request. An action may concern one that was deregistered in the same moment: it is
+/// dropped.
 fn send_message(
     requests: &HashMap<RequestId, Sender<RequestMessage>>,
     id: RequestId,
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -57,8 +57,8 @@
 }
 
 impl Engine {
-    /// An engine that has loaded the configuration's list of workers; nothing runs yet. `disk` stores bodies in files;
-    /// without it they stay in memory.
+    /// An engine that has loaded the configuration's list of workers; nothing runs yet. `disk` stores bodies
+    /// in files; without it they stay in memory.
     pub fn new(config: &Config, disk: Option<Arc<dyn Disk>>) -> Rc<Engine> {
         let (probe_requests, probes) = async_channel::unbounded();
         let counters = Rc::new(Counters::new(config.classes.iter().map(|class| class.name.clone())));
@@ -100,9 +100,9 @@
         })
     }
 
-    /// Starts the tasks that run as long as the node: the discovery watch, which continues from version `seq` at
-    /// `discovery` and moves to the addresses from `moves`; the dispatcher's timers and probes; the spilling of bodies
-    /// to disk; and the eviction of expired connections.
+    /// Starts the tasks that run as long as the node: the discovery watch, which continues from version `seq`
+    /// at `discovery` and moves to the addresses from `moves`; the dispatcher's timers and probes; the
+    /// spilling of bodies to disk; and the eviction of expired connections.
     pub fn start(self: &Rc<Self>, discovery: SocketAddr, seq: u64, moves: Receiver<SocketAddr>) {
         let engine = self.clone();
         self.tasks.spawn_urgent(async move { engine.watch(discovery, seq, moves).await });
@@ -175,7 +175,8 @@
     }
 }
 
-/// A body store with a share for each tenant in each class, whose files take descriptors from the node's budget.
+/// A body store with a share for each tenant in each class, whose files take descriptors from the node's
+/// budget.
 fn new_body_store(config: &Config, disk: Option<Arc<dyn Disk>>, upstreams: &Rc<Upstreams>) -> Rc<BodyStore> {
     let shares = config.classes.len() * config.tenants.len().max(1);
     let upstreams = upstreams.clone();
--- a/crates/engine/src/invariants.rs
+++ b/crates/engine/src/invariants.rs
@@ -1,8 +1,9 @@
 //! Invariants of requests and attempts, checked while the node runs.
 //!
 //! Each invariant has a name, one place that checks it, and a count of violations: the metric
-//! `node_invariant_violations{name}`, and in sum the counter `invariant_violations`. The log names each violation with
-//! the request's id. A violation changes nothing for its request; the soak and the tests fail on any.
+//! `node_invariant_violations{name}`, and in sum the counter `invariant_violations`. The log names each
+//! violation with the request's id. A violation changes nothing for its request; the soak and the tests fail
+//! on any.
 
 use crate::attempt_end::AttemptEnd;
 use crate::count::Count;
@@ -21,7 +22,7 @@
 pub enum Invariant {
     /// A request has one final answer, or its client has disconnected.
     OneFinalAnswer,
-    /// No attempt is fully sent [`MAX_SEND_AFTER_DISCONNECT`] or more after its client disconnected.
+    /// No attempt is fully sent `MAX_SEND_AFTER_DISCONNECT` or more after its client disconnected.
     NoAttemptForGoneClient,
     /// No attempt is fully sent after its deadline or its idempotency window.
     NoAttemptAfterDeadline,
@@ -88,7 +89,8 @@
     }
 }
 
-/// Tracks one request as far as the invariants need: how often it was sent, and how often it is proven not to have run.
+/// Tracks one request as far as the invariants need: how often it was sent, and how often it is proven not to
+/// have run.
 #[derive(Default)]
 pub struct RequestGuard {
     at_most_once: bool,
@@ -118,8 +120,8 @@
 impl RequestGuard {
     /// A guard for a request of which nothing was sent.
     ///
-    /// `at_most_once`: the request must not run twice. `rejection_may_have_run`: a worker's rejection does not prove that
-    /// the attempt never ran.
+    /// `at_most_once`: the request must not run twice. `rejection_may_have_run`: a worker's rejection does
+    /// not prove that the attempt never ran.
     pub fn new(at_most_once: bool, rejection_may_have_run: bool) -> RequestGuard {
         RequestGuard { at_most_once, rejection_may_have_run, ..RequestGuard::default() }
     }
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -25,7 +25,8 @@
     pub is_retry: bool,
     /// A hash of what it is about, for cache affinity; 0 where the client does not say.
     pub affinity_key: u64,
-    /// Whether its body can be sent; false where the body could not be stored and the settings reject such requests.
+    /// Whether its body can be sent; false where the body could not be stored and the settings reject such
+    /// requests.
     pub body_sendable: bool,
     /// The permit of a long body, until the body is fully sent.
     pub body_permit: Option<BodyPermit>,
@@ -50,8 +51,8 @@
 }
 
 impl RequestPayload {
-    /// The head of the request to the worker at `host`. It states how long the node waits, up to `deadline`, and the
-    /// body's `length`; without a length the body is sent in the chunked coding.
+    /// The head of the request to the worker at `host`. It states how long the node waits, up to `deadline`,
+    /// and the body's `length`; without a length the body is sent in the chunked coding.
     pub fn head(&self, host: &str, deadline: Instant, length: Option<u64>) -> Vec<u8> {
         let remaining = deadline.saturating_duration_since(Instant::now());
         // Writing to a String does not fail.
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,9 +1,9 @@
-//! Runs requests: each is admitted from a front end, decided on by the dispatcher, attempted at workers, and answered
-//! once.
+//! Runs requests: each is admitted from a front end, decided on by the dispatcher, attempted at workers, and
+//! answered once.
 //!
-//! A front end submits a [`Job`] to [`Engine::take`] and receives one [`Answer`] through the [`RequestHandle`]. Nothing
-//! here depends on the client's protocol, so the same decisions apply to every front end. A module uses only modules of
-//! its own row and of those below it in this table:
+//! A front end submits a [`Job`] to [`Engine::take`] and receives one [`Answer`] through the
+//! [`RequestHandle`]. Nothing here depends on the client's protocol, so the same decisions apply to every
+//! front end. A module uses only modules of its own row and of those below it in this table:
 //!
 //! | module | concern |
 //! | --- | --- |
@@ -14,10 +14,10 @@
 //! | `request_writer`, `response_reader` | the request to a worker, and its response with job lines |
 //! | `attempt_spec` | the limits of one attempt, and whether it may be sent |
 //! | `upstreams` | what attempts and probes reach workers with |
-//! | `connection_pool`, `descriptor_budget` | idle upstream connections, and the descriptors of all connections |
-//! | `worker_registry`, `start_times` | what discovery says of the workers, and when they started on the node's clock |
+//! | `connection_pool`, `descriptor_budget` | idle upstream connections, descriptors of all connections |
+//! | `worker_registry`, `start_times` | what discovery says of the workers, when they started |
 //! | `load_report` | the load that workers report |
-//! | `discovery_watch`, `discovery_poll` | the watch on discovery's list with its retries, and its single polls |
+//! | `discovery_watch`, `discovery_poll` | the watch on the worker list, its single polls |
 //! | `watch_error`, `backoff` | why a watch failed, and the delays between polls |
 //! | `dispatcher_loop` | owns the one `Dispatcher`, feeds it events in order, routes its actions |
 //! | `job` | the plain types that these exchange |
--- a/crates/engine/src/load_report.rs
+++ b/crates/engine/src/load_report.rs
@@ -1,7 +1,7 @@
 //! Load reports: what a worker states of its load in the response that ends an attempt.
 //!
-//! A report is old, late and noisy, and no part of the result: a malformed one is counted and dropped, and the response
-//! stands.
+//! A report is old, late and noisy, and no part of the result: a malformed one is counted and dropped, and
+//! the response stands.
 
 use serde_json::Value;
 
@@ -24,8 +24,8 @@
 
     /// Parses a report in a job line: a number for each field, NaN for one that is absent.
     ///
-    /// Returns `None` where the report is malformed: no object, empty, with an unknown field, or with a value that is no
-    /// number from 0 to 1e9.
+    /// Returns `None` where the report is malformed: no object, empty, with an unknown field, or with a value
+    /// that is no number from 0 to 1e9.
     pub fn parse_value(&self, load: &Value) -> Option<Vec<f64>> {
         let load = load.as_object()?;
         if load.is_empty() {
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -38,8 +38,9 @@
 impl Requests {
     /// Requests whose tasks share `context`.
     ///
-    /// `at_most_once`: whether the requests of a class must not run twice, by the class's index in the settings.
-    /// `rejection_may_have_run`: whether an attempt that a worker rejected may have run all the same.
+    /// `at_most_once`: whether the requests of a class must not run twice, by the class's index in the
+    /// settings. `rejection_may_have_run`: whether an attempt that a worker rejected may have run all the
+    /// same.
     pub fn new(
         context: Rc<RequestContext>,
         at_most_once: Vec<bool>,
@@ -50,8 +51,8 @@
 
     /// Admits a request and starts its task.
     ///
-    /// Returns `None` where a request of the same id is in progress: workers know their jobs by id, so a second one
-    /// would be rejected there, or mixed up with the first.
+    /// Returns `None` where a request of the same id is in progress: workers know their jobs by id, so a
+    /// second one would be rejected there, or mixed up with the first.
     pub fn take(&self, job: Job) -> Option<RequestHandle> {
         let is_new = self.context.open_ids.borrow_mut().insert(job.payload.id.clone());
         if !is_new {
--- a/crates/engine/src/request_task.rs
+++ b/crates/engine/src/request_task.rs
@@ -23,8 +23,8 @@
 use std::time::{Duration, Instant};
 use tracing::{debug, warn};
 
-/// A request without an answer this long after its deadline is failed by its own task. Attempts end at the deadline and
-/// the dispatcher answers then, so this acts only where a message or a wake-up was lost.
+/// A request without an answer this long after its deadline is failed by its own task. Attempts end at the
+/// deadline and the dispatcher answers then, so this acts only where a message or a wake-up was lost.
 const OVERDUE_ANSWER_DELAY: Duration = Duration::from_millis(100);
 
 /// An attempt that has no outcome yet.
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Whether the request has its answer and every attempt its outcome. A message that is still queued may ask for an
-    /// attempt: without an outcome of that one the dispatcher would count it as running for ever.
+    /// Whether the request has its answer and every attempt its outcome. A message that is still queued may
+    /// ask for an attempt: without an outcome of that one the dispatcher would count it as running for ever.
     fn is_finished(&self, messages: &Receiver<RequestMessage>) -> bool {
         self.request.state.concluded.get() && self.attempts.is_empty() && messages.is_empty()
     }
@@ -175,8 +175,8 @@
         self.attempts.insert(attempt, RunningAttempt { worker, sent_at, fully_sent, task });
     }
 
-    /// Starts the task of an attempt. An attempt that the dispatcher asked for before it knew of the answer ends at once,
-    /// unsent.
+    /// Starts the task of an attempt. An attempt that the dispatcher asked for before it knew of the answer
+    /// ends at once, unsent.
     fn start_attempt_task(&self, spec: AttemptSpec) -> Task<()> {
         let tasks = &self.context.tasks;
         if self.request.state.concluded.get() {
@@ -216,7 +216,8 @@
         self.dispatch(Event::RequestSent { request: self.request.id, attempt, worker });
     }
 
-    /// Records the one outcome of an attempt. Where a cancellation crosses its own end, the first of them counts.
+    /// Records the one outcome of an attempt. Where a cancellation crosses its own end, the first of them
+    /// counts.
     fn end_attempt(&mut self, attempt: u32, end: AttemptEnd, load_report: Vec<f64>) {
         let Some(RunningAttempt { worker, sent_at, fully_sent, task }) = self.attempts.remove(&attempt)
         else {
@@ -319,7 +320,8 @@
         counters.invariants.check(Invariant::OneFinalAnswer, self.name(), answered);
         counters.invariants.check(Invariant::OneOutcomePerAttempt, self.name(), all_ended);
         if !answered {
-            // The client's connection learns of it by the closed answer channel, and reports a failure of the node.
+            // The client's connection learns of it by the closed answer channel, and reports a failure of the
+            // node.
             counters.request_concluded(self.request.class, RequestEnd::Failed);
         }
         self.context.dispatcher_loop.deregister_request(self.request.id);
--- a/crates/engine/src/request_writer.rs
+++ b/crates/engine/src/request_writer.rs
@@ -28,13 +28,13 @@
 impl RequestWriter<'_> {
     /// Writes the head, and the body as it comes in. `host` is the value of the `Host` header.
     ///
-    /// The head states how long the client still waits, so it is made only once the first chunk of the body is there
-    /// and nothing else is waited for.
+    /// The head states how long the client still waits, so it is made only once the first chunk of the body
+    /// is there and nothing else is waited for.
     ///
     /// # Errors
     ///
-    /// How the attempt ends where the request could not be sent completely. A body that breaks off leaves the message
-    /// incomplete, so the worker never takes it for a valid request.
+    /// How the attempt ends where the request could not be sent completely. A body that breaks off leaves the
+    /// message incomplete, so the worker never takes it for a valid request.
     pub async fn write(&self, host: &str, connection: &mut Connection) -> Result<(), AttemptEnd> {
         let mut body = self.payload.body.reader();
         let length = self.payload.body.length();
@@ -60,7 +60,8 @@
             if !output.is_empty() && connection.write(&output).await.is_err() {
                 return Err(self.end_after_broken_write(connection).await);
             }
-            // From the last byte on the worker may run the request: nothing below may end the attempt as unsent.
+            // From the last byte on the worker may run the request: nothing below may end the attempt as
+            // unsent.
             if length == Some(body_bytes) {
                 return Ok(());
             }
@@ -73,8 +74,8 @@
         Ok(())
     }
 
-    /// How an attempt ends whose connection broke before the last byte. A worker may reject a large request by its head
-    /// alone and close the connection.
+    /// How an attempt ends whose connection broke before the last byte. A worker may reject a large request
+    /// by its head alone and close the connection.
     async fn end_after_broken_write(&self, connection: &mut Connection) -> AttemptEnd {
         let limit = self.spec.deadline.min(Instant::now() + EARLY_RESPONSE_TIMEOUT);
         match timeout_at(limit, ResponseReader::read_head(connection)).await {
@@ -84,8 +85,8 @@
     }
 }
 
-/// Moves a chunk of the body to `output`: unchanged where the head states the body's length, else in the chunked coding.
-/// `more`: the body goes on after this chunk.
+/// Moves a chunk of the body to `output`: unchanged where the head states the body's length, else in the
+/// chunked coding. `more`: the body goes on after this chunk.
 fn append_body_chunk(output: &mut Vec<u8>, chunk: &mut Vec<u8>, length: Option<u64>, more: bool) {
     if length.is_some() {
         output.append(chunk);
--- a/crates/engine/src/response_reader.rs
+++ b/crates/engine/src/response_reader.rs
@@ -130,15 +130,15 @@
         }
     }
 
-    /// Ends the attempt by a response that breaks the protocol. The bytes after it may belong to anything, so the
-    /// connection is not used again.
+    /// Ends the attempt by a response that breaks the protocol. The bytes after it may belong to anything, so
+    /// the connection is not used again.
     fn end_and_close(&mut self, end: AttemptEnd) -> ResponseStep {
         self.keeps_alive = false;
         ResponseStep::Ended(end)
     }
 
-    /// The load report at the end of the attempt: the line's, or else the head's. Empty where there is none, or where it
-    /// is malformed, which is counted: the response stands all the same.
+    /// The load report at the end of the attempt: the line's, or else the head's. Empty where there is none,
+    /// or where it is malformed, which is counted: the response stands all the same.
     pub fn load_report(&self, upstreams: &Upstreams) -> Vec<f64> {
         let report = match (&self.head_load, &self.line_load) {
             (_, Some(value)) => upstreams.load_fields.parse_value(value),
--- a/crates/engine/src/responsiveness.rs
+++ b/crates/engine/src/responsiveness.rs
@@ -1,14 +1,15 @@
 //! Delays of the event loop.
 //!
-//! All work of a node shares one thread, so one long step delays every answer. Steps and timers are measured as they run:
-//! the metrics show the longest of each and the number of steps longer than [`LONG_STEP`], and the log names each of
-//! those.
+//! All work of a node shares one thread, so one long step delays every answer. Steps and timers are measured
+//! as they run: the metrics show the longest of each and the number of steps longer than [`LONG_STEP`], and
+//! the log names each of those.
 
 use crate::count::{Count, Longest};
 use std::time::{Duration, Instant};
 use tracing::warn;
 
-/// A longer step is counted and logged. Deadlines have an allowance of 150 ms for everything that delays a node.
+/// A longer step is counted and logged. Deadlines have an allowance of 150 ms for everything that delays a
+/// node.
 pub const LONG_STEP: Duration = Duration::from_millis(50);
 
 /// The delays of the event loop so far.
--- a/crates/engine/src/start_times.rs
+++ b/crates/engine/src/start_times.rs
@@ -1,20 +1,23 @@
 //! When workers started, on the node's own clock.
 //!
-//! Discovery dates starts in Unix time. The node's wall clock may be wrong, by seconds or by an hour, and so may that of
-//! a worker's machine; only spans on the monotonic clock are reliable. Without a correct wall clock this much is known:
+//! Discovery dates starts in Unix time. The node's wall clock may be wrong, by seconds or by an hour, and so
+//! may that of a worker's machine; only spans on the monotonic clock are reliable. Without a correct wall
+//! clock this much is known:
 //!
-//! - the newest date of all lists is in the past when it is read, so a worker is at least as old as its date lies before
-//!   the newest one;
+//! - the newest date of all lists is in the past when it is read, so a worker is at least as old as its date
+//!   lies before the newest one;
 //! - an entry that was not in the list before, or had another date there, started after that list was read.
 //!
-//! Each of these, and the wall clock where what it says is possible, yields an age. The least one counts, since a worker
-//! that is taken for older than it is skips its slow start. In return the newest workers of the first list are taken to
-//! have just started. A date is evaluated once: a later list or clock changes no slow start that is under way.
+//! Each of these, and the wall clock where what it says is possible, yields an age. The least one counts,
+//! since a worker that is taken for older than it is skips its slow start. In return the newest workers of
+//! the first list are taken to have just started. A date is evaluated once: a later list or clock changes no
+//! slow start that is under way.
 
 use sorrelhaven_dispatcher::{Micros, WorkerId};
 use std::collections::HashMap;
 
-/// The list from the configuration and the first one of discovery: both may name workers that started long ago.
+/// The list from the configuration and the first one of discovery: both may name workers that started long
+/// ago.
 const INITIAL_LISTS: u64 = 2;
 
 /// A worker's start as it was evaluated.
@@ -38,8 +41,8 @@
 }
 
 impl StartTimes {
-    /// Begins to read a list at `now` that holds these dates. To be called before [`StartTimes::started_at`] for its
-    /// entries.
+    /// Begins to read a list at `now` that holds these dates. To be called before [`StartTimes::started_at`]
+    /// for its entries.
     pub fn begin_list(&mut self, dates: impl Iterator<Item = Micros>, now: Micros) {
         let newest = dates.filter(|dated| *dated > 0).max();
         let lead = newest.map(|dated| dated - now);
--- a/crates/engine/src/tasks.rs
+++ b/crates/engine/src/tasks.rs
@@ -13,8 +13,8 @@
 const MAX_ROUNDS_PER_SLICE: usize = 64;
 /// ...and the longest time, where steps take long: input and deadlines wait for that poll.
 const MAX_SLICE_DURATION: Duration = Duration::from_millis(2);
-/// The most urgent steps in a row while an ordinary task could run. Urgent work without end, such as timers that are
-/// always due, must not keep requests from their answers.
+/// The most urgent steps in a row while an ordinary task could run. Urgent work without end, such as timers
+/// that are always due, must not keep requests from their answers.
 const MAX_URGENT_STEPS_PER_ROUND: usize = 8;
 
 /// The tasks of one node.
@@ -43,8 +43,8 @@
         self.ordinary.spawn(task)
     }
 
-    /// Starts a task that runs before all ordinary ones: the discovery watch, the dispatcher's timers, signals and the
-    /// admin listener.
+    /// Starts a task that runs before all ordinary ones: the discovery watch, the dispatcher's timers,
+    /// signals and the admin listener.
     pub fn spawn_urgent(&self, task: impl Future<Output = ()> + 'static) {
         self.urgent.spawn(task).detach();
     }
@@ -54,8 +54,8 @@
         self.urgent.spawn(task)
     }
 
-    /// Waits until no other task can run, or until the slice ends: between the blocks of large bodies. However many
-    /// bodies are under way, a small job waits for one block at most.
+    /// Waits until no other task can run, or until the slice ends: between the blocks of large bodies.
+    /// However many bodies are under way, a small job waits for one block at most.
     pub async fn turn(&self) {
         self.turns.listen().await;
     }
--- a/crates/engine/src/tests/attempt_ends.rs
+++ b/crates/engine/src/tests/attempt_ends.rs
@@ -1,5 +1,5 @@
-//! Each way an attempt can end, for an at-most-once request whose body can be read only once: one answer, no retry, and a
-//! rejection only where the protocol proves that the job never ran.
+//! Each way an attempt can end, for an at-most-once request whose body can be read only once: one answer, no
+//! retry, and a rejection only where the protocol proves that the job never ran.
 
 use super::fixtures;
 use crate::attempt_end::AttemptEnd;
@@ -48,8 +48,8 @@
     })
 }
 
-/// Whether the protocol proves that an attempt that ended so never ran: the worker reports it, or the request's last byte
-/// was not written.
+/// Whether the protocol proves that an attempt that ended so never ran: the worker reports it, or the
+/// request's last byte was not written.
 fn never_ran(end: &AttemptEnd) -> bool {
     match end {
         AttemptEnd::Rejected
--- a/crates/engine/src/tests/backoff.rs
+++ b/crates/engine/src/tests/backoff.rs
@@ -1,5 +1,5 @@
-//! Delays between polls of discovery: bounds, and how a fleet of nodes polls again after the same failure, on a simulated
-//! clock.
+//! Delays between polls of discovery: bounds, and how a fleet of nodes polls again after the same failure, on
+//! a simulated clock.
 
 use crate::backoff::Backoff;
 use sorrelhaven_dispatcher::Micros;
@@ -81,7 +81,8 @@
     assert!(backoff.retry_delay(false).as_secs_f64() <= 1.0, "a reset returns to the first bound");
 }
 
-/// An agent that answers again may report a drain whose grace has begun already: it is polled within half of that.
+/// An agent that answers again may report a drain whose grace has begun already: it is polled within half of
+/// that.
 #[test]
 fn a_hedged_poll_follows_well_within_the_grace_of_a_drain() {
     for grace in [250_000, 500_000, 1_000_000, 2_000_000] {
@@ -98,7 +99,8 @@
     }
 }
 
-/// A site whose list must be polled more often than every 8 s gets no longer delays, after failures or rejections.
+/// A site whose list must be polled more often than every 8 s gets no longer delays, after failures or
+/// rejections.
 #[test]
 fn no_delay_exceeds_the_time_within_which_a_list_must_be_polled() {
     for (poll_within, most) in
--- a/crates/engine/src/tests/discovery_watch.rs
+++ b/crates/engine/src/tests/discovery_watch.rs
@@ -144,8 +144,8 @@
     assert_eq!(accepting_and_draining(&engine), [usize::from(MANY_WORKERS), 0]);
 }
 
-/// Where lists are pushed, the node counts as notified of what the agent has: one that waits after a silence would send
-/// to draining workers.
+/// Where lists are pushed, the node counts as notified of what the agent has: one that waits after a silence
+/// would send to draining workers.
 #[test]
 fn a_silent_agent_is_polled_again_within_a_second_and_any_poll_may_be_answered() {
     for answered in [0, 2] {
@@ -179,9 +179,9 @@
     }
 }
 
-/// Where discovery is polled, a node counts as notified of what a watch misses 6 s after the silence began. A watch that
-/// answered after polls that failed, and is then silent for 3 s, is retried a second later at most, however long the
-/// delays had become.
+/// Where discovery is polled, a node counts as notified of what a watch misses 6 s after the silence began. A
+/// watch that answered after polls that failed, and is then silent for 3 s, is retried a second later at
+/// most, however long the delays had become.
 #[test]
 fn a_polled_watch_that_falls_silent_is_not_delayed_by_polls_that_failed_before() {
     const SECOND: Duration = Duration::from_secs(1);
@@ -240,8 +240,8 @@
     assert_eq!(accepting_and_draining(&engine), [2, 0], "the notice of the drain was incomplete");
 }
 
-/// A list that comes a byte at a time would take half a minute: it is fetched again after 6 s, and not before, since one
-/// that is merely slow must have its time.
+/// A list that comes a byte at a time would take half a minute: it is fetched again after 6 s, and not
+/// before, since one that is merely slow must have its time.
 #[test]
 fn a_list_that_trickles_is_fetched_again() {
     let engine = watch(|agent| {
--- a/crates/engine/src/tests/load_reports.rs
+++ b/crates/engine/src/tests/load_reports.rs
@@ -15,8 +15,8 @@
     format!("{CHUNKED_HEAD}\r\n{:x}\r\n{line}\r\n0\r\n\r\n", line.len())
 }
 
-/// What a response leads to that is written in pieces of `piece_bytes`: how the attempt ended, its load report, and the
-/// counters of valid and of malformed reports.
+/// What a response leads to that is written in pieces of `piece_bytes`: how the attempt ended, its load
+/// report, and the counters of valid and of malformed reports.
 fn attempt_with(response: &str, piece_bytes: usize) -> (AttemptEnd, Vec<f64>, [u64; 2]) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
--- a/crates/engine/src/tests/mod.rs
+++ b/crates/engine/src/tests/mod.rs
@@ -1,4 +1,5 @@
-//! Tests of the engine: the network code against models with random steps from a fixed seed, and each part by itself.
+//! Tests of the engine: the network code against models with random steps from a fixed seed, and each part by
+//! itself.
 
 mod attempt_ends;
 mod backoff;
--- a/crates/engine/src/tests/overdue_request.rs
+++ b/crates/engine/src/tests/overdue_request.rs
@@ -6,8 +6,8 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// An attempt waits until its client's disconnect is reported, and nothing reports it: a lost message must not keep the
-/// request, and with it the process, for ever.
+/// An attempt waits until its client's disconnect is reported, and nothing reports it: a lost message must
+/// not keep the request, and with it the process, for ever.
 #[test]
 fn a_request_whose_message_is_lost_is_answered_and_deregistered() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
--- a/crates/engine/src/tests/pooled_connection.rs
+++ b/crates/engine/src/tests/pooled_connection.rs
@@ -217,8 +217,8 @@
     assert_eq!(next_end(&messages), AttemptEnd::NoDescriptor, "with {} permits out", permits.len());
 }
 
-/// A pooled connection that breaks at the next request: that job may have run, so it is not sent again, but connections
-/// that have been idle as long are not used any more.
+/// A pooled connection that breaks at the next request: that job may have run, so it is not sent again, but
+/// connections that have been idle as long are not used any more.
 #[test]
 fn a_stale_connection_shortens_the_idle_timeout() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -280,8 +280,8 @@
     assert!(Instant::now() < until, "a connection that the worker has closed stayed in the pool");
 }
 
-/// What drops a duplicate forgets the request at a stated time: a connection that is made in that moment must not carry
-/// it.
+/// What drops a duplicate forgets the request at a stated time: a connection that is made in that moment must
+/// not carry it.
 #[test]
 fn a_retry_whose_idempotency_window_has_expired_is_not_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
--- a/crates/engine/src/tests/request.rs
+++ b/crates/engine/src/tests/request.rs
@@ -1,5 +1,5 @@
-//! The task of a request with the real dispatcher: whatever the worker does, one answer, and no second run of a job that
-//! may have run.
+//! The task of a request with the real dispatcher: whatever the worker does, one answer, and no second run of
+//! a job that may have run.
 
 use super::fixtures;
 use super::pooled_connection::{ServerScript, expected_end, play, server_script};
--- a/crates/engine/src/tests/request_sent.rs
+++ b/crates/engine/src/tests/request_sent.rs
@@ -9,8 +9,8 @@
 use std::net::TcpListener;
 use std::time::Duration;
 
-/// A large body waits for its turn behind other tasks after each block, also after the last one. The deadline may pass, or
-/// the client disconnect, before that turn: the worker has the complete request all the same.
+/// A large body waits for its turn behind other tasks after each block, also after the last one. The deadline
+/// may pass, or the client disconnect, before that turn: the worker has the complete request all the same.
 #[test]
 fn a_fully_sent_request_that_waits_for_its_turn_may_have_run() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
--- a/crates/engine/src/tests/start_times.rs
+++ b/crates/engine/src/tests/start_times.rs
@@ -15,8 +15,8 @@
     dates: &'a [Micros],
 }
 
-/// The ages of the workers `at` a time, as a node sees them whose clock is ahead by `clock_error`. The first list is the
-/// configured one.
+/// The ages of the workers `at` a time, as a node sees them whose clock is ahead by `clock_error`. The first
+/// list is the configured one.
 fn ages(clock_error: Micros, lists: &[DatedList<'_>], at: Micros) -> Vec<Micros> {
     let mut start_times = StartTimes::default();
     let mut starts = Vec::new();
--- a/crates/engine/src/tests/tasks.rs
+++ b/crates/engine/src/tests/tasks.rs
@@ -9,8 +9,8 @@
 /// Far more polls than any other task may have to wait for.
 const MAX_POLLS: usize = 10_000;
 
-/// Urgent work that never ends, such as timers that are always due, must not keep ordinary tasks from their answers and
-/// deadlines.
+/// Urgent work that never ends, such as timers that are always due, must not keep ordinary tasks from their
+/// answers and deadlines.
 #[test]
 fn urgent_work_without_end_lets_ordinary_tasks_run() {
     let tasks = Rc::<Tasks>::default();
--- a/crates/engine/src/upstreams.rs
+++ b/crates/engine/src/upstreams.rs
@@ -34,7 +34,8 @@
     ///
     /// # Errors
     ///
-    /// [`AttemptEnd::NoAddress`] for a worker without an address, and the errors of [`ConnectionPool::connect`].
+    /// [`AttemptEnd::NoAddress`] for a worker without an address, and the errors of
+    /// [`ConnectionPool::connect`].
     pub async fn connection(&self, worker: WorkerId) -> Result<(SocketAddr, PooledConnection), AttemptEnd> {
         let address = self.registry.address(worker).ok_or(AttemptEnd::NoAddress)?;
         let upstream = match self.pool.checkout(worker, address) {
--- a/crates/engine/src/watch_error.rs
+++ b/crates/engine/src/watch_error.rs
@@ -25,7 +25,8 @@
 }
 
 impl WatchError {
-    /// Whether discovery sent what is no list: nothing that it sent before can be relied on for the next list.
+    /// Whether discovery sent what is no list: nothing that it sent before can be relied on for the next
+    /// list.
     pub fn is_malformed(&self) -> bool {
         matches!(self, WatchError::InvalidList(_) | WatchError::Unreadable(WireError::Malformed))
     }
