--- a/crates/engine/src/tests/discovery_watch.rs
+++ b/crates/engine/src/tests/discovery_watch.rs
@@ -218,21 +218,21 @@
 fn a_watch_that_falls_silent_in_the_middle_of_a_line_is_retried_from_its_version() {
     let engine = watch(|agent| {
         let next = || agent.accept().expect("the node connects").0;
-        let mut torn = next();
-        assert_eq!(read_request_target(&mut torn), "/registry/instances?watch=1&after=1");
-        torn.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).expect("the node reads");
+        let mut stalled = next();
+        assert_eq!(read_request_target(&mut stalled), "/registry/instances?watch=1&after=1");
+        stalled.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).expect("the node reads");
         let line = list(2, false, &host("s-1", 7).replace("in_service", "terminating"));
         let half = &line[..line.len() / 2];
-        torn.write_all(format!("{:x}\r\n{half}", line.len()).as_bytes()).expect("the node reads");
+        stalled.write_all(format!("{:x}\r\n{half}", line.len()).as_bytes()).expect("the node reads");
         let silent_since = Instant::now();
         let mut retried = next();
         assert_eq!(read_request_target(&mut retried), "/registry/instances?watch=1&after=1");
         assert!(silent_since.elapsed() < Duration::from_secs(5), "{:?}", silent_since.elapsed());
         // The rest of the old line comes now: nothing reads it any more.
-        let _ = torn.write_all(format!("{}\r\n", &line[line.len() / 2..]).as_bytes());
+        let _ = stalled.write_all(format!("{}\r\n", &line[line.len() / 2..]).as_bytes());
         retried.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).expect("the node reads");
         send_chunk(&mut retried, &list(3, false, &host("s-2", 2)));
-        assert!(matches!(torn.read(&mut [0]), Ok(0) | Err(_)), "the old connection was closed");
+        assert!(matches!(stalled.read(&mut [0]), Ok(0) | Err(_)), "the old connection was closed");
         drop(retried);
         assert_eq!(read_request_target(&mut next()), "/registry/instances?watch=1&after=3");
     });
@@ -245,9 +245,9 @@
 #[test]
 fn a_list_that_trickles_is_fetched_again() {
     let engine = watch(|agent| {
-        let mut torn = agent.accept().expect("the node connects").0;
-        assert_eq!(read_request_target(&mut torn), "/registry/instances?watch=1&after=1");
-        torn.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).expect("the node reads");
+        let mut trickling = agent.accept().expect("the node connects").0;
+        assert_eq!(read_request_target(&mut trickling), "/registry/instances?watch=1&after=1");
+        trickling.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).expect("the node reads");
         let line = list(2, false, &host("s-1", 7).replace("in_service", "terminating"));
         let (retries, retried) = std::sync::mpsc::channel();
         let accepting =
@@ -259,7 +259,7 @@
                 Ok(next) => break next,
                 Err(_) => {
                     let byte = bytes.next().expect("the node retries long before the end") as char;
-                    torn.write_all(format!("1\r\n{byte}\r\n").as_bytes()).expect("the node reads");
+                    trickling.write_all(format!("1\r\n{byte}\r\n").as_bytes()).expect("the node reads");
                 }
             }
         };
--- a/crates/engine/src/tests/request.rs
+++ b/crates/engine/src/tests/request.rs
@@ -56,23 +56,21 @@
         let ends: Vec<AttemptEnd> =
             scripts.iter().cycle().take(runs).map(|script| expected_end(script).0).collect();
         prop_assert!(late < 1_000_000, "an answer {} us late", late);
-        if let Some((last, before)) = ends.split_last() {
-            prop_assert!(
-                before.iter().all(|end| *end == AttemptEnd::Rejected),
-                "sent again after {:?}",
-                before
-            );
-            match (last, &answer) {
-                (AttemptEnd::Completed(result), Some(Answer::Served(served))) => {
-                    prop_assert_eq!(result, served)
-                }
-                (AttemptEnd::Rejected, Some(Answer::Rejected { .. })) => {}
-                (AttemptEnd::Completed(_) | AttemptEnd::Rejected, _) => {
-                    prop_assert!(false, "{:?} led to {:?}", last, answer)
-                }
-                (_, answer) => prop_assert_eq!(answer, &Some(Answer::Failed)),
-            }
-        }
-        Ok(())
+        check_answer(&ends, answer)
     });
 }
+
+/// Checks the answer to an at-most-once request whose attempts ended so, in this order.
+fn check_answer(ends: &[AttemptEnd], answer: Option<Answer>) -> Result<(), TestCaseError> {
+    let Some((last, before)) = ends.split_last() else { return Ok(()) };
+    prop_assert!(before.iter().all(|end| *end == AttemptEnd::Rejected), "sent again after {:?}", before);
+    match (last, &answer) {
+        (AttemptEnd::Completed(result), Some(Answer::Served(served))) => prop_assert_eq!(result, served),
+        (AttemptEnd::Rejected, Some(Answer::Rejected { .. })) => {}
+        (AttemptEnd::Completed(_) | AttemptEnd::Rejected, _) => {
+            prop_assert!(false, "{:?} led to {:?}", last, answer)
+        }
+        (_, answer) => prop_assert_eq!(answer, &Some(Answer::Failed)),
+    }
+    Ok(())
+}
