--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -71,7 +71,7 @@
     async fn send_request(&self) -> Result<PooledConnection, AttemptEnd> {
         let AttemptSpec { worker, send_by, .. } = self.spec;
         let connect_by = send_by.min(Instant::now() + self.upstreams.connect_timeout);
-        let (address, mut upstream) = timeout_at(connect_by, self.upstreams.connection(worker))
+        let mut upstream = timeout_at(connect_by, self.upstreams.connection(worker))
             .await
             .ok_or_else(|| self.spec.unsent_timeout(AttemptEnd::ConnectTimeout))??;
         if !self.upstreams.registry.accepts_work(worker) {
@@ -87,7 +87,7 @@
             spec: &self.spec,
             messages: &self.messages,
         };
-        let host = address.to_string();
+        let host = upstream.address.to_string();
         timeout_at(send_by, writer.write(&host, &mut upstream.connection))
             .await
             .ok_or_else(|| self.spec.unsent_timeout(AttemptEnd::TimeoutBeforeSent))??;
--- a/crates/engine/src/connection_pool.rs
+++ b/crates/engine/src/connection_pool.rs
@@ -25,7 +25,8 @@
     pub connection: Connection,
     /// How long it had been idle when it was checked out of the pool; `None` for a new one.
     pub idle: Option<Duration>,
-    address: SocketAddr,
+    /// The worker's address, which the connection goes to.
+    pub address: SocketAddr,
     _permit: Permit,
 }
 
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -12,7 +12,7 @@
 use crate::job::Job;
 use crate::load_report::LoadReportFields;
 use crate::probe;
-use crate::request::{RequestHandle, Requests};
+use crate::request_admission::{RequestAdmission, RequestHandle};
 use crate::request_task::RequestContext;
 use crate::tasks::Tasks;
 use crate::upstreams::Upstreams;
@@ -50,7 +50,7 @@
     pub body_admission: BodyAdmission,
     /// The node's counters.
     pub counters: Rc<Counters>,
-    requests: Requests,
+    request_admission: RequestAdmission,
     probes: Receiver<WorkerId>,
     backoff: Backoff,
     discovery_mode: DiscoveryMode,
@@ -79,7 +79,7 @@
             tasks: tasks.clone(),
             open_ids: RefCell::new(HashSet::new()),
         });
-        let requests = Requests::new(
+        let request_admission = RequestAdmission::new(
             request_context,
             at_most_once_classes(config),
             config.settings.limits.rejection_may_have_run,
@@ -93,7 +93,7 @@
             upstreams,
             bodies,
             counters,
-            requests,
+            request_admission,
             probes,
             backoff: Backoff::new(config.seed, config.drain_grace, config.ask_within),
             discovery_mode: discovery_mode(config),
@@ -117,7 +117,7 @@
 
     /// Takes a job; `None` where a request of the same id is in progress.
     pub fn take(&self, job: Job) -> Option<RequestHandle> {
-        self.requests.take(job)
+        self.request_admission.take(job)
     }
 
     /// Watches discovery's list of workers, for ever; the parameters are those of [`Engine::start`].
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -8,7 +8,7 @@
 //! | module | concern |
 //! | --- | --- |
 //! | `engine` | puts the parts of a node together |
-//! | `request` | the admission of requests |
+//! | `request_admission` | the admission of requests |
 //! | `request_task` | the task of one request, from arrival to answer |
 //! | `attempt`, `probe` | one attempt at a job, one health check of a worker |
 //! | `request_writer`, `response_reader` | the request to a worker, and its response with job lines |
@@ -59,7 +59,7 @@
 mod job;
 mod load_report;
 mod probe;
-mod request;
+mod request_admission;
 mod request_task;
 mod request_writer;
 mod response_reader;
@@ -83,7 +83,7 @@
 pub use engine::Engine;
 pub use invariants::{Drain, Invariant, Invariants, RequestGuard, SentAttempt};
 pub use job::{Answer, Job, RequestMessage, RequestPayload};
-pub use request::RequestHandle;
+pub use request_admission::RequestHandle;
 pub use responsiveness::{LONG_STEP, Responsiveness};
 pub use tasks::Tasks;
 pub use upstreams::Upstreams;
--- a/crates/engine/src/probe.rs
+++ b/crates/engine/src/probe.rs
@@ -25,9 +25,9 @@
 
 /// One request and its response, which succeeds with status 200.
 async fn probe(upstreams: &Upstreams, worker: WorkerId) -> Result<(), AttemptEnd> {
-    let (address, mut upstream) = upstreams.connection(worker).await?;
+    let mut upstream = upstreams.connection(worker).await?;
+    let request = format!("GET /health/live HTTP/1.1\r\nHost: {}\r\n\r\n", upstream.address);
     let connection = &mut upstream.connection;
-    let request = format!("GET /health/live HTTP/1.1\r\nHost: {address}\r\n\r\n");
     connection.write(request.as_bytes()).await.map_err(|_| AttemptEnd::ResetBeforeSent)?;
     let head = connection.read_head(Head::parse_response).await.map_err(AttemptEnd::unreadable)?;
     let body = head.body().map_err(AttemptEnd::unreadable)?;
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request_admission.rs
@@ -28,15 +28,15 @@
     }
 }
 
-/// Admits requests.
-pub struct Requests {
+/// Admits requests and rejects those whose id is in use.
+pub struct RequestAdmission {
     context: Rc<RequestContext>,
     at_most_once: Vec<bool>,
     rejection_may_have_run: bool,
 }
 
-impl Requests {
-    /// Requests whose tasks share `context`.
+impl RequestAdmission {
+    /// An admission of requests whose tasks share `context`.
     ///
     /// `at_most_once`: whether the requests of a class must not run twice, by the class's index in the
     /// settings. `rejection_may_have_run`: whether an attempt that a worker rejected may have run all the
@@ -45,8 +45,8 @@
         context: Rc<RequestContext>,
         at_most_once: Vec<bool>,
         rejection_may_have_run: bool,
-    ) -> Requests {
-        Requests { context, at_most_once, rejection_may_have_run }
+    ) -> RequestAdmission {
+        RequestAdmission { context, at_most_once, rejection_may_have_run }
     }
 
     /// Admits a request and starts its task.
--- a/crates/engine/src/tests/mod.rs
+++ b/crates/engine/src/tests/mod.rs
@@ -11,7 +11,7 @@
 mod load_reports;
 mod overdue_request;
 mod pooled_connection;
-mod request;
 mod request_sent;
+mod request_task;
 mod start_times;
 mod tasks;
--- a/crates/engine/src/upstreams.rs
+++ b/crates/engine/src/upstreams.rs
@@ -7,7 +7,6 @@
 use crate::tasks::Tasks;
 use crate::worker_registry::WorkerRegistry;
 use sorrelhaven_dispatcher::WorkerId;
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -30,18 +29,17 @@
 }
 
 impl Upstreams {
-    /// A connection to the worker, pooled or new, and the address that it goes to.
+    /// A connection to the worker, pooled or new.
     ///
     /// # Errors
     ///
     /// [`AttemptEnd::NoAddress`] for a worker without an address, and the errors of
     /// [`ConnectionPool::connect`].
-    pub async fn connection(&self, worker: WorkerId) -> Result<(SocketAddr, PooledConnection), AttemptEnd> {
+    pub async fn connection(&self, worker: WorkerId) -> Result<PooledConnection, AttemptEnd> {
         let address = self.registry.address(worker).ok_or(AttemptEnd::NoAddress)?;
-        let upstream = match self.pool.checkout(worker, address) {
-            Some(upstream) => upstream,
-            None => self.pool.connect(address).await?,
-        };
-        Ok((address, upstream))
+        match self.pool.checkout(worker, address) {
+            Some(upstream) => Ok(upstream),
+            None => self.pool.connect(address).await,
+        }
     }
 }
