--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -16,13 +16,16 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The response has to end this soon after its last job line, or its connection is closed rather than used again.
+/// The response has to end this soon after its last job line, or its connection is closed rather than used
+/// again.
 const RESPONSE_END_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A reused connection that breaks this soon after the request's last byte was closed before the request came.
+/// A reused connection that breaks this soon after the request's last byte was closed before the request
+/// arrived.
 const STALE_CONNECTION_WINDOW: Duration = Duration::from_millis(100);
 
-/// Runs one attempt and reports to its request through `messages`; the last message says how the attempt ended.
+/// Runs one attempt and reports to its request through `messages`; the last message says how the attempt
+/// ended.
 pub async fn run(
     upstreams: Rc<Upstreams>,
     payload: Rc<RequestPayload>,
@@ -60,14 +63,15 @@
         Ok(())
     }
 
-    /// Writes the request to a pooled or a new connection. Until its last byte is written the job has not run.
+    /// Writes the request to a pooled or a new connection. Until its last byte is written the job has not
+    /// run.
     ///
-    /// A connection may take its time to come up, so what has changed meanwhile is checked again: nothing is sent for a
-    /// client that has left, to a worker that drains, or after the idempotency window.
+    /// A connection may take its time to come up, so what has changed meanwhile is checked again: nothing is
+    /// sent for a client that has left, to a worker that drains, or after the idempotency window.
     async fn send_request(&self) -> Result<PooledConnection, AttemptEnd> {
         let AttemptSpec { worker, send_by, .. } = self.spec;
         let connect_by = send_by.min(Instant::now() + self.upstreams.connect_timeout);
-        let (address, mut upstream) = timeout_at(connect_by, self.upstreams.connection(worker))
+        let mut upstream = timeout_at(connect_by, self.upstreams.connection(worker))
             .await
             .ok_or_else(|| self.spec.unsent_timeout(AttemptEnd::ConnectTimeout))??;
         if !self.upstreams.registry.accepts_work(worker) {
@@ -83,7 +87,7 @@
             spec: &self.spec,
             messages: &self.messages,
         };
-        let host = address.to_string();
+        let host = upstream.address.to_string();
         timeout_at(send_by, writer.write(&host, &mut upstream.connection))
             .await
             .ok_or_else(|| self.spec.unsent_timeout(AttemptEnd::TimeoutBeforeSent))??;
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -12,7 +12,8 @@
 use crate::job::Job;
 use crate::load_report::LoadReportFields;
 use crate::probe;
-use crate::request::{RequestHandle, Requests};
+use crate::request_admission::{RequestAdmission, RequestHandle};
+use crate::request_task::RequestContext;
 use crate::tasks::Tasks;
 use crate::upstreams::Upstreams;
 use crate::worker_registry::WorkerRegistry;
@@ -49,15 +50,15 @@
     pub body_admission: BodyAdmission,
     /// The node's counters.
     pub counters: Rc<Counters>,
-    requests: Rc<Requests>,
+    request_admission: RequestAdmission,
     probes: Receiver<WorkerId>,
     backoff: Backoff,
     discovery_mode: DiscoveryMode,
 }
 
 impl Engine {
-    /// An engine that has loaded the configuration's list of workers; nothing runs yet. `disk` stores bodies in files;
-    /// without it they stay in memory.
+    /// An engine that has loaded the configuration's list of workers; nothing runs yet. `disk` stores bodies
+    /// in files; without it they stay in memory.
     pub fn new(config: &Config, disk: Option<Arc<dyn Disk>>) -> Rc<Engine> {
         let (probe_requests, probes) = async_channel::unbounded();
         let counters = Rc::new(Counters::new(config.classes.iter().map(|class| class.name.clone())));
@@ -71,15 +72,18 @@
         ));
         let upstreams = Rc::new(new_upstreams(config, &tasks, &counters));
         let bodies = new_body_store(config, disk, &upstreams);
-        let requests = Rc::new(Requests {
+        let request_context = Rc::new(RequestContext {
             dispatcher_loop: dispatcher_loop.clone(),
             upstreams: upstreams.clone(),
             counters: counters.clone(),
             tasks: tasks.clone(),
-            at_most_once: at_most_once_classes(config),
-            rejection_may_have_run: config.settings.limits.rejection_may_have_run,
             open_ids: RefCell::new(HashSet::new()),
         });
+        let request_admission = RequestAdmission::new(
+            request_context,
+            at_most_once_classes(config),
+            config.settings.limits.rejection_may_have_run,
+        );
         let known_workers = upstreams.registry.apply(&config.known, dispatcher_loop.clock.now());
         dispatcher_loop.dispatch(Event::WorkerList(WorkerListUpdate::Cached(known_workers)));
         Rc::new(Engine {
@@ -89,16 +93,16 @@
             upstreams,
             bodies,
             counters,
-            requests,
+            request_admission,
             probes,
             backoff: Backoff::new(config.seed, config.drain_grace, config.ask_within),
             discovery_mode: discovery_mode(config),
         })
     }
 
-    /// Starts the tasks that run as long as the node: the discovery watch, which continues from version `seq` at
-    /// `discovery` and moves to the addresses from `moves`; the dispatcher's timers and probes; the spilling of bodies
-    /// to disk; and the eviction of expired connections.
+    /// Starts the tasks that run as long as the node: the discovery watch, which continues from version `seq`
+    /// at `discovery` and moves to the addresses from `moves`; the dispatcher's timers and probes; the
+    /// spilling of bodies to disk; and the eviction of expired connections.
     pub fn start(self: &Rc<Self>, discovery: SocketAddr, seq: u64, moves: Receiver<SocketAddr>) {
         let engine = self.clone();
         self.tasks.spawn_urgent(async move { engine.watch(discovery, seq, moves).await });
@@ -113,7 +117,7 @@
 
     /// Takes a job; `None` where a request of the same id is in progress.
     pub fn take(&self, job: Job) -> Option<RequestHandle> {
-        self.requests.take(job)
+        self.request_admission.take(job)
     }
 
     /// Watches discovery's list of workers, for ever; the parameters are those of [`Engine::start`].
@@ -171,7 +175,8 @@
     }
 }
 
-/// A body store with a share for each tenant in each class, whose files take descriptors from the node's budget.
+/// A body store with a share for each tenant in each class, whose files take descriptors from the node's
+/// budget.
 fn new_body_store(config: &Config, disk: Option<Arc<dyn Disk>>, upstreams: &Rc<Upstreams>) -> Rc<BodyStore> {
     let shares = config.classes.len() * config.tenants.len().max(1);
     let upstreams = upstreams.clone();
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,22 +1,23 @@
-//! Runs requests: each is admitted from a front end, decided on by the dispatcher, attempted at workers, and answered
-//! once.
+//! Runs requests: each is admitted from a front end, decided on by the dispatcher, attempted at workers, and
+//! answered once.
 //!
-//! A front end submits a [`Job`] to [`Engine::take`] and receives one [`Answer`] through the [`RequestHandle`]. Nothing
-//! here depends on the client's protocol, so the same decisions apply to every front end. A module uses only modules of
-//! its own row and of those below it in this table:
+//! A front end submits a [`Job`] to [`Engine::take`] and receives one [`Answer`] through the
+//! [`RequestHandle`]. Nothing here depends on the client's protocol, so the same decisions apply to every
+//! front end. A module uses only modules of its own row and of those below it in this table:
 //!
 //! | module | concern |
 //! | --- | --- |
 //! | `engine` | puts the parts of a node together |
-//! | `request` | the task of one request, from admission to answer |
+//! | `request_admission` | the admission of requests |
+//! | `request_task` | the task of one request, from arrival to answer |
 //! | `attempt`, `probe` | one attempt at a job, one health check of a worker |
 //! | `request_writer`, `response_reader` | the request to a worker, and its response with job lines |
 //! | `attempt_spec` | the limits of one attempt, and whether it may be sent |
 //! | `upstreams` | what attempts and probes reach workers with |
-//! | `connection_pool`, `descriptor_budget` | idle upstream connections, and the descriptors of all connections |
-//! | `worker_registry`, `start_times` | what discovery says of the workers, and when they started on the node's clock |
+//! | `connection_pool`, `descriptor_budget` | idle upstream connections, descriptors of all connections |
+//! | `worker_registry`, `start_times` | what discovery says of the workers, when they started |
 //! | `load_report` | the load that workers report |
-//! | `discovery_watch`, `discovery_poll` | the watch on discovery's list with its retries, and its single polls |
+//! | `discovery_watch`, `discovery_poll` | the watch on the worker list, its single polls |
 //! | `watch_error`, `backoff` | why a watch failed, and the delays between polls |
 //! | `dispatcher_loop` | owns the one `Dispatcher`, feeds it events in order, routes its actions |
 //! | `job` | the plain types that these exchange |
@@ -58,7 +59,8 @@
 mod job;
 mod load_report;
 mod probe;
-mod request;
+mod request_admission;
+mod request_task;
 mod request_writer;
 mod response_reader;
 mod responsiveness;
@@ -81,7 +83,7 @@
 pub use engine::Engine;
 pub use invariants::{Drain, Invariant, Invariants, RequestGuard, SentAttempt};
 pub use job::{Answer, Job, RequestMessage, RequestPayload};
-pub use request::RequestHandle;
+pub use request_admission::RequestHandle;
 pub use responsiveness::{LONG_STEP, Responsiveness};
 pub use tasks::Tasks;
 pub use upstreams::Upstreams;
--- a/crates/engine/src/responsiveness.rs
+++ b/crates/engine/src/responsiveness.rs
@@ -1,14 +1,15 @@
 //! Delays of the event loop.
 //!
-//! All work of a node shares one thread, so one long step delays every answer. Steps and timers are measured as they run:
-//! the metrics show the longest of each and the number of steps longer than [`LONG_STEP`], and the log names each of
-//! those.
+//! All work of a node shares one thread, so one long step delays every answer. Steps and timers are measured
+//! as they run: the metrics show the longest of each and the number of steps longer than [`LONG_STEP`], and
+//! the log names each of those.
 
 use crate::count::{Count, Longest};
 use std::time::{Duration, Instant};
 use tracing::warn;
 
-/// A longer step is counted and logged. Deadlines have an allowance of 150 ms for everything that delays a node.
+/// A longer step is counted and logged. Deadlines have an allowance of 150 ms for everything that delays a
+/// node.
 pub const LONG_STEP: Duration = Duration::from_millis(50);
 
 /// The delays of the event loop so far.
@@ -25,19 +26,19 @@
 impl Responsiveness {
     /// Records a step that started at `started` and has just ended.
     pub fn step_ended(&self, started: Instant) {
-        let took = started.elapsed();
-        self.longest_step.note(took);
-        if took > LONG_STEP {
+        let elapsed = started.elapsed();
+        self.longest_step.note(elapsed);
+        if elapsed > LONG_STEP {
             self.long_steps.add();
-            warn!(took_ms = took.as_millis(), "slow event loop step");
+            warn!(took_ms = elapsed.as_millis(), "slow event loop step");
         }
     }
 
     /// Logs the part of a step that started at `started` and has just ended, where it alone took long.
     pub fn part_ended(&self, part: &'static str, started: Instant) {
-        let took = started.elapsed();
-        if took > LONG_STEP {
-            warn!(part, took_ms = took.as_millis(), "slow part of an event loop step");
+        let elapsed = started.elapsed();
+        if elapsed > LONG_STEP {
+            warn!(part, took_ms = elapsed.as_millis(), "slow part of an event loop step");
         }
     }
 }
--- a/crates/engine/src/tests/mod.rs
+++ b/crates/engine/src/tests/mod.rs
@@ -1,4 +1,5 @@
-//! Tests of the engine: the network code against models with random steps from a fixed seed, and each part by itself.
+//! Tests of the engine: the network code against models with random steps from a fixed seed, and each part by
+//! itself.
 
 mod attempt_ends;
 mod backoff;
@@ -10,7 +11,7 @@
 mod load_reports;
 mod overdue_request;
 mod pooled_connection;
-mod request;
 mod request_sent;
+mod request_task;
 mod start_times;
 mod tasks;
