--- /dev/null
+++ b/crates/admin/src/caller.rs
@@ -0,0 +1,50 @@
+//! One caller, from its accept to its end.
+
+use crate::command::{AdminCommand, CommandError, CommandReader};
+use crate::service::AdminService;
+use sorrelhaven_wire::{Connection, WireError, timeout_at};
+use std::net::TcpStream;
+use std::time::{Duration, Instant};
+use tracing::debug;
+
+/// The time in which a command must have been received, from the accept.
+const COMMAND_READ_TIMEOUT: Duration = Duration::from_secs(5);
+/// The time in which a caller must have received its reply.
+const REPLY_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a caller's input is drained after the reply, so that it receives the reply and not a reset.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// The most that is drained.
+const MAX_LINGER_BYTES: usize = 64 * 1024;
+
+/// Reads one command from `stream`, executes it and sends the reply.
+pub async fn serve_caller(service: &AdminService, stream: TcpStream) {
+    let Ok(mut connection) = Connection::accepted(stream).await else { return };
+    let read_deadline = Instant::now() + COMMAND_READ_TIMEOUT;
+    let command = match timeout_at(read_deadline, read_command(&mut connection)).await {
+        Some(Some(command)) => command,
+        Some(None) => return,
+        None => Err(CommandError::TooSlow),
+    };
+    debug!(line = ?command, "admin command");
+    let reply = service.execute(command, Instant::now());
+    let write_deadline = Instant::now() + REPLY_WRITE_TIMEOUT;
+    if timeout_at(write_deadline, connection.write(reply.as_bytes())).await == Some(Ok(())) {
+        let linger_deadline = Instant::now() + LINGER_TIMEOUT;
+        _ = timeout_at(linger_deadline, connection.drain_input(MAX_LINGER_BYTES)).await;
+    }
+}
+
+/// The caller's command; `None` where it has disconnected without one.
+async fn read_command(connection: &mut Connection) -> Option<Result<AdminCommand, CommandError>> {
+    let mut reader = CommandReader::default();
+    loop {
+        match connection.fill().await {
+            Err(WireError::Closed) => return reader.finish(),
+            Err(_) => return None,
+            Ok(()) => {}
+        }
+        if let Some(command) = reader.push(&connection.take_buffered()) {
+            return Some(command);
+        }
+    }
+}
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,16 +1,18 @@
-//! The operators' address: each connection carries one line, a call, and gets its answer.
+//! The admin listener: each connection carries one command on one line and gets its reply.
 //!
-//! `call` reads lines into calls, `metrics` writes metrics as text, `places` says which caller gives way; they do no
-//! I/O. `desk` answers calls, `serve` has the sockets.
+//! The modules `command` (reads lines into commands), `metrics` (formats metrics as text) and `eviction`
+//! (decides which caller makes room) do no I/O. `service` executes commands, `server` accepts callers and
+//! `caller` talks to one.
 
-mod call;
-mod desk;
+mod caller;
+mod command;
+mod eviction;
 mod metrics;
-mod places;
-mod serve;
+mod server;
+mod service;
 
-pub use call::{Asked, Incoming, LINE_MOST, Unread};
-pub use desk::Desk;
-pub use metrics::{ClassMetrics, Metrics};
-pub use places::{PLACES, gives_way};
-pub use serve::{listen, serve};
+pub use command::{AdminCommand, CommandError, CommandReader, MAX_LINE_BYTES};
+pub use eviction::{MAX_CALLERS, next_eviction_at};
+pub use metrics::{ClassMetrics, Metric, MetricKind, Metrics};
+pub use server::{listen, serve};
+pub use service::AdminService;
--- /dev/null
+++ b/crates/admin/src/service.rs
@@ -0,0 +1,107 @@
+//! Executes the operators' commands.
+
+use crate::command::{AdminCommand, CommandError};
+use crate::metrics::{ClassMetrics, END_OF_TEXT, Metric, Metrics};
+use sorrelhaven_engine::Engine;
+use sorrelhaven_lifecycle::{CommandReply, LifecycleHandle};
+use sorrelhaven_membership::{Member, MemberState, Membership};
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::time::Instant;
+
+/// Executes commands on one node.
+pub struct AdminService {
+    engine: Rc<Engine>,
+    lifecycle: Rc<LifecycleHandle>,
+    membership: Option<Rc<RefCell<Membership>>>,
+}
+
+impl AdminService {
+    /// A service that shows the counters of `engine`, controls `lifecycle`, and shows the other nodes where
+    /// `membership` is on.
+    pub fn new(
+        engine: Rc<Engine>,
+        lifecycle: Rc<LifecycleHandle>,
+        membership: Option<Rc<RefCell<Membership>>>,
+    ) -> AdminService {
+        AdminService { engine, lifecycle, membership }
+    }
+
+    /// Executes a command that arrived at `now`, and returns the reply in complete lines.
+    pub fn execute(&self, command: Result<AdminCommand, CommandError>, now: Instant) -> String {
+        match command {
+            Ok(AdminCommand::Lifecycle(command)) => match self.lifecycle.execute(command, now) {
+                CommandReply::Success(state) => format!("SUCCESS {state}\n"),
+                CommandReply::Failure(state) => format!("FAILURE {state}\n"),
+            },
+            Ok(AdminCommand::ShowStat) => self.metrics().text(),
+            Ok(AdminCommand::Members) => self.members(),
+            Err(error) => format!("FAILURE {error}\n"),
+        }
+    }
+
+    /// The metrics at this moment.
+    pub fn metrics(&self) -> Metrics {
+        let counters = &self.engine.counters;
+        let workers = self.engine.dispatcher_loop.worker_counts();
+        Metrics {
+            classes: self.class_metrics(),
+            attempts_written: counters.written.get(),
+            in_progress: counters.in_progress(),
+            known_workers: workers.known,
+            unavailable_workers: workers.unavailable(),
+            invariant_violations: counters.invariants.counts().collect(),
+            longest_step_us: counters.responsiveness.longest_step.micros(),
+            longest_timer_lag_us: counters.responsiveness.longest_timer_lag.micros(),
+            long_steps: counters.responsiveness.long_steps.get(),
+            answered_late: counters.answered_late.get(),
+            membership: self.membership_metrics(),
+        }
+    }
+
+    fn class_metrics(&self) -> Vec<ClassMetrics> {
+        let classes = self.engine.counters.classes().map(|(name, counters)| ClassMetrics {
+            class: name.to_string(),
+            served: counters.served.get(),
+            rejected: counters.rejected.get(),
+            failed: counters.failed.get(),
+        });
+        classes.collect()
+    }
+
+    fn membership_metrics(&self) -> Vec<Metric> {
+        let Some(membership) = &self.membership else { return Vec::new() };
+        let table = membership.borrow().table();
+        let totals = membership.borrow().metrics();
+        let members_in = |state| table.iter().filter(|member| member.state == state).count() as u64;
+        let dropped = totals.malformed + totals.unauthenticated + totals.replayed + totals.undecodable;
+        vec![
+            Metric::gauge("members_alive", members_in(MemberState::Alive)),
+            Metric::gauge("members_suspect", members_in(MemberState::Suspect)),
+            Metric::gauge("members_dead", members_in(MemberState::Dead)),
+            Metric::gauge("members_left", members_in(MemberState::Left)),
+            Metric::counter("member_probes", totals.probes),
+            Metric::counter("member_suspicions", totals.suspicions),
+            Metric::counter("member_refuted", totals.refuted),
+            Metric::counter("member_declared_dead", totals.declared_dead),
+            Metric::counter("member_pauses", totals.pauses),
+            Metric::counter("member_bytes_sent", totals.bytes),
+            Metric::counter("member_dropped", dropped),
+        ]
+    }
+
+    /// This node and the others, a line each: name, incarnation, address, state.
+    fn members(&self) -> String {
+        let Some(membership) = &self.membership else { return "FAILURE membership is off\n".to_string() };
+        let mut members = membership.borrow().table();
+        members.sort_by(|left, right| left.id.cmp(&right.id));
+        let mut text: String = members.iter().map(member_line).collect();
+        text.push_str(END_OF_TEXT);
+        text
+    }
+}
+
+fn member_line(member: &Member) -> String {
+    let Member { id, state, .. } = member;
+    format!("{} {} {} {state}\n", id.name, id.incarnation, id.address)
+}
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -104,7 +104,7 @@
     member: Option<&ClusterMember>,
 ) {
     let membership = member.map(|member| member.membership.clone());
-    let service = Rc::new(admin::Desk::new(engine.clone(), lifecycle.clone(), membership));
+    let service = Rc::new(admin::AdminService::new(engine.clone(), lifecycle.clone(), membership));
     engine.tasks.spawn_urgent(admin::serve(service, engine.tasks.clone(), socket));
 }
 
