--- a/crates/frontend-http1/src/body_reader.rs
+++ b/crates/frontend-http1/src/body_reader.rs
@@ -19,13 +19,13 @@
     /// When the body's first byte could arrive. Moved back by the time for which the node itself delays the
     /// client.
     pub read_started_at: Instant,
-    /// When the client gives up.
+    /// When the client's timeout expires.
     pub client_deadline: Instant,
 }
 
 /// How far a body has been read.
 pub enum BodyProgress {
-    /// The whole body has been read.
+    /// The body has been read to its end.
     Complete,
     /// The body is not stored: the rest is to be streamed to a worker as it arrives.
     NotStored(BodyReader),
--- a/crates/frontend-http1/src/frontend.rs
+++ b/crates/frontend-http1/src/frontend.rs
@@ -20,7 +20,7 @@
 pub struct Frontend {
     /// Executes the jobs.
     pub(crate) engine: Rc<Engine>,
-    /// The request classes, in the order of the settings.
+    /// The request classes, as the settings list them.
     pub(crate) classes: Vec<ClassName>,
     /// The tenants; empty where requests name none.
     pub(crate) tenants: Vec<String>,
--- a/crates/frontend-http1/src/job_exchange.rs
+++ b/crates/frontend-http1/src/job_exchange.rs
@@ -126,7 +126,7 @@
     let interrupted = async { Err(stream_until_disconnected(frontend, connection, unread).await) };
     match or(answer, interrupted).await {
         Ok(answer) => {
-            // After an early answer the rest of the body cannot be told from the next request.
+            // After an early answer the rest of the body cannot be distinguished from the next request.
             let reusable = body.end().is_some_and(BodyEnd::is_whole);
             Some(Exchange { response: Response::from_answer(answer), reusable, carried_job: true })
         }
--- a/crates/frontend-http1/src/listen.rs
+++ b/crates/frontend-http1/src/listen.rs
@@ -1,7 +1,7 @@
 //! Opens the listening socket for clients.
 
 use async_io::Async;
-use sorrelhaven_wire::{SocketCall, SocketFailure, classify};
+use sorrelhaven_wire::{RetryDecision, SocketCall, retry_decision};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
@@ -26,16 +26,11 @@
             Ok(listener) => return Ok(listener),
             Err(error) => error,
         };
-        if Instant::now() >= retry_until {
-            return Err(error);
-        }
-        match classify(SocketCall::Listen, &error) {
-            SocketFailure::Interrupted => {}
+        match retry_decision(SocketCall::Listen, &error, retry_until) {
+            RetryDecision::Immediately => {}
             // Blocks the thread: no task runs yet.
-            SocketFailure::Shortage => std::thread::sleep(LISTEN_RETRY_INTERVAL),
-            SocketFailure::NotReady | SocketFailure::DescriptorLimit | SocketFailure::Connection => {
-                return Err(error);
-            }
+            RetryDecision::AfterPause => std::thread::sleep(LISTEN_RETRY_INTERVAL),
+            RetryDecision::GiveUp => return Err(error),
         }
     }
 }
--- a/crates/frontend-http1/src/response.rs
+++ b/crates/frontend-http1/src/response.rs
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The response to a job; status 500 where the engine gave no answer.
+    /// The response to a job; status 500 where the engine has no answer.
     pub fn from_answer(answer: Option<Answer>) -> Response {
         match answer {
             None => Response::new(500),
@@ -75,7 +75,7 @@
             Some(Answer::Rejected { retry_after }) => {
                 Response { retry_after: Some(retry_after).filter(|&delay| delay > 0), ..Response::new(503) }
             }
-            // Not 503 or 429: those tell clients that a retry is harmless, and this job may have run.
+            // Not 503 or 429: those signal that a retry is harmless, and this job may have run.
             Some(Answer::Failed) => Response::new(502),
         }
     }
--- a/crates/frontend-http1/tests/downstream_connection.rs
+++ b/crates/frontend-http1/tests/downstream_connection.rs
@@ -8,7 +8,7 @@
 use sorrelhaven_frontend_http1::{AcceptQueue, Frontend, accept};
 use sorrelhaven_lifecycle::LifecycleHandle;
 use sorrelhaven_test_support::{check_cases, single_worker_config};
-use sorrelhaven_wire::{Head, StartLine};
+use sorrelhaven_wire::{Head, ParsedHead, StartLine};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::rc::Rc;
@@ -53,11 +53,12 @@
 /// The statuses of the responses in `received`.
 fn statuses(mut received: &[u8]) -> Vec<u16> {
     let mut found = Vec::new();
-    while let Ok(Some((head, used))) = Head::parse_response(received) {
+    while let Ok(Some(parsed)) = Head::parse_response(received) {
+        let ParsedHead { head, length: head_length } = parsed;
         let StartLine::Response { status } = head.start else { break };
         let length: usize =
             head.get("Content-Length").and_then(|length| length.parse().ok()).expect("a length");
-        received = &received[used + length..];
+        received = &received[head_length + length..];
         found.push(status);
     }
     assert!(received.is_empty(), "an incomplete response");
--- a/crates/handover/src/inherited_listener.rs
+++ b/crates/handover/src/inherited_listener.rs
@@ -38,7 +38,7 @@
         /// The descriptor's number.
         descriptor: RawFd,
     },
-    /// The system did not tell what it is.
+    /// Its properties cannot be read.
     Inspect {
         /// The descriptor's number.
         descriptor: RawFd,
--- a/crates/handover/tests/process_registry.rs
+++ b/crates/handover/tests/process_registry.rs
@@ -1,6 +1,5 @@
-//! Counting the processes of one node. An `flock` lock belongs to an open file description, so one process can
-//! register several times.
-//! times.
+//! Counting the processes of one node. An `flock` lock belongs to an open file description, so one process
+//! can register several times. times.
 
 use sorrelhaven_handover::{MAX_PROCESSES, ProcessRegistry};
 
--- a/crates/node/src/client_listener.rs
+++ b/crates/node/src/client_listener.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The address on which clients connect; `configured` where the system does not tell.
+    /// The address on which clients connect; `configured` where the system does not report one.
     pub fn address(&self, configured: SocketAddr) -> SocketAddr {
         self.socket.get_ref().local_addr().unwrap_or(configured)
     }
--- a/crates/node/src/descriptor_share.rs
+++ b/crates/node/src/descriptor_share.rs
@@ -22,7 +22,7 @@
 }
 
 impl DescriptorShare {
-    /// The whole of `node_limit`: no other process is known yet.
+    /// A share of all `node_limit` descriptors: no other process is known yet.
     pub fn new(engine: Rc<Engine>, frontend: Rc<Frontend>, node_limit: usize) -> DescriptorShare {
         DescriptorShare { engine, frontend, node_limit: Cell::new(node_limit), other_processes: Cell::new(0) }
     }
--- a/crates/wire/src/body.rs
+++ b/crates/wire/src/body.rs
@@ -1,88 +1,122 @@
-//! Bodies as RFC 9112 frames them: a length, chunks, or all until the connection closes.
+//! Decodes bodies as RFC 9112 frames them: a length, chunks, or all input until the connection closes.
 
 use crate::error::WireError;
 
-/// The most a chunk's size line or the trailer may hold, in bytes.
-const CHUNK_LINE_MOST: usize = 1024;
+/// The longest line that a chunk's size or the trailer may have.
+const MAX_CHUNK_LINE_BYTES: usize = 1024;
 
-/// How far a body has been read.
+/// The state of decoding a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Body {
-    /// So many bytes are to come.
+    /// This many bytes follow.
     Length(usize),
-    /// All that comes until the connection closes.
+    /// Everything until the connection closes follows.
     UntilClosed,
-    /// A chunk's size line is to come.
-    Size,
-    /// So many bytes of a chunk are to come.
+    /// The size line of a chunk follows.
+    ChunkSize,
+    /// This many bytes of a chunk follow.
     Chunk(usize),
-    /// The line end behind a chunk is to come.
+    /// The line end after a chunk follows.
     ChunkEnd,
-    /// The trailer's lines are to come.
+    /// The lines of the trailer follow.
     Trailer,
-    /// It is complete.
+    /// The body is complete.
     Done,
 }
 
 impl Body {
-    /// Moves what `input` holds of the body to `out` and returns how much of `input` it has used.
+    /// Appends the content that `input` holds to `out`, and returns how many bytes of `input` were consumed.
+    /// A line that is incomplete at the end of `input` is not consumed.
+    ///
+    /// # Errors
+    /// The framing is malformed, or a chunk's size exceeds the address space.
     pub fn decode(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, WireError> {
-        let mut at = 0;
+        let mut used = 0;
         loop {
-            let rest = &input[at..];
-            match *self {
-                Body::Done | Body::Length(0) => {
+            if matches!(self, Body::Done | Body::Length(0)) {
+                *self = Body::Done;
+                return Ok(used);
+            }
+            let rest = &input[used..];
+            if rest.is_empty() {
+                return Ok(used);
+            }
+            match self.decode_part(rest, out)? {
+                Some(length) => used += length,
+                None => return Ok(used),
+            }
+        }
+    }
+
+    /// Decodes one part of the framing from `input`, which is not empty, and returns its length; `None` while
+    /// its line is incomplete.
+    fn decode_part(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<Option<usize>, WireError> {
+        match *self {
+            Body::Done => Ok(None),
+            Body::Length(remaining) => {
+                let length = copy_content(input, remaining, out);
+                *self = Body::Length(remaining - length);
+                Ok(Some(length))
+            }
+            Body::UntilClosed => {
+                out.extend_from_slice(input);
+                Ok(Some(input.len()))
+            }
+            Body::ChunkSize => self.decode_chunk_size(input),
+            Body::Chunk(remaining) => {
+                let length = copy_content(input, remaining, out);
+                *self = if length == remaining { Body::ChunkEnd } else { Body::Chunk(remaining - length) };
+                Ok(Some(length))
+            }
+            Body::ChunkEnd => self.decode_chunk_end(input),
+            Body::Trailer => self.decode_trailer_line(input),
+        }
+    }
+
+    fn decode_chunk_size(&mut self, input: &[u8]) -> Result<Option<usize>, WireError> {
+        match httparse::parse_chunk_size(input) {
+            Ok(httparse::Status::Complete((length, 0))) => {
+                *self = Body::Trailer;
+                Ok(Some(length))
+            }
+            Ok(httparse::Status::Complete((length, size))) => {
+                *self = Body::Chunk(usize::try_from(size).map_err(|_| WireError::BodyTooLarge)?);
+                Ok(Some(length))
+            }
+            Ok(httparse::Status::Partial) if input.len() < MAX_CHUNK_LINE_BYTES => Ok(None),
+            Ok(httparse::Status::Partial) | Err(_) => Err(WireError::Malformed),
+        }
+    }
+
+    fn decode_chunk_end(&mut self, input: &[u8]) -> Result<Option<usize>, WireError> {
+        match input {
+            [b'\r', b'\n', ..] => {
+                *self = Body::ChunkSize;
+                Ok(Some(2))
+            }
+            [b'\r'] => Ok(None),
+            _ => Err(WireError::Malformed),
+        }
+    }
+
+    /// Skips a line of the trailer; an empty line ends the body.
+    fn decode_trailer_line(&mut self, input: &[u8]) -> Result<Option<usize>, WireError> {
+        match input.iter().position(|&byte| byte == b'\n') {
+            Some(end) => {
+                if matches!(&input[..end], [] | [b'\r']) {
                     *self = Body::Done;
-                    return Ok(at);
-                }
-                _ if rest.is_empty() => return Ok(at),
-                Body::Length(left) => {
-                    let take = left.min(rest.len());
-                    out.extend_from_slice(&rest[..take]);
-                    at += take;
-                    *self = Body::Length(left - take);
-                }
-                Body::UntilClosed => {
-                    out.extend_from_slice(rest);
-                    at = input.len();
                 }
-                Body::Size => match httparse::parse_chunk_size(rest) {
-                    Ok(httparse::Status::Complete((used, 0))) => {
-                        at += used;
-                        *self = Body::Trailer;
-                    }
-                    Ok(httparse::Status::Complete((used, size))) => {
-                        at += used;
-                        *self = Body::Chunk(usize::try_from(size).map_err(|_| WireError::BodyTooLarge)?);
-                    }
-                    Ok(httparse::Status::Partial) if rest.len() < CHUNK_LINE_MOST => return Ok(at),
-                    Ok(httparse::Status::Partial) | Err(_) => return Err(WireError::Malformed),
-                },
-                Body::Chunk(left) => {
-                    let take = left.min(rest.len());
-                    out.extend_from_slice(&rest[..take]);
-                    at += take;
-                    *self = if take == left { Body::ChunkEnd } else { Body::Chunk(left - take) };
-                }
-                Body::ChunkEnd => match rest {
-                    [b'\r', b'\n', ..] => {
-                        at += 2;
-                        *self = Body::Size;
-                    }
-                    [b'\r'] => return Ok(at),
-                    _ => return Err(WireError::Malformed),
-                },
-                Body::Trailer => match rest.iter().position(|&b| b == b'\n') {
-                    Some(end) => {
-                        at += end + 1;
-                        if end == 0 || (end == 1 && rest[0] == b'\r') {
-                            *self = Body::Done;
-                        }
-                    }
-                    None if rest.len() < CHUNK_LINE_MOST => return Ok(at),
-                    None => return Err(WireError::Malformed),
-                },
+                Ok(Some(end + 1))
             }
+            None if input.len() < MAX_CHUNK_LINE_BYTES => Ok(None),
+            None => Err(WireError::Malformed),
         }
     }
 }
+
+/// Appends up to `remaining` bytes of `input` to `out`, and returns how many.
+fn copy_content(input: &[u8], remaining: usize, out: &mut Vec<u8>) -> usize {
+    let length = remaining.min(input.len());
+    out.extend_from_slice(&input[..length]);
+    length
+}
--- a/crates/wire/src/connect.rs
+++ b/crates/wire/src/connect.rs
@@ -1,38 +1,28 @@
-//! Connections that are made, and sockets that are taken into the event loop.
+//! Opens connections, and registers sockets with the event loop.
 
-use crate::errno::{SocketCall, SocketFailure, classify, shortage_pause};
+use crate::errno::SocketCall;
+use crate::retry::retry_while_short;
 use async_io::Async;
 use rustix::io::Errno;
 use rustix::net::{AddressFamily, SocketFlags, SocketType, ipproto};
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
-/// How long a call is made again for which the machine has no room, before that is told.
-const SHORTAGE_MOST: Duration = Duration::from_millis(200);
+/// How long a call is repeated for which the system lacks resources.
+const SHORTAGE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A socket in the event loop. The stream is shared so that its state can be asked for beside whoever reads from it.
+/// A socket that is registered with the event loop. The stream is shared with
+/// [`PeerProbe`](crate::PeerProbe), which observes the connection beside its reader.
 pub(crate) type Socket = Async<Arc<TcpStream>>;
 
-/// Connects to `address`. A shortage of this machine is waited out for [`SHORTAGE_MOST`].
+/// Connects to `address`. A shortage of this machine is retried for [`SHORTAGE_TIMEOUT`].
 ///
 /// # Errors
-/// Those of the last call; `classify` with [`SocketCall::Connect`] tells whose fault it is.
+/// The error of the last attempt; `classify` with [`SocketCall::Connect`] shows whether the peer is at fault.
 pub(crate) async fn connect(address: SocketAddr) -> io::Result<Socket> {
-    let until = Instant::now() + SHORTAGE_MOST;
-    loop {
-        match connect_once(address).await {
-            Err(error) if Instant::now() < until => match classify(SocketCall::Connect, &error) {
-                SocketFailure::Interrupted => {}
-                SocketFailure::Shortage => shortage_pause().await,
-                SocketFailure::NotReady | SocketFailure::DescriptorLimit | SocketFailure::Connection => {
-                    return Err(error);
-                }
-            },
-            ended => return ended,
-        }
-    }
+    retry_while_short(SocketCall::Connect, SHORTAGE_TIMEOUT, async || connect_once(address).await).await
 }
 
 async fn connect_once(address: SocketAddr) -> io::Result<Socket> {
@@ -40,11 +30,11 @@
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     let socket = rustix::net::socket_with(family, SocketType::STREAM, flags, Some(ipproto::TCP))?;
     match rustix::net::connect(&socket, &address) {
-        // An interrupted connect goes on, like one that takes its time.
+        // An interrupted connect continues in the background, like one that takes its time.
         Ok(()) | Err(Errno::INPROGRESS | Errno::INTR) => {}
         Err(error) => return Err(error.into()),
     }
-    let socket = registered(TcpStream::from(socket)).await?;
+    let socket = register(TcpStream::from(socket)).await?;
     socket.writable().await?;
     match socket.get_ref().take_error()? {
         None => Ok(socket),
@@ -52,21 +42,14 @@
     }
 }
 
-/// Takes a stream into the event loop. A shortage is waited out for [`SHORTAGE_MOST`]: a connection that was accepted
-/// must not be dropped, unread, for a moment's want of memory.
-pub(crate) async fn registered(stream: TcpStream) -> io::Result<Socket> {
+/// Registers a stream with the event loop. A shortage is retried for [`SHORTAGE_TIMEOUT`]: an accepted
+/// connection must not be dropped for a transient lack of memory.
+///
+/// # Errors
+/// The error of the last attempt.
+pub(crate) async fn register(stream: TcpStream) -> io::Result<Socket> {
     stream.set_nonblocking(true)?;
-    let (stream, until) = (Arc::new(stream), Instant::now() + SHORTAGE_MOST);
-    loop {
-        match Async::new_nonblocking(stream.clone()) {
-            Err(error) if Instant::now() < until => match classify(SocketCall::Transfer, &error) {
-                SocketFailure::Interrupted => {}
-                SocketFailure::Shortage => shortage_pause().await,
-                SocketFailure::NotReady | SocketFailure::DescriptorLimit | SocketFailure::Connection => {
-                    return Err(error);
-                }
-            },
-            ended => return ended,
-        }
-    }
+    let stream = Arc::new(stream);
+    let register_once = async || Async::new_nonblocking(stream.clone());
+    retry_while_short(SocketCall::Transfer, SHORTAGE_TIMEOUT, register_once).await
 }
--- a/crates/wire/src/head.rs
+++ b/crates/wire/src/head.rs
@@ -1,79 +1,109 @@
-//! Heads: the first line and the headers of a message.
+//! Message heads: the start line and the header fields.
 
 use crate::body::Body;
 use crate::error::WireError;
 
-/// The most bytes a head may hold.
+/// The largest head.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The most header lines of a head.
-const HEADERS_MOST: usize = 64;
+/// The most header fields of a head.
+const MAX_HEADERS: usize = 64;
 
-/// The first line of a message.
+/// The start line of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartLine {
     /// A request.
     Request {
         /// Its method.
         method: String,
-        /// Its path and query.
+        /// Its target: path and query.
         target: String,
     },
-    /// An answer.
+    /// A response.
     Response {
         /// Its status.
         status: u16,
     },
 }
 
-/// A head and the bytes it took; `None` while it is incomplete.
-pub type Parsed = Result<Option<(Head, usize)>, WireError>;
+/// A head and its length.
+#[derive(Clone, Debug)]
+pub struct ParsedHead {
+    /// The head.
+    pub head: Head,
+    /// How many bytes of the input it occupies.
+    pub length: usize,
+}
+
+/// The head at the beginning of an input; `None` while it is incomplete.
+pub type ParseResult = Result<Option<ParsedHead>, WireError>;
 
-/// A message's head.
+/// The head of a message.
 #[derive(Clone, Debug)]
 pub struct Head {
-    /// Its first line.
+    /// Its start line.
     pub start: StartLine,
-    headers: Vec<(String, String)>,
-    minor: u8,
+    headers: Vec<Header>,
+    minor_version: u8,
+}
+
+/// A header field.
+#[derive(Clone, Debug)]
+struct Header {
+    name: String,
+    value: String,
+}
+
+impl Header {
+    /// Copies a parsed field; bytes that are not UTF-8 are replaced.
+    fn new(field: &httparse::Header<'_>) -> Header {
+        Header {
+            name: field.name.to_string(),
+            value: String::from_utf8_lossy(field.value).trim().to_string(),
+        }
+    }
 }
 
 impl Head {
-    /// Reads a request's head off the front of `bytes`; `None` while it is incomplete.
-    pub fn parse_request(bytes: &[u8]) -> Parsed {
-        let mut lines = [httparse::EMPTY_HEADER; HEADERS_MOST];
-        let mut parsed = httparse::Request::new(&mut lines);
-        let status = parsed.parse(bytes);
+    /// Parses a request's head at the beginning of `bytes`; `None` while it is incomplete.
+    ///
+    /// # Errors
+    /// `Malformed` or `HeadTooLarge`.
+    pub fn parse_request(bytes: &[u8]) -> ParseResult {
+        let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut request = httparse::Request::new(&mut fields);
+        let status = request.parse(bytes);
         let start = StartLine::Request {
-            method: parsed.method.unwrap_or_default().to_string(),
-            target: parsed.path.unwrap_or_default().to_string(),
+            method: request.method.unwrap_or_default().to_string(),
+            target: request.path.unwrap_or_default().to_string(),
         };
-        let minor = parsed.version.unwrap_or(1);
-        Head::finish(bytes, status, start, minor, parsed.headers)
+        let minor_version = request.version.unwrap_or(1);
+        Head::finish(bytes, status, start, minor_version, request.headers)
     }
 
-    /// Reads an answer's head off the front of `bytes`; `None` while it is incomplete.
-    pub fn parse_response(bytes: &[u8]) -> Parsed {
-        let mut lines = [httparse::EMPTY_HEADER; HEADERS_MOST];
-        let mut parsed = httparse::Response::new(&mut lines);
-        let status = parsed.parse(bytes);
-        let start = StartLine::Response { status: parsed.code.unwrap_or_default() };
-        let minor = parsed.version.unwrap_or(1);
-        Head::finish(bytes, status, start, minor, parsed.headers)
+    /// Parses a response's head at the beginning of `bytes`; `None` while it is incomplete.
+    ///
+    /// # Errors
+    /// `Malformed` or `HeadTooLarge`.
+    pub fn parse_response(bytes: &[u8]) -> ParseResult {
+        let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut response = httparse::Response::new(&mut fields);
+        let status = response.parse(bytes);
+        let start = StartLine::Response { status: response.code.unwrap_or_default() };
+        let minor_version = response.version.unwrap_or(1);
+        Head::finish(bytes, status, start, minor_version, response.headers)
     }
 
     fn finish(
         bytes: &[u8],
         status: httparse::Result<usize>,
         start: StartLine,
-        minor: u8,
-        lines: &[httparse::Header<'_>],
-    ) -> Parsed {
+        minor_version: u8,
+        fields: &[httparse::Header<'_>],
+    ) -> ParseResult {
         match status {
-            Ok(httparse::Status::Complete(used)) if used <= MAX_HEAD_BYTES => {
-                let text = |h: &httparse::Header<'_>| {
-                    (h.name.to_string(), String::from_utf8_lossy(h.value).trim().to_string())
-                };
-                Ok(Some((Head { start, headers: lines.iter().map(text).collect(), minor }, used)))
+            Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => {
+                let headers = fields.iter().map(Header::new).collect();
+                Ok(Some(ParsedHead { head: Head { start, headers, minor_version }, length }))
             }
             Ok(httparse::Status::Partial) if bytes.len() < MAX_HEAD_BYTES => Ok(None),
             Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(WireError::HeadTooLarge),
@@ -81,57 +111,83 @@
         }
     }
 
-    /// A header's value.
+    /// The value of the first header field of this name, in any case.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.all(name).next()
     }
 
-    /// The value of a header that stands there once.
+    /// The value of a header field that is present exactly once.
     pub fn only(&self, name: &str) -> Option<&str> {
         let mut values = self.all(name);
-        values.next().filter(|_| values.next().is_none())
+        let value = values.next()?;
+        match values.next() {
+            None => Some(value),
+            Some(_) => None,
+        }
     }
 
     fn all(&self, name: &str) -> impl Iterator<Item = &str> {
-        self.headers.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
+        let named = self.headers.iter().filter(move |header| header.name.eq_ignore_ascii_case(name));
+        named.map(|header| header.value.as_str())
     }
 
-    fn names_connection(&self, option: &str) -> bool {
-        self.all("Connection").flat_map(|v| v.split(',')).any(|v| v.trim().eq_ignore_ascii_case(option))
+    fn has_connection_option(&self, option: &str) -> bool {
+        let mut options = self.all("Connection").flat_map(|value| value.split(','));
+        options.any(|present| present.trim().eq_ignore_ascii_case(option))
     }
 
     /// Whether the connection stays open after this message.
     pub fn keeps_alive(&self) -> bool {
-        !self.names_connection("close") && (self.minor >= 1 || self.names_connection("keep-alive"))
+        if self.has_connection_option("close") {
+            return false;
+        }
+        self.minor_version >= 1 || self.has_connection_option("keep-alive")
     }
 
-    /// How the body is framed. A message that gives two lengths is one that two readers may take apart
-    /// differently, so it is malformed.
+    /// How the body is framed.
+    ///
+    /// # Errors
+    /// `Malformed` where the framing is ambiguous, since two recipients might split such a message
+    /// differently, which permits request smuggling. `BodyTooLarge` where the length exceeds the address
+    /// space.
     pub fn body(&self) -> Result<Body, WireError> {
         let mut lengths = self.all("Content-Length");
         let mut codings = self.all("Transfer-Encoding");
         match (lengths.next(), codings.next()) {
             (Some(_), Some(_)) => Err(WireError::Malformed),
             (Some(length), None) => {
-                let digits = !length.is_empty() && length.bytes().all(|b| b.is_ascii_digit());
-                if !digits || lengths.any(|other| other != length) {
+                if lengths.any(|other| other != length) {
                     return Err(WireError::Malformed);
                 }
-                Ok(Body::Length(length.parse().map_err(|_| WireError::BodyTooLarge)?))
+                parse_length(length)
             }
             (None, Some(coding)) => {
-                if coding.eq_ignore_ascii_case("chunked") && codings.next().is_none() && self.minor >= 1 {
-                    Ok(Body::Size)
+                let is_chunked = coding.eq_ignore_ascii_case("chunked") && codings.next().is_none();
+                if is_chunked && self.minor_version >= 1 {
+                    Ok(Body::ChunkSize)
                 } else {
                     Err(WireError::Malformed)
                 }
             }
-            (None, None) => Ok(match self.start {
-                StartLine::Request { .. } | StartLine::Response { status: 100..=199 | 204 | 304 } => {
-                    Body::Length(0)
-                }
-                StartLine::Response { .. } => Body::UntilClosed,
-            }),
+            (None, None) => Ok(self.body_without_framing()),
+        }
+    }
+
+    /// The body of a message that has neither a length nor a transfer coding.
+    fn body_without_framing(&self) -> Body {
+        match self.start {
+            StartLine::Request { .. } | StartLine::Response { status: 100..=199 | 204 | 304 } => {
+                Body::Length(0)
+            }
+            StartLine::Response { .. } => Body::UntilClosed,
         }
     }
 }
+
+/// Parses a `Content-Length`: decimal digits only, without the sign that `parse` would accept.
+fn parse_length(text: &str) -> Result<Body, WireError> {
+    if text.is_empty() || !text.bytes().all(|byte| byte.is_ascii_digit()) {
+        return Err(WireError::Malformed);
+    }
+    text.parse().map(Body::Length).map_err(|_| WireError::BodyTooLarge)
+}
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,15 +1,16 @@
-//! HTTP/1.1 as far as both sides need it: heads, bodies and lines, every buffer bounded; and deadlines.
+//! HTTP/1.1 over bounded buffers: heads, bodies and lines, for both sides of a connection; and deadlines.
 //!
-//! The parsing ([`Head`], [`Body`]) does no I/O; [`Connection`] feeds it from a socket. What a peer did wrong is a
-//! [`WireError`]. Sources: RFC 9110 and 9112, and the platform's PROTOCOL for the bounds.
+//! The parsers ([`Head`], [`Body`]) do no I/O; [`Connection`] feeds them from a socket. What a peer did wrong
+//! is reported as a [`WireError`]. The syntax follows RFC 9110 and RFC 9112, the limits the platform's
+//! protocol.
 //!
 //! ```
 //! use sorrelhaven_wire::{Body, Head};
 //!
 //! let text = b"POST /api HTTP/1.1\r\nContent-Length: 4\r\n\r\nbody";
-//! let (head, used) = Head::request(text)?.expect("the whole head is there");
-//! let (mut body, mut out) = (head.body()?, Vec::new());
-//! body.decode(&text[used..], &mut out)?;
+//! let parsed = Head::parse_request(text)?.expect("a complete head");
+//! let (mut body, mut out) = (parsed.head.body()?, Vec::new());
+//! body.decode(&text[parsed.length..], &mut out)?;
 //! assert_eq!((body, out.as_slice()), (Body::Done, b"body".as_slice()));
 //! # Ok::<(), sorrelhaven_wire::WireError>(())
 //! ```
@@ -21,14 +22,18 @@
 mod errno;
 mod error;
 mod head;
+mod json_objects;
 mod lines;
-mod objects;
+mod peer_probe;
+mod retry;
 
 pub use body::Body;
-pub use connection::{Connection, MAX_BODY_BYTES, PeerProbe};
+pub use connection::{Connection, MAX_BODY_BYTES};
 pub use deadline::timeout_at;
-pub use errno::{SocketCall, SocketFailure, classify, shortage_pause};
+pub use errno::{SocketCall, SocketFailure, classify};
 pub use error::WireError;
-pub use head::{Head, MAX_HEAD_BYTES, Parsed, StartLine};
+pub use head::{Head, MAX_HEAD_BYTES, ParseResult, ParsedHead, StartLine};
+pub use json_objects::{JsonObjectEvent, JsonObjectReader};
 pub use lines::LineReader;
-pub use objects::{JsonObjectEvent, JsonObjectReader};
+pub use peer_probe::PeerProbe;
+pub use retry::{RetryDecision, retry_decision, shortage_pause};
--- /dev/null
+++ b/crates/wire/src/peer_probe.rs
@@ -0,0 +1,37 @@
+//! Detects that the peer has closed a connection, beside the task that reads from it.
+
+use crate::errno::{SocketCall, SocketFailure, classify};
+use rustix::event::{PollFd, PollFlags, Timespec, poll};
+use std::net::TcpStream;
+use std::sync::Arc;
+
+/// Makes `poll` return without waiting.
+const NO_WAIT: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
+
+/// Detects whether the peer of a connection has closed it.
+#[derive(Clone)]
+pub struct PeerProbe {
+    stream: Arc<TcpStream>,
+}
+
+impl PeerProbe {
+    pub(crate) fn new(stream: Arc<TcpStream>) -> PeerProbe {
+        PeerProbe { stream }
+    }
+
+    /// Whether the peer has closed, half-closed or reset the connection, even where input before that is
+    /// still unread.
+    pub fn has_closed(&self) -> bool {
+        let mut events = [PollFd::new(&*self.stream, PollFlags::RDHUP)];
+        loop {
+            let error = match poll(&mut events, Some(&NO_WAIT)) {
+                Ok(ready) => return ready > 0,
+                Err(error) => error,
+            };
+            if classify(SocketCall::Transfer, &error.into()) != SocketFailure::Interrupted {
+                // Unknown at present: a later probe may succeed.
+                return false;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/wire/src/retry.rs
@@ -0,0 +1,62 @@
+//! Repeats system calls that fail for a reason that passes by itself.
+
+use crate::errno::{SocketCall, SocketFailure, classify};
+use async_io::Timer;
+use std::io;
+use std::time::{Duration, Instant};
+
+/// The pause before a call is repeated for which the system lacked resources.
+const SHORTAGE_PAUSE: Duration = Duration::from_millis(5);
+
+/// How to proceed after a failed call that may be repeated.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RetryDecision {
+    /// Repeat the call at once: a signal interrupted it.
+    Immediately,
+    /// Repeat the call after a pause: the system lacks resources.
+    AfterPause,
+    /// Report the error.
+    GiveUp,
+}
+
+/// How to proceed after `call` failed with `error`, where it may be repeated until `retry_until`.
+pub fn retry_decision(call: SocketCall, error: &io::Error, retry_until: Instant) -> RetryDecision {
+    if Instant::now() >= retry_until {
+        return RetryDecision::GiveUp;
+    }
+    match classify(call, error) {
+        SocketFailure::Interrupted => RetryDecision::Immediately,
+        SocketFailure::Shortage => RetryDecision::AfterPause,
+        SocketFailure::NotReady | SocketFailure::DescriptorLimit | SocketFailure::Connection => {
+            RetryDecision::GiveUp
+        }
+    }
+}
+
+/// Repeats `operation` for up to `timeout` while it is interrupted or the system lacks resources.
+///
+/// # Errors
+/// The error of the last repetition.
+pub(crate) async fn retry_while_short<T>(
+    call: SocketCall,
+    timeout: Duration,
+    mut operation: impl AsyncFnMut() -> io::Result<T>,
+) -> io::Result<T> {
+    let retry_until = Instant::now() + timeout;
+    loop {
+        let error = match operation().await {
+            Ok(value) => return Ok(value),
+            Err(error) => error,
+        };
+        match retry_decision(call, &error, retry_until) {
+            RetryDecision::Immediately => {}
+            RetryDecision::AfterPause => shortage_pause().await,
+            RetryDecision::GiveUp => return Err(error),
+        }
+    }
+}
+
+/// Waits until a call that failed for lack of resources may be repeated.
+pub async fn shortage_pause() {
+    Timer::after(SHORTAGE_PAUSE).await;
+}
--- a/crates/wire/tests/errno.rs
+++ b/crates/wire/tests/errno.rs
@@ -7,40 +7,41 @@
     [SocketCall::Accept, SocketCall::Listen, SocketCall::Connect, SocketCall::Transfer];
 
 #[test]
-fn each_error_means_what_the_table_says() {
-    let says = |call, errno: Errno| classify(call, &errno.into());
+fn each_call_and_error_is_classified_as_in_the_table() {
+    let failure_of = |call, errno: Errno| classify(call, &errno.into());
     for call in CALLS {
-        assert_eq!(says(call, Errno::INTR), SocketFailure::Interrupted, "{call:?}");
-        assert_eq!(says(call, Errno::MFILE), SocketFailure::DescriptorLimit, "{call:?}");
+        assert_eq!(failure_of(call, Errno::INTR), SocketFailure::Interrupted, "{call:?}");
+        assert_eq!(failure_of(call, Errno::MFILE), SocketFailure::DescriptorLimit, "{call:?}");
         for errno in [Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::NOSPC] {
-            assert_eq!(says(call, errno), SocketFailure::Shortage, "{call:?} {errno:?}");
+            assert_eq!(failure_of(call, errno), SocketFailure::Shortage, "{call:?} {errno:?}");
         }
         for errno in [Errno::CONNRESET, Errno::TIMEDOUT, Errno::HOSTUNREACH, Errno::PIPE, Errno::PROTO] {
-            assert_eq!(says(call, errno), SocketFailure::Connection, "{call:?} {errno:?}");
+            assert_eq!(failure_of(call, errno), SocketFailure::Connection, "{call:?} {errno:?}");
         }
     }
-    let ways_out = [Errno::ADDRNOTAVAIL, Errno::ADDRINUSE, Errno::NETUNREACH, Errno::NETDOWN, Errno::ACCESS];
-    for errno in ways_out {
+    let local_errors =
+        [Errno::ADDRNOTAVAIL, Errno::ADDRINUSE, Errno::NETUNREACH, Errno::NETDOWN, Errno::ACCESS];
+    for errno in local_errors {
         assert_eq!(
-            says(SocketCall::Connect, errno),
+            failure_of(SocketCall::Connect, errno),
             SocketFailure::Shortage,
-            "{errno:?}: no executor's fault"
+            "{errno:?}: no worker's fault"
         );
-        assert_eq!(says(SocketCall::Transfer, errno), SocketFailure::Connection, "{errno:?}");
+        assert_eq!(failure_of(SocketCall::Transfer, errno), SocketFailure::Connection, "{errno:?}");
     }
-    assert_eq!(says(SocketCall::Connect, Errno::CONNREFUSED), SocketFailure::Connection);
+    assert_eq!(failure_of(SocketCall::Connect, Errno::CONNREFUSED), SocketFailure::Connection);
     assert_eq!(
-        says(SocketCall::Listen, Errno::ADDRINUSE),
+        failure_of(SocketCall::Listen, Errno::ADDRINUSE),
         SocketFailure::Connection,
-        "a taken address is no shortage"
+        "an address in use is no shortage"
     );
-    assert_eq!(says(SocketCall::Accept, Errno::CONNABORTED), SocketFailure::Connection);
-    assert_eq!(says(SocketCall::Connect, Errno::AGAIN), SocketFailure::Shortage, "no local port");
-    assert_eq!(says(SocketCall::Transfer, Errno::AGAIN), SocketFailure::NotReady);
+    assert_eq!(failure_of(SocketCall::Accept, Errno::CONNABORTED), SocketFailure::Connection);
+    assert_eq!(failure_of(SocketCall::Connect, Errno::AGAIN), SocketFailure::Shortage, "no local port");
+    assert_eq!(failure_of(SocketCall::Transfer, Errno::AGAIN), SocketFailure::NotReady);
 }
 
 #[test]
-fn errors_without_a_number_are_told_by_their_kind() {
+fn errors_without_a_number_are_classified_by_their_kind() {
     let kinds = [
         (std::io::ErrorKind::Interrupted, SocketFailure::Interrupted),
         (std::io::ErrorKind::WouldBlock, SocketFailure::NotReady),
--- a/crates/wire/tests/framing.rs
+++ b/crates/wire/tests/framing.rs
@@ -1,14 +1,14 @@
-//! Heads and bodies: cut anywhere, malformed, or plain nonsense.
+//! Parsing of heads and bodies: split anywhere, malformed, or random bytes.
 
 use proptest::prelude::*;
 use sorrelhaven_test_support::check_cases;
 use sorrelhaven_wire::{Body, Head, WireError};
 
-/// A body reads the same however the network cuts it, and ends exactly where it ends.
+/// A body decodes the same however the network splits it, and consumes nothing of what follows it.
 #[test]
-fn a_chunked_body_reads_the_same_in_any_pieces() {
+fn a_chunked_body_decodes_the_same_in_pieces_of_any_size() {
     let chunks = prop::collection::vec(prop::collection::vec(any::<u8>(), 1..40), 0..6);
-    check_cases(256, (chunks, 1usize..9), |(chunks, step)| {
+    check_cases(256, (chunks, 1usize..9), |(chunks, piece_bytes)| {
         let mut wire = Vec::new();
         for chunk in &chunks {
             wire.extend_from_slice(format!("{:x}\r\n", chunk.len()).as_bytes());
@@ -16,10 +16,10 @@
             wire.extend_from_slice(b"\r\n");
         }
         wire.extend_from_slice(b"0\r\nX: y\r\n\r\nNEXT");
-        let (mut body, mut out, mut buffer) = (Body::Size, Vec::new(), Vec::new());
-        for piece in wire.chunks(step) {
+        let (mut body, mut out, mut buffer) = (Body::ChunkSize, Vec::new(), Vec::new());
+        for piece in wire.chunks(piece_bytes) {
             buffer.extend_from_slice(piece);
-            let used = body.decode(&buffer, &mut out).expect("a sound body");
+            let used = body.decode(&buffer, &mut out).expect("a valid body");
             buffer.drain(..used);
         }
         prop_assert_eq!(body, Body::Done);
@@ -29,27 +29,29 @@
     });
 }
 
-/// Whatever comes, reading it ends in a value: a stranger's bytes must not stop the node.
+/// Parsing returns a result for any input: a peer's bytes must not crash the node.
 #[test]
-fn no_bytes_make_the_parsers_panic() {
-    let odd =
+fn random_bytes_never_make_the_parsers_panic() {
+    let fragments =
         prop::sample::select(vec!["GET ", "HTTP/1.1 200", "\r\n", "0", "ffffffffffffffff", ":", ";", "\0"]);
-    let bytes =
-        prop_oneof![odd.prop_map(|s| s.as_bytes().to_vec()), prop::collection::vec(any::<u8>(), 0..9)];
+    let bytes = prop_oneof![
+        fragments.prop_map(|text| text.as_bytes().to_vec()),
+        prop::collection::vec(any::<u8>(), 0..9)
+    ];
     check_cases(512, prop::collection::vec(bytes, 0..12), |pieces| {
         let bytes = pieces.concat();
         let _ = (Head::parse_request(&bytes), Head::parse_response(&bytes));
-        for mut body in [Body::Size, Body::Chunk(3), Body::ChunkEnd, Body::Trailer, Body::Length(5)] {
+        for mut body in [Body::ChunkSize, Body::Chunk(3), Body::ChunkEnd, Body::Trailer, Body::Length(5)] {
             let used = body.decode(&bytes, &mut Vec::new());
-            prop_assert!(used.is_err() || used.is_ok_and(|n| n <= bytes.len()));
+            prop_assert!(used.is_err() || used.is_ok_and(|length| length <= bytes.len()));
         }
         Ok(())
     });
 }
 
-/// Two readers could take such a message apart differently, and smuggle one request inside another.
+/// Two recipients could split such a message differently, which permits request smuggling.
 #[test]
-fn a_message_with_two_lengths_is_malformed() {
+fn a_message_with_ambiguous_framing_is_malformed() {
     for lengths in [
         "Content-Length: 3\r\nTransfer-Encoding: chunked",
         "Content-Length: 3\r\nContent-Length: 4",
@@ -59,7 +61,7 @@
         "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked",
     ] {
         let head = format!("POST /api HTTP/1.1\r\n{lengths}\r\n\r\n");
-        let (head, _) = Head::parse_request(head.as_bytes()).expect("a head").expect("all of it");
-        assert_eq!(head.body().err(), Some(WireError::Malformed), "{lengths}");
+        let parsed = Head::parse_request(head.as_bytes()).expect("a head").expect("all of it");
+        assert_eq!(parsed.head.body().err(), Some(WireError::Malformed), "{lengths}");
     }
 }
