--- a/crates/body-store/src/store.rs
+++ b/crates/body-store/src/store.rs
@@ -9,7 +9,7 @@
 use crate::settings;
 use crate::writer::BodyWriter;
 use event_listener::Event;
-use sorrelhaven_config::{BodySettings, Unkept};
+use sorrelhaven_config::{BodySettings, NotStoredPolicy};
 use std::any::Any;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -49,7 +49,7 @@
         Rc::new(BodyStore {
             plan: RefCell::new(Plan::new(limits, tenants)),
             disk: RefCell::new(disk),
-            rejects_unstorable: Cell::new(settings.unkept == Unkept::Refuse),
+            rejects_unstorable: Cell::new(settings.not_stored == NotStoredPolicy::Reject),
             min_upload_bytes_per_second: Cell::new(settings.slowest_bytes_per_s),
             acquire_permit: Box::new(acquire_permit),
             pool: BlockingPool::new(),
@@ -65,7 +65,7 @@
     pub fn configure(&self, settings: &BodySettings, disk: Option<Arc<dyn Disk>>) {
         self.plan.borrow_mut().configure(settings::limits(settings, disk.is_some()));
         *self.disk.borrow_mut() = disk;
-        self.rejects_unstorable.set(settings.unkept == Unkept::Refuse);
+        self.rejects_unstorable.set(settings.not_stored == NotStoredPolicy::Reject);
         self.min_upload_bytes_per_second.set(settings.slowest_bytes_per_s);
         self.memory_pressure.notify(1);
     }
--- a/crates/body-store/tests/store.rs
+++ b/crates/body-store/tests/store.rs
@@ -7,7 +7,7 @@
     BLOCK_BYTES, BodyEnd, BodyReadError, BodyStore, BodyWriter, RequestBody, StorageTier, StorageUsage,
     StoredBodyReader,
 };
-use sorrelhaven_config::{BodyFiles, BodyMemory, BodySettings, Unkept};
+use sorrelhaven_config::{BodyFiles, BodyMemory, BodySettings, NotStoredPolicy};
 use sorrelhaven_test_support::{FakeDisk, check_cases, sample_bytes};
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -86,7 +86,7 @@
     check_cases(160, cases, |(length, piece, is_declared, room, seed, reject)| {
         let disk = FakeDisk::new([0, 150 * KIB, 10 * MIB][room as usize]);
         let mut settings = settings(tier(100 * KIB, MIB), tier(300 * KIB, MIB));
-        settings.unkept = if reject { Unkept::Refuse } else { Unkept::Stream };
+        settings.not_stored = if reject { NotStoredPolicy::Reject } else { NotStoredPolicy::Stream };
         let store = store(&settings, &disk);
         let sent = sample_bytes(length, seed);
         let begun = store.begin(0, is_declared.then_some(length as u64));
@@ -372,7 +372,8 @@
 #[test]
 fn every_end_is_counted_by_its_name() {
     let mut rejecting = settings(tier(64 * KIB, 64 * KIB), tier(MIB, MIB));
-    (rejecting.largest_bytes, rejecting.unkept) = (MIB, Unkept::Refuse);
+    rejecting.largest_bytes = MIB;
+    rejecting.not_stored = NotStoredPolicy::Reject;
     let store = BodyStore::new(&rejecting, 1, None, || None);
     for (length, end) in [(MIB + 1, BodyEnd::TooLong), (MIB, BodyEnd::BudgetGone)] {
         let (found, body) = store.begin(0, Some(length)).err().expect("it is rejected");
--- a/crates/config/src/hosts.rs
+++ b/crates/config/src/hosts.rs
@@ -1,67 +1,69 @@
-//! The host group in discovery's form, as `known` and as discovery itself writes it.
+//! The worker list in the form in which discovery sends it, and in which `known` holds it.
 
-use crate::{Error, read};
+use crate::deserialize::deserialize;
+use crate::error::ConfigError;
 use serde::Deserialize;
 use sorrelhaven_dispatcher::{Lifecycle, WorkerEntry, WorkerId};
 use std::net::SocketAddr;
 
-/// What discovery says of an executor's process.
+/// The state of a worker's process, as discovery reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Health {
-    /// It takes work.
+pub enum WorkerHealth {
+    /// It accepts requests.
     InService,
-    /// It finishes what it has and wants nothing new.
+    /// It drains: it finishes the requests that it has, and accepts no new ones.
     Terminating,
     /// It was removed.
     Terminated,
 }
 
-/// One executor.
+/// One worker.
 #[derive(Clone, Debug, Deserialize)]
 pub struct DiscoveryHost {
     /// Its name, the same at every node.
+    #[serde(rename = "host")]
     pub host: String,
-    /// Where this node reaches it; of no use once it is gone.
-    #[serde(default)]
+    /// The address at which this node reaches it; may be missing once it is terminated.
+    #[serde(rename = "dial", default)]
     pub dial: Option<SocketAddr>,
     /// Its zone.
-    #[serde(default)]
-    pub site: String,
+    #[serde(rename = "site", default)]
+    pub zone: String,
     /// Its kind of machine.
-    #[serde(default)]
-    pub class: String,
+    #[serde(rename = "class", default)]
+    pub kind: String,
     /// Its cell.
-    #[serde(default)]
-    pub block: u64,
+    #[serde(rename = "block", default)]
+    pub cell: u64,
     /// The state of its process.
-    pub health: Health,
-    /// Its size beside that of others.
-    #[serde(default = "one")]
-    pub share: f64,
-    /// Its last start, in Unix time; 0 when that is long ago.
-    #[serde(default, rename = "born_ms")]
+    pub health: WorkerHealth,
+    /// Its capacity relative to that of other workers.
+    #[serde(rename = "share", default = "default_weight")]
+    pub weight: f64,
+    /// Its last start, in milliseconds of Unix time; 0 if that was long ago.
+    #[serde(rename = "born_ms", default)]
     pub started_ms: i64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-/// A whole list, or the entries that changed.
+/// A complete worker list, or the entries that have changed.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct DiscoveryList {
-    /// The list's version.
+    /// The version of the list.
     #[serde(default)]
     pub seq: u64,
-    /// It replaces what was known.
-    #[serde(default, rename = "whole")]
+    /// Whether it replaces all that was known.
+    #[serde(rename = "whole", default)]
     pub complete: bool,
     /// Its entries.
     pub hosts: Vec<DiscoveryHost>,
 }
 
-/// The words of the settings whose places the decision module uses as numbers.
+/// The names of the settings whose indexes the decision module uses as numbers.
 #[derive(Clone, Debug, Default)]
 pub struct SettingNames {
     /// The zones.
@@ -71,54 +73,70 @@
 }
 
 impl DiscoveryList {
-    /// Reads a list, whole or of changes.
+    /// Reads a list, complete or of changes.
     ///
     /// # Errors
-    /// The text is no list; the error names the key.
-    pub fn read(text: &[u8]) -> Result<DiscoveryList, Error> {
-        // Following the path of each key triples the cost, so that is left for lists that do not read.
-        serde_json::from_slice(text).or_else(|_| read("", &mut serde_json::Deserializer::from_slice(text)))
+    /// The text is not a list; the error names the key.
+    pub fn read(text: &[u8]) -> Result<DiscoveryList, ConfigError> {
+        // Tracking the path of each key triples the cost, so it is done only for a list that can't be read.
+        serde_json::from_slice(text)
+            .or_else(|_| deserialize("", &mut serde_json::Deserializer::from_slice(text)))
     }
 
-    /// Whether every entry reads in these words; the error names the key.
-    pub fn check(&self, names: &SettingNames) -> Result<(), Error> {
-        for (i, host) in self.hosts.iter().enumerate() {
-            host.entry(WorkerId(0), names).map_err(|e| e.within(&format!("hosts[{i}]")))?;
+    /// Checks every entry against the names of the settings.
+    ///
+    /// # Errors
+    /// The first entry that is not valid; the error names the key.
+    pub fn check(&self, names: &SettingNames) -> Result<(), ConfigError> {
+        for (index, host) in self.hosts.iter().enumerate() {
+            host.entry(WorkerId(0), names).map_err(|error| error.within(&format!("hosts[{index}]")))?;
         }
         Ok(())
     }
 }
 
 impl DiscoveryHost {
-    /// The entry as the decision module takes it.
-    pub fn entry(&self, worker: WorkerId, names: &SettingNames) -> Result<WorkerEntry, Error> {
-        let gone = self.health == Health::Terminated;
-        let place = |key: &str, words: &[String], word: &str| match words.iter().position(|w| w == word) {
-            Some(place) => Ok(place),
-            None if gone || words.is_empty() => Ok(0),
-            None => Err(Error::new(key, format!("{word:?} is not in the settings"))),
-        };
-        if self.dial.is_none() && !gone {
-            return Err(Error::new("dial", "missing"));
+    /// The entry in the form that the decision module takes.
+    ///
+    /// # Errors
+    /// A zone or a kind is not in the settings, or the address is missing; the error names the key.
+    pub fn entry(&self, worker: WorkerId, names: &SettingNames) -> Result<WorkerEntry, ConfigError> {
+        if self.dial.is_none() && !self.is_terminated() {
+            return Err(ConfigError::new("dial", "missing"));
         }
         Ok(WorkerEntry {
             worker,
             name_hash: stable_hash(&self.host),
             lifecycle: match self.health {
-                Health::InService => Lifecycle::Ready,
-                Health::Terminating => Lifecycle::Draining,
-                Health::Terminated => Lifecycle::Gone,
+                WorkerHealth::InService => Lifecycle::Ready,
+                WorkerHealth::Terminating => Lifecycle::Draining,
+                WorkerHealth::Terminated => Lifecycle::Gone,
             },
             started_at: self.started_ms.saturating_mul(1_000),
-            kind: place("class", &names.kinds, &self.class)?,
-            zone: place("site", &names.zones, &self.site)?,
-            cell: self.block,
-            weight: self.share,
+            kind: self.index_in("class", &names.kinds, &self.kind)?,
+            zone: self.index_in("site", &names.zones, &self.zone)?,
+            cell: self.cell,
+            weight: self.weight,
         })
     }
+
+    fn is_terminated(&self) -> bool {
+        self.health == WorkerHealth::Terminated
+    }
+
+    /// The index of a name in the settings. A worker that is terminated may have any name.
+    fn index_in(&self, key: &str, names: &[String], name: &str) -> Result<usize, ConfigError> {
+        match names.iter().position(|other| other == name) {
+            Some(index) => Ok(index),
+            None if self.is_terminated() || names.is_empty() => Ok(0),
+            None => Err(ConfigError::new(key, format!("{name:?} is not in the settings"))),
+        }
+    }
 }
 
-/// FNV-1a: a number that every dispatcher draws alike from a worker's word.
-pub fn stable_hash(word: &str) -> u64 {
-    word.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+/// FNV-1a: a hash of a text that is the same at every dispatcher and in every version.
+pub fn stable_hash(text: &str) -> u64 {
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x0100_0000_01b3;
+    text.bytes().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,290 +1,217 @@
-//! The settings: the object that the simulator's first message gives, and its reading into the module's type.
+//! Checks the platform's settings, and converts them to those of the decision module.
 
-use crate::{Error, read};
-use serde::Deserialize;
+use crate::deserialize::deserialize;
+use crate::error::ConfigError;
+use crate::hosts::SettingNames;
+use crate::settings_file::{ClassEntry, LimitsEntry, RulesEntry, SettingsFile};
 use serde_json::Value;
 use sorrelhaven_dispatcher::{
     Class, Idempotency, Limits, Micros, Penalties, ReportFields, Scope, Settings, SlowStartRules,
 };
 
-fn one() -> f64 {
-    1.0
-}
-
-/// A server link that stands idle is closed after this where the settings do not say.
-fn keepalive() -> Micros {
-    15_000_000
-}
-
-/// An executor gets nothing new from so long after its drain was told where the settings do not say.
-fn drain_grace() -> Micros {
-    1_000_000
-}
-
-/// A node that has to ask for the list is taken to know what stood there so long before, where the settings do not say.
-fn ask_within() -> Micros {
-    10_000_000
-}
-
-/// The settings of an instance; keys not named here are passed over.
-#[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub struct Conf {
-    balancers: u32,
-    #[serde(default)]
-    me: u32,
-    #[serde(default)]
-    zone: usize,
-    #[serde(default)]
-    discovery: String,
-    #[serde(default)]
-    pub(crate) kinds: Vec<String>,
-    #[serde(default)]
-    pub(crate) zones: Vec<String>,
-    #[serde(default)]
-    pub(crate) projects: Vec<Project>,
-    grades: Vec<Grade>,
-    pub(crate) ceilings: Ceilings,
-    pub(crate) invariants: Invariants,
-    #[serde(default)]
-    family_info: FamilyInfo,
-    #[serde(default)]
-    report: Report,
-    #[serde(default)]
-    prices: Prices,
-    #[serde(default)]
-    callers: Callers,
-    #[serde(default)]
-    round: i64,
-    #[serde(default)]
-    weights: String,
-}
-
-/// A request class.
-#[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub(crate) struct Grade {
-    #[serde(default)]
-    name: String,
-    aim: i64,
-    #[serde(default)]
-    aim_stretch: Option<f64>,
-    deadline: i64,
-    effect: String,
-    #[serde(default)]
-    dedup_scope: String,
-    #[serde(default)]
-    repeat_window: i64,
-    #[serde(default = "one")]
-    value: f64,
-    #[serde(default)]
-    late_value: f64,
-}
-
-/// A tenant.
-#[derive(Deserialize)]
-pub(crate) struct Project {
-    #[serde(default)]
-    pub(crate) name: String,
-}
-
-/// What the site permits.
-#[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub(crate) struct Ceilings {
-    #[serde(default)]
-    cancel: bool,
-    #[serde(default)]
-    dial_timeout: i64,
-    #[serde(default = "keepalive")]
-    pub(crate) keepalive: i64,
-    max_attempts: u32,
-    #[serde(default)]
-    max_retry_after: i64,
-    #[serde(default)]
-    may_probe: bool,
-    #[serde(default)]
-    retry_after: bool,
-    #[serde(default)]
-    second_copies: bool,
+/// A request class as the protocol names it.
+#[derive(Clone, Debug)]
+pub struct ClassName {
+    /// Its name in a request.
+    pub name: String,
+    /// Whether its requests carry an idempotency key.
+    pub keyed: bool,
+}
+
+/// What the settings mean to the decision module and to the rest of the node.
+pub(crate) struct NodeSettings {
+    pub(crate) names: SettingNames,
+    pub(crate) classes: Vec<ClassName>,
+    pub(crate) tenants: Vec<String>,
+    pub(crate) idle_timeout: Micros,
+    pub(crate) drain_grace: Micros,
+    pub(crate) implied_notice_delay: Micros,
+    pub(crate) load_fields: Vec<String>,
+    pub(crate) settings: Settings,
+}
+
+impl NodeSettings {
+    /// Checks the settings.
+    ///
+    /// # Errors
+    /// The first error; its path begins at the object that holds `settings`.
+    pub(crate) fn new(file: SettingsFile) -> Result<NodeSettings, ConfigError> {
+        let settings = settings(&file).map_err(|error| error.within("settings"))?;
+        let classes = class_names(&file, &settings)?;
+        Ok(NodeSettings {
+            classes,
+            tenants: file.tenants.into_iter().map(|tenant| tenant.name).collect(),
+            idle_timeout: file.limits.idle_timeout,
+            drain_grace: file.rules.drain_grace,
+            implied_notice_delay: file.rules.implied_notice_delay,
+            load_fields: file.load_report.fields_in_responses(),
+            names: SettingNames { zones: file.zones, kinds: file.worker_kinds },
+            settings,
+        })
+    }
 }
 
-/// The metrics of the rules.
-#[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub(crate) struct Invariants {
-    #[serde(default)]
-    cold: i64,
-    #[serde(default = "ask_within")]
-    pub(crate) ask_within: i64,
-    #[serde(default = "drain_grace")]
-    pub(crate) drain_grace: i64,
-    #[serde(default)]
-    fall: i64,
-    #[serde(default = "one")]
-    overload_factor: f64,
-    #[serde(default = "one")]
-    start_capacity: f64,
-    #[serde(default)]
-    busy_is_no_proof: bool,
+/// The names of the classes, in the settings' order. A node needs them, and the simulator does not.
+fn class_names(file: &SettingsFile, settings: &Settings) -> Result<Vec<ClassName>, ConfigError> {
+    if let Some(index) = file.classes.iter().position(|class| class.name.is_empty()) {
+        return Err(ConfigError::new(format!("settings.grades[{index}].name"), "missing"));
+    }
+    let name = |(entry, class): (&ClassEntry, &Class)| ClassName {
+        name: entry.name.clone(),
+        keyed: matches!(class.idempotency, Idempotency::Keyed { .. }),
+    };
+    Ok(file.classes.iter().zip(&settings.classes).map(name).collect())
 }
 
-/// Facts about this kind of service.
-#[derive(Deserialize, Default)]
-#[serde(rename_all = "camelCase", default)]
-pub(crate) struct FamilyInfo {
-    class_kind: Vec<i64>,
-    class_stretch: Vec<f64>,
-    progress: i64,
-    report_x0: String,
-    tells_start: bool,
+/// Reads the settings of the decision module from JSON.
+///
+/// # Errors
+/// The first error; its path begins at `parent`.
+pub fn settings_from(parent: &str, value: Value) -> Result<Settings, ConfigError> {
+    let file: SettingsFile = deserialize(parent, value)?;
+    settings(&file).map_err(|error| error.within(parent))
 }
 
-/// Habits of clients.
-#[derive(Deserialize, Default)]
-#[serde(rename_all = "camelCase", default)]
-pub(crate) struct Callers {
-    marks_retry: bool,
+/// The settings of the decision module.
+fn settings(file: &SettingsFile) -> Result<Settings, ConfigError> {
+    check_times(file)?;
+    check_ranges(file)?;
+    Ok(Settings {
+        instance: file.instance,
+        instances: file.instances,
+        zone: file.zone,
+        worker_kinds: file.worker_kinds.len(),
+        classes: classes(file)?,
+        limits: limits(&file.limits, &file.rules),
+        slow_start: slow_start(&file.rules),
+        penalties: Penalties {
+            wasted_work: file.penalties.wasted_work,
+            cross_zone: file.penalties.cross_zone,
+        },
+        marks_retry: file.clients.marks_retry,
+        polls_discovery: file.discovery == "subscribe",
+        reports_start: file.service.reports_start,
+        progress_interval: file.service.progress_interval,
+        tick: file.tick,
+        weights_include_load: file.weights == "live",
+        report_fields: report_fields(file),
+    })
 }
 
-/// Points taken off the result.
-#[derive(Deserialize, Default)]
-#[serde(rename_all = "camelCase", default)]
-pub(crate) struct Prices {
-    waste: f64,
-    cross_zone: f64,
+fn check_times(file: &SettingsFile) -> Result<(), ConfigError> {
+    let times = [
+        ("ceilings.dialTimeout", file.limits.connect_timeout),
+        ("ceilings.keepalive", file.limits.idle_timeout),
+        ("ceilings.maxRetryAfter", file.limits.max_retry_after),
+        ("invariants.askWithin", file.rules.implied_notice_delay),
+        ("invariants.cold", file.rules.slow_start),
+        ("invariants.drainGrace", file.rules.drain_grace),
+        ("invariants.fall", file.rules.overload_window),
+        ("familyInfo.progress", file.service.progress_interval),
+        ("round", file.tick),
+    ];
+    times.into_iter().try_for_each(|(key, time)| check_not_negative(key, time))
 }
 
-/// The load reports.
-#[derive(Deserialize, Default)]
-#[serde(default)]
-pub(crate) struct Report {
-    fields: Vec<String>,
-    how: String,
+fn check_not_negative(key: &str, time: Micros) -> Result<(), ConfigError> {
+    if time < 0 { Err(ConfigError::new(key, format!("{time} is negative"))) } else { Ok(()) }
 }
 
-impl Conf {
-    /// The fields of a load report, in their order; none where answers hold no reports.
-    pub(crate) fn report_fields(&self) -> Vec<String> {
-        if self.report.how == "answers" { self.report.fields.clone() } else { Vec::new() }
+fn check_ranges(file: &SettingsFile) -> Result<(), ConfigError> {
+    if file.instance >= file.instances {
+        let problem = format!("{} is not below balancers, {}", file.instance, file.instances);
+        return Err(ConfigError::new("me", problem));
     }
-
-    /// The classes' names, in their order.
-    pub(crate) fn grade_names(&self) -> Vec<String> {
-        self.grades.iter().map(|g| g.name.clone()).collect()
+    if file.zone >= file.zones.len().max(1) {
+        return Err(ConfigError::new("zone", format!("{} is not a place in zones", file.zone)));
     }
+    if file.limits.max_attempts == 0 {
+        return Err(ConfigError::new("ceilings.maxAttempts", "0 would let no request be sent"));
+    }
+    let initial_capacity = file.rules.initial_capacity;
+    if !(initial_capacity > 0.0 && initial_capacity <= 1.0) {
+        return Err(ConfigError::new("invariants.startCapacity", "not a share above 0 and up to 1"));
+    }
+    if file.classes.is_empty() {
+        return Err(ConfigError::new("grades", "none"));
+    }
+    Ok(())
 }
 
-/// Reads the settings from JSON; errors name the key below `parent`.
-pub fn settings_from(parent: &str, value: Value) -> Result<Settings, Error> {
-    settings(read(parent, value)?).map_err(|e| e.within(parent))
+fn classes(file: &SettingsFile) -> Result<Vec<Class>, ConfigError> {
+    let classes = file.classes.iter().enumerate().map(|(index, entry)| {
+        let stretch = file.service.class_stretch.get(index).copied();
+        let kind = file.service.class_kind.get(index).copied();
+        class(entry, stretch, kind).map_err(|error| error.within(&format!("grades[{index}]")))
+    });
+    classes.collect()
 }
 
-fn class(grade: Grade, stretch: Option<f64>, kind: Option<i64>) -> Result<Class, Error> {
-    let effect = match grade.effect.as_str() {
-        "idempotent" => Idempotency::Idempotent,
-        "at_most_once" => Idempotency::NotIdempotent,
-        "deduplicated" => Idempotency::Keyed {
-            scope: match grade.dedup_scope.as_str() {
-                "all" => Scope::All,
-                "zone" => Scope::Zone,
-                "cell" => Scope::Cell,
-                other => return Err(Error::new("dedupScope", format!("unknown scope {other:?}"))),
-            },
-            window: grade.repeat_window,
-        },
-        other => return Err(Error::new("effect", format!("unknown effect {other:?}"))),
-    };
-    for (key, time) in [("aim", grade.aim), ("repeatWindow", grade.repeat_window)] {
-        not_negative(key, time)?;
-    }
-    if grade.deadline <= 0 {
-        return Err(Error::new("deadline", format!("{} is not a time to wait", grade.deadline)));
+/// A class. `stretch` and `kind` are what the service's facts say about it.
+fn class(entry: &ClassEntry, stretch: Option<f64>, kind: Option<i64>) -> Result<Class, ConfigError> {
+    let idempotency = idempotency(entry)?;
+    check_not_negative("aim", entry.latency_objective)?;
+    check_not_negative("repeatWindow", entry.idempotency_window)?;
+    if entry.deadline <= 0 {
+        return Err(ConfigError::new("deadline", format!("{} is not a time to wait", entry.deadline)));
     }
     Ok(Class {
-        idempotency: effect,
-        latency_objective: grade.aim,
-        objective_stretch: stretch.or(grade.aim_stretch).unwrap_or(0.0),
-        deadline: grade.deadline,
-        priority_weight: grade.value,
-        late_fraction: grade.late_value,
-        worker_kind: kind.and_then(|k| usize::try_from(k).ok()),
+        idempotency,
+        latency_objective: entry.latency_objective,
+        objective_stretch: stretch.or(entry.objective_stretch).unwrap_or(0.0),
+        deadline: entry.deadline,
+        priority_weight: entry.priority_weight,
+        late_fraction: entry.late_fraction,
+        worker_kind: kind.and_then(|kind| usize::try_from(kind).ok()),
     })
 }
 
-fn not_negative(key: &str, time: Micros) -> Result<(), Error> {
-    if time < 0 { Err(Error::new(key, format!("{time} is negative"))) } else { Ok(()) }
+fn idempotency(entry: &ClassEntry) -> Result<Idempotency, ConfigError> {
+    match entry.idempotency.as_str() {
+        "idempotent" => Ok(Idempotency::Idempotent),
+        "at_most_once" => Ok(Idempotency::NotIdempotent),
+        "deduplicated" => {
+            Ok(Idempotency::Keyed { scope: scope(&entry.dedup_scope)?, window: entry.idempotency_window })
+        }
+        other => Err(ConfigError::new("effect", format!("unknown effect {other:?}"))),
+    }
 }
 
-/// Turns the settings into the module's, checked.
-pub(crate) fn settings(conf: Conf) -> Result<Settings, Error> {
-    let (c, rules, info) = (conf.ceilings, conf.invariants, conf.family_info);
-    let times = [
-        ("ceilings.dialTimeout", c.dial_timeout),
-        ("ceilings.keepalive", c.keepalive),
-        ("ceilings.maxRetryAfter", c.max_retry_after),
-        ("invariants.askWithin", rules.ask_within),
-        ("invariants.cold", rules.cold),
-        ("invariants.drainGrace", rules.drain_grace),
-        ("invariants.fall", rules.fall),
-        ("familyInfo.progress", info.progress),
-        ("round", conf.round),
-    ];
-    for (key, time) in times {
-        not_negative(key, time)?;
-    }
-    if conf.me >= conf.balancers {
-        return Err(Error::new("me", format!("{} is not below balancers, {}", conf.me, conf.balancers)));
-    }
-    if conf.zone >= conf.zones.len().max(1) {
-        return Err(Error::new("zone", format!("{} is not a place in zones", conf.zone)));
-    }
-    if c.max_attempts == 0 {
-        return Err(Error::new("ceilings.maxAttempts", "0 would let no request be sent"));
+fn scope(text: &str) -> Result<Scope, ConfigError> {
+    match text {
+        "all" => Ok(Scope::All),
+        "zone" => Ok(Scope::Zone),
+        "cell" => Ok(Scope::Cell),
+        other => Err(ConfigError::new("dedupScope", format!("unknown scope {other:?}"))),
     }
-    if !(rules.start_capacity > 0.0 && rules.start_capacity <= 1.0) {
-        return Err(Error::new("invariants.startCapacity", "not a share above 0 and up to 1"));
+}
+
+fn limits(limits: &LimitsEntry, rules: &RulesEntry) -> Limits {
+    Limits {
+        max_attempts: limits.max_attempts,
+        hedging: limits.hedging,
+        cancel: limits.cancel,
+        probes: limits.probes,
+        max_retry_after: if limits.sends_retry_after { limits.max_retry_after } else { 0 },
+        connect_timeout: limits.connect_timeout,
+        rejection_may_have_run: rules.rejection_may_have_run,
     }
-    if conf.grades.is_empty() {
-        return Err(Error::new("grades", "none"));
+}
+
+fn slow_start(rules: &RulesEntry) -> SlowStartRules {
+    SlowStartRules {
+        initial_capacity: rules.initial_capacity,
+        duration: rules.slow_start,
+        overload_factor: rules.overload_factor,
+        overload_window: rules.overload_window,
     }
-    let mut classes = Vec::new();
-    for (i, grade) in conf.grades.into_iter().enumerate() {
-        let class = class(grade, info.class_stretch.get(i).copied(), info.class_kind.get(i).copied());
-        classes.push(class.map_err(|e| e.within(&format!("grades[{i}]")))?);
+}
+
+/// The load report's fields that the decision module uses.
+fn report_fields(file: &SettingsFile) -> ReportFields {
+    let x0_is_free_slots = file.service.report_x0.contains("free slots");
+    ReportFields {
+        util: file.load_report.field_index("cpu_share"),
+        free_slots: file.load_report.field_index("x0").filter(|_| x0_is_free_slots),
     }
-    let field = |name: &str| conf.report.fields.iter().position(|f| f == name);
-    Ok(Settings {
-        instance: conf.me,
-        instances: conf.balancers,
-        zone: conf.zone,
-        worker_kinds: conf.kinds.len(),
-        classes,
-        limits: Limits {
-            max_attempts: c.max_attempts,
-            hedging: c.second_copies,
-            cancel: c.cancel,
-            probes: c.may_probe,
-            max_retry_after: if c.retry_after { c.max_retry_after } else { 0 },
-            connect_timeout: c.dial_timeout,
-            rejection_may_have_run: rules.busy_is_no_proof,
-        },
-        slow_start: SlowStartRules {
-            initial_capacity: rules.start_capacity,
-            duration: rules.cold,
-            overload_factor: rules.overload_factor,
-            overload_window: rules.fall,
-        },
-        penalties: Penalties { wasted_work: conf.prices.waste, cross_zone: conf.prices.cross_zone },
-        marks_retry: conf.callers.marks_retry,
-        polls_discovery: conf.discovery == "subscribe",
-        reports_start: info.tells_start,
-        progress_interval: info.progress,
-        tick: conf.round,
-        weights_include_load: conf.weights == "live",
-        report_fields: ReportFields {
-            util: field("cpu_share"),
-            free_slots: field("x0").filter(|_| info.report_x0.contains("free slots")),
-        },
-    })
 }
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -1,4 +1,4 @@
-//! What a configuration may leave out, what comes first, and what each fault is called.
+//! The platform's file: its defaults, what takes precedence, and the key that each error names.
 
 use sorrelhaven_config::{Config, settings_from};
 use sorrelhaven_dispatcher::{Idempotency, Scope};
@@ -17,22 +17,22 @@
     )
 }
 
-fn fault(text: &str) -> String {
-    Config::parse(text, |_| None).expect_err("a fault").to_string()
+fn error_of(text: &str) -> String {
+    Config::parse(text, |_| None).expect_err("an error").to_string()
 }
 
 #[test]
-fn what_is_left_out_has_defaults_and_unknown_keys_pass() {
+fn missing_keys_have_defaults_and_unknown_keys_are_ignored() {
     let config = Config::parse(&file(SETTINGS), |_| None).expect("a configuration");
     assert_eq!((config.seed, config.sockets, config.keepalive), (0x1f, 1024, 15_000_000));
     assert_eq!((config.drain_grace, config.ask_within), (1_000_000, 10_000_000));
-    assert_eq!(config.settings.limits.max_retry_after, 0, "clients are told only where the site says so");
+    assert_eq!(config.settings.limits.max_retry_after, 0, "Retry-After is sent only if the settings say so");
     assert_eq!(config.settings.classes[1].idempotency, Idempotency::Keyed { scope: Scope::Cell, window: 9 });
-    assert_eq!(config.classes.iter().map(|c| c.keyed).collect::<Vec<_>>(), [false, true]);
+    assert_eq!(config.classes.iter().map(|class| class.keyed).collect::<Vec<_>>(), [false, true]);
 }
 
 #[test]
-fn births_are_microseconds_of_unix_time() {
+fn start_times_are_microseconds_of_unix_time() {
     let config = Config::parse(&file(SETTINGS), |_| None).expect("a configuration");
     let entry =
         config.known.hosts[0].entry(sorrelhaven_dispatcher::WorkerId(3), &config.names).expect("an entry");
@@ -40,22 +40,22 @@
 }
 
 #[test]
-fn the_environment_goes_before_the_file() {
+fn the_environment_takes_precedence_over_the_file() {
     let env = |name: &str| (name == "RELAY_LISTEN").then(|| "127.0.0.1:9".to_string());
     let config = Config::parse(&file(SETTINGS), env).expect("a configuration");
     assert_eq!((config.listen.port(), config.name.as_str()), (9, "n"));
     let env = |name: &str| (name == "RELAY_LISTEN").then(|| "here".to_string());
-    let error = Config::parse(&file(SETTINGS), env).expect_err("a fault").to_string();
+    let error = Config::parse(&file(SETTINGS), env).expect_err("an error").to_string();
     assert!(error.starts_with("RELAY_LISTEN: "), "{error}");
 }
 
-/// A reload takes over what it can whole, or nothing; the rest is named and waits for a restart.
+/// A reload applies all that it can, or nothing; the keys that need a restart are returned.
 #[test]
-fn a_reload_takes_discovery_and_limits_and_names_what_waits() {
+fn a_reload_applies_discovery_and_limits_and_names_the_keys_that_need_a_restart() {
     let path = std::env::temp_dir().join(format!("sorrelhaven-reload-{}.json", std::process::id()));
     let env = |name: &str| match name {
         "RELAY_CONFIG" => Some(path.display().to_string()),
-        // It tells where discovery was when the program started.
+        // The address of discovery when the program started.
         "RELAY_DISCOVERY" => Some("10.2.0.1:9".to_string()),
         _ => None,
     };
@@ -64,19 +64,23 @@
     write(&first);
     let mut config = Config::load(env).expect("a configuration");
     assert_eq!(config.reloaded(env).expect("the same again").1, [""; 0]);
-    assert_eq!(config.discovery.port(), 9, "what has not changed moves nothing");
+    assert_eq!(config.discovery.port(), 9, "an unchanged file changes nothing");
 
     let moved = first.replace("10.2.0.1:2", "10.2.0.1:3");
     for bad in ["{", &moved.replace("10.2.0.1:3", "there"), &moved.replace("\"fee\"", "7")] {
         write(bad);
-        config.reloaded(env).expect_err("a fault");
-        assert_eq!((config.discovery.port(), config.sockets), (9, 1024), "the old stays in force");
+        config.reloaded(env).expect_err("an error");
+        assert_eq!(
+            (config.discovery.port(), config.sockets),
+            (9, 1024),
+            "the old configuration stays in force"
+        );
     }
     let limits = "\"limits\":{\"sockets\":300},\"seed\":\"2f\"";
     write(&moved.replace("\"seed\":\"1f\"", limits));
     for _ in 0..2 {
-        let (next, waiting) = config.reloaded(env).expect("a configuration");
-        assert_eq!(waiting, ["seed"]);
+        let (next, restart_keys) = config.reloaded(env).expect("a configuration");
+        assert_eq!(restart_keys, ["seed"]);
         config = next;
         assert_eq!((config.discovery.port(), config.sockets, config.seed), (3, 300, 0x1f));
     }
@@ -84,7 +88,7 @@
 }
 
 #[test]
-fn every_fault_names_its_key() {
+fn every_error_names_its_key() {
     let cases = [
         ("\"balancers\":2", "\"balancers\":1", "settings.me: "),
         ("\"zone\":1", "\"zone\":2", "settings.zone: "),
@@ -97,20 +101,20 @@
     ];
     for (good, bad, key) in cases {
         assert!(SETTINGS.contains(good), "{good}");
-        let error = fault(&file(&SETTINGS.replacen(good, bad, 1)));
+        let error = error_of(&file(&SETTINGS.replacen(good, bad, 1)));
         assert!(error.starts_with(key), "{error}");
     }
-    let error = fault(&file(SETTINGS).replace("\"site\":\"b\"", "\"site\":\"c\""));
+    let error = error_of(&file(SETTINGS).replace("\"site\":\"b\"", "\"site\":\"c\""));
     assert!(error.starts_with("known.hosts[0].site: "), "{error}");
     let error =
-        fault(&file(SETTINGS).replace("\"name\":\"n\",", "\"limits\":{\"sockets\":8},\"name\":\"n\","));
+        error_of(&file(SETTINGS).replace("\"name\":\"n\",", "\"limits\":{\"sockets\":8},\"name\":\"n\","));
     assert!(error.starts_with("limits.sockets: "), "{error}");
-    assert!(!fault("{\n\"name\":\n}").contains('\n'), "one line");
+    assert!(!error_of("{\n\"name\":\n}").contains('\n'), "one line");
 }
 
 #[test]
-fn the_wire_names_the_same_keys_below_its_own() {
+fn errors_in_the_simulators_settings_name_the_same_keys_below_its_own() {
     let settings = SETTINGS.replace("at_most_once", "often");
-    let error = settings_from("conf", serde_json::from_str(&settings).expect("JSON")).expect_err("a fault");
+    let error = settings_from("conf", serde_json::from_str(&settings).expect("JSON")).expect_err("an error");
     assert_eq!(error.to_string(), "conf.grades[0].effect: unknown effect \"often\"");
 }
--- a/crates/config/tests/operator.rs
+++ b/crates/config/tests/operator.rs
@@ -1,25 +1,27 @@
-//! The operators' file: what it may leave out, what does not go together, and what each fault is called.
+//! The operators' file: its defaults, what contradicts itself, and the key that each error names.
 
-use sorrelhaven_config::{Config, Operator, Unkept};
+use sorrelhaven_config::{Config, ConfigErrors, NotStoredPolicy, Operator};
 
-fn faults(text: &str) -> Vec<String> {
-    let read = Operator::parse(text).and_then(|o| match o.faults(64) {
-        none if none.is_empty() => Ok(o),
-        some => sorrelhaven_config::Faults::unless(some, || unreachable!()),
-    });
-    read.err().into_iter().flatten().map(|e| e.to_string()).collect()
+/// The errors of a file, for a process that may hold 64 MB.
+fn errors(text: &str) -> Vec<String> {
+    let checked =
+        Operator::parse(text).and_then(|operator| ConfigErrors::ok_if_empty(operator.check(64), || operator));
+    checked.err().into_iter().flatten().map(|error| error.to_string()).collect()
 }
 
 #[test]
 fn an_empty_file_has_every_default() {
     let operator = Operator::parse("{}").expect("a file");
     assert_eq!(operator, Operator::default());
-    assert_eq!((operator.bodies.largest_bytes, operator.bodies.unkept), (65_536, Unkept::Stream));
-    assert_eq!(operator.bodies.files.directory, None, "no files unless the operators say where");
-    assert_eq!(operator.faults(32), [], "the defaults fit the smallest node");
+    assert_eq!(
+        (operator.bodies.largest_bytes, operator.bodies.not_stored),
+        (65_536, NotStoredPolicy::Stream)
+    );
+    assert_eq!(operator.bodies.files.directory, None, "no files without a directory");
+    assert_eq!(operator.check(32), [], "the defaults fit the smallest node");
 }
 
-/// The example and the schema are what the program says, so neither grows old.
+/// The example and the schema are those of the program, so that they are never outdated.
 #[test]
 fn the_example_and_the_schema_in_deploy_are_those_of_the_program() {
     let read = |name: &str| {
@@ -34,20 +36,20 @@
 }
 
 #[test]
-fn an_unknown_key_is_a_fault_that_names_the_nearest() {
+fn an_unknown_key_is_an_error_that_suggests_the_most_similar() {
     assert_eq!(
-        faults(r#"{"bodies":{"memory":{"each_byte":1}}}"#),
+        errors(r#"{"bodies":{"memory":{"each_byte":1}}}"#),
         ["bodies.memory.each_byte: unknown key; did you mean \"each_bytes\"?"]
     );
-    assert_eq!(faults(r#"{"xyzzy":1}"#), ["xyzzy: unknown key; known are bodies, membership"]);
+    assert_eq!(errors(r#"{"xyzzy":1}"#), ["xyzzy: unknown key; known are bodies, membership"]);
 }
 
-/// One run names all that is wrong, so that nobody mends a file by trial.
+/// One run reports all errors, so that nobody has to correct a file by trial.
 #[test]
-fn every_fault_is_found_at_once() {
+fn all_errors_are_found_at_once() {
     let text = r#"{"bodies":{"largest_bytes":"big","unkept":"drop","memory":{"total_bytes":-1,"each":1}}}"#;
-    let found = faults(text);
-    let keys: Vec<&str> = found.iter().map(|f| f.split(": ").next().expect("a key")).collect();
+    let found = errors(text);
+    let keys: Vec<&str> = found.iter().map(|error| error.split(": ").next().expect("a key")).collect();
     assert_eq!(
         keys,
         ["bodies.memory.each", "bodies.largest_bytes", "bodies.memory.total_bytes", "bodies.unkept"],
@@ -56,7 +58,7 @@
 }
 
 #[test]
-fn settings_are_checked_against_one_another() {
+fn settings_that_contradict_each_other_are_errors() {
     let cases = [
         (r#""memory":{"each_bytes":9,"total_bytes":8}"#, "bodies.memory.each_bytes: 9 is over"),
         (r#""memory":{"total_bytes":41943041}"#, "bodies.memory.total_bytes: 41943041 is over 41943040"),
@@ -69,16 +71,20 @@
         ),
         (r#""files":{"directory":"/tmp","total_bytes":9}"#, "bodies.files.each_bytes: 16777216 is over"),
     ];
-    for (body, fault) in cases {
-        let found = faults(&format!("{{\"bodies\":{{{body}}}}}"));
-        assert!(found.len() == 1 && found[0].starts_with(fault), "{body}: {found:?}");
+    for (body, expected) in cases {
+        let found = errors(&format!("{{\"bodies\":{{{body}}}}}"));
+        assert!(found.len() == 1 && found[0].starts_with(expected), "{body}: {found:?}");
     }
-    assert_eq!(faults(r#"{"bodies":{"files":{"each_bytes":9}}}"#), [""; 0], "without files no matter");
+    assert_eq!(
+        errors(r#"{"bodies":{"files":{"each_bytes":9}}}"#),
+        [""; 0],
+        "without a directory it does not matter"
+    );
 }
 
-/// A file that is not there is named by how it was asked for; both files' faults come together.
+/// The error of a missing file names the variable; the errors of both files are reported together.
 #[test]
-fn faults_of_both_files_come_together() {
+fn the_errors_of_both_files_are_reported_together() {
     let dir = std::env::temp_dir().join(format!("sorrelhaven-both-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a directory");
     let path = |name: &str| dir.join(name).display().to_string();
@@ -91,17 +97,17 @@
             "SORRELHAVEN_OPERATOR" => Some(operator.clone()),
             _ => None,
         };
-        let faults = Config::load(env).expect_err("faults");
-        faults.iter().map(|f| f.key().to_string()).collect::<Vec<_>>()
+        let errors = Config::load(env).expect_err("errors");
+        errors.iter().map(|error| error.key().to_string()).collect::<Vec<_>>()
     };
     assert_eq!(load("o"), ["name", "listen", "discovery", "seed", "settings", "bodys"]);
-    assert_eq!(load("none").last().expect("a fault"), "SORRELHAVEN_OPERATOR");
+    assert_eq!(load("none").last().expect("an error"), "SORRELHAVEN_OPERATOR");
     std::fs::remove_dir_all(&dir).expect("it was there");
 }
 
-/// Membership is off by default; where it is on, what it needs is there and reads, and each fault names its key.
+/// Membership is off by default; if it is on, all that it needs is there and valid, and each error names its key.
 #[test]
-fn membership_is_off_or_whole() {
+fn membership_is_off_or_complete() {
     assert_eq!(Operator::default().membership.peers(), Ok(None));
     let dir = std::env::temp_dir().join(format!("sorrelhaven-key-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a directory");
@@ -120,13 +126,14 @@
         (r#""indirect":0"#.to_string(), "membership.indirect: 0 is not in 1 to 16"),
         (r#""lisen":null"#.to_string(), "membership.lisen: unknown key; did you mean \"listen\"?"),
     ];
-    for (body, fault) in &cases {
-        let found = faults(&format!("{{\"membership\":{{{body}}}}}"));
-        assert!(found.len() == 1 && found[0].starts_with(fault), "{body}: {found:?}");
+    for (body, expected) in &cases {
+        let found = errors(&format!("{{\"membership\":{{{body}}}}}"));
+        assert!(found.len() == 1 && found[0].starts_with(expected), "{body}: {found:?}");
     }
-    let whole =
+    let complete =
         format!(r#"{{"membership":{{"listen":"127.0.0.1:1","key_file":{good},"seeds":["127.0.0.1:2"]}}}}"#);
-    let peers = Operator::parse(&whole).expect("a file").membership.peers().expect("whole").expect("on");
+    let peers =
+        Operator::parse(&complete).expect("a file").membership.peers().expect("complete").expect("on");
     assert_eq!((peers.key.as_slice(), peers.seeds.len()), (b"sixteen bytes or more".as_slice(), 1));
     std::fs::remove_dir_all(&dir).expect("it was there");
 }
--- a/crates/node/src/check.rs
+++ b/crates/node/src/check.rs
@@ -1,11 +1,11 @@
 //! `sorrelhaven check`: both files read, and what holds said on one line.
 
-use sorrelhaven_config::{BodySettings, Config, Unkept};
+use sorrelhaven_config::{BodySettings, Config, NotStoredPolicy};
 use std::fmt::Write;
 
 /// A line for people of what a node with this configuration would do.
 pub fn summary(config: &Config) -> String {
-    let BodySettings { largest_bytes, memory, files, unkept, .. } = &config.operator.bodies;
+    let BodySettings { largest_bytes, memory, files, not_stored, .. } = &config.operator.bodies;
     let mut line = format!(
         "{} listens on {}; {} classes, {} tenants, {} boxes known; bodies of at most {}",
         config.name,
@@ -26,9 +26,9 @@
         ),
         None => write!(line, ", in no files"),
     };
-    line += match unkept {
-        Unkept::Stream => ", else passed through",
-        Unkept::Refuse => ", else refused",
+    line += match not_stored {
+        NotStoredPolicy::Stream => ", else passed through",
+        NotStoredPolicy::Reject => ", else refused",
     };
     line
 }
