--- a/crates/config/src/body_settings.rs
+++ b/crates/config/src/body_settings.rs
@@ -10,24 +10,24 @@
 /// The memory that the node needs beside the bodies.
 const NODE_MEMORY_MB: u64 = 24;
 
-/// Where the bodies of requests are kept so that they can be sent again.
+/// Where the bodies of requests are stored so that requests can be retried.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 #[schemars(rename = "Bodies")]
 pub struct BodySettings {
-    /// The largest body that is taken at all, in bytes; a larger one is answered 413 from its head alone. The
-    /// platform's protocol allows 65536.
+    /// The largest body that is accepted, in bytes; a larger one is answered 413 from its head alone. The platform's
+    /// protocol allows 65536.
     #[schemars(range(max = 1_099_511_627_776u64))]
     pub largest_bytes: u64,
-    /// A body must come at this pace once it is 2.2 s old, in bytes for each second; one that is slower on the
-    /// whole is answered 408.
+    /// The slowest upload of a body on average, in bytes a second, from 2.2 s after its first byte on; a slower one is
+    /// answered 408.
     #[schemars(range(min = 1, max = 1_099_511_627_776u64))]
     pub slowest_bytes_per_s: u64,
     /// Bodies in memory.
     pub memory: BodyMemory,
     /// Bodies in files.
     pub files: BodyFiles,
-    /// What becomes of a request whose body can be kept nowhere.
+    /// What happens to a request whose body can't be stored.
     #[serde(rename = "unkept")]
     pub not_stored: NotStoredPolicy,
 }
@@ -36,10 +36,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct BodyMemory {
-    /// The most bytes of one body that are kept in memory.
+    /// The largest body in memory, in bytes.
     #[schemars(range(max = 1_099_511_627_776u64))]
     pub each_bytes: u64,
-    /// The most bytes of all bodies together that are kept in memory. `limits.memory_mb` must leave 24 MB beside it.
+    /// All bodies in memory together, in bytes. `limits.memory_mb` must leave 24 MB beside it.
     #[schemars(range(max = 1_099_511_627_776u64))]
     pub total_bytes: u64,
 }
@@ -48,27 +48,27 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct BodyFiles {
-    /// The directory, which must exist and be the node's to write in; `null`: no files.
+    /// The directory, which must exist and be writable for the node; `null`: no files.
     pub directory: Option<PathBuf>,
-    /// The most bytes of one body that are kept in a file.
+    /// The largest body in a file, in bytes.
     #[schemars(range(max = 1_099_511_627_776u64))]
     pub each_bytes: u64,
-    /// The most bytes of all bodies together that are kept in files.
+    /// All bodies in files together, in bytes.
     #[schemars(range(max = 1_099_511_627_776u64))]
     pub total_bytes: u64,
-    /// Files are used only while the file system has so many bytes left.
+    /// Files are used only while the file system has at least this many bytes free.
     #[schemars(range(max = 1_099_511_627_776u64))]
     pub leave_free_bytes: u64,
 }
 
-/// What becomes of a request whose body can be kept nowhere.
+/// What happens to a request whose body can't be stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 #[schemars(rename = "Unkept")]
 pub enum NotStoredPolicy {
-    /// The body passes through to one executor as it comes, and can't be sent again.
+    /// The body is streamed to one worker as it arrives, and the request can't be retried.
     Stream,
-    /// The request is refused before anything is sent.
+    /// The request is rejected before anything is sent.
     #[serde(rename = "refuse")]
     Reject,
 }
--- a/crates/config/src/membership_settings.rs
+++ b/crates/config/src/membership_settings.rs
@@ -9,28 +9,28 @@
 /// The shortest key.
 const MIN_KEY_BYTES: usize = 16;
 
-/// Nodes that know each other, over UDP.
+/// The membership of the cluster's nodes, over UDP.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Membership {
-    /// Where this node listens for others, an address with a port; `null`: it knows no others.
+    /// The address with a port at which this node listens for others; `null`: membership is off.
     pub listen: Option<String>,
-    /// The address at which others reach it, where that is another than `listen`.
+    /// The address at which others reach this node, if that is not `listen`.
     pub advertise: Option<String>,
-    /// Addresses at which others may be found at first.
+    /// Addresses of other nodes, to join the cluster.
     pub seeds: Vec<String>,
-    /// A file with the key that all nodes share, of 16 bytes at least; needed with `listen`.
+    /// A file with the key that all nodes share, at least 16 bytes; required with `listen`.
     pub key_file: Option<PathBuf>,
-    /// Each node probes one other in this time, in milliseconds.
+    /// Each node probes one other node in this time, in milliseconds.
     #[schemars(range(min = 50, max = 60_000))]
     pub probe_period_ms: u64,
-    /// A probe that is not answered in this time is made through others, in milliseconds; under the period.
+    /// A probe that is not answered in this time is repeated through other nodes, in milliseconds; less than the period.
     #[schemars(range(min = 5, max = 30_000))]
     pub probe_rtt_ms: u64,
-    /// Through so many others.
+    /// The number of nodes through which a probe is repeated.
     #[schemars(range(min = 1, max = 16))]
     pub indirect: usize,
-    /// How long a node that is suspected may take to say that it lives, in milliseconds.
+    /// How long a suspected node has to refute the suspicion before it is declared dead, in milliseconds.
     #[schemars(range(min = 100, max = 600_000))]
     pub suspicion_ms: u64,
 }
--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -13,9 +13,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Operator {
-    /// Where the bodies of requests are kept so that they can be sent again.
+    /// Where the bodies of requests are stored so that requests can be retried.
     pub bodies: BodySettings,
-    /// Nodes that know each other, over UDP.
+    /// The membership of the cluster's nodes, over UDP.
     pub membership: Membership,
 }
 
