--- a/crates/body-store/src/block_buffer.rs
+++ b/crates/body-store/src/block_buffer.rs
@@ -20,8 +20,8 @@
         self.start
     }
 
-    /// Appends bytes. `expected` is how many bytes of the body are still to come, these included, if its length is
-    /// known: then no more memory is allocated than it needs.
+    /// Appends bytes. `expected` is how many bytes of the body are still to come, these included, if its
+    /// length is known: then no more memory is allocated than it needs.
     pub(crate) fn append(&mut self, mut bytes: &[u8], mut expected: Option<u64>) {
         while !bytes.is_empty() {
             let room = self.room_in_last_block(bytes.len(), expected);
@@ -60,8 +60,8 @@
         Some(length)
     }
 
-    /// Removes the blocks that end at or before `offset`, and returns their length. A block that is not full may still
-    /// grow, and is removed only if `is_complete`.
+    /// Removes the blocks that end at or before `offset`, and returns their length. A block that is not full
+    /// may still grow, and is removed only if `is_complete`.
     pub(crate) fn remove_before(&mut self, offset: u64, is_complete: bool) -> u64 {
         let mut removed = 0;
         while let Some(block) = self.blocks.front()
--- a/crates/body-store/src/body.rs
+++ b/crates/body-store/src/body.rs
@@ -66,7 +66,8 @@
         self.received += bytes.len() as u64;
     }
 
-    /// The next block to write to the file, if there is a file and a full block, or a partial one to be included.
+    /// The next block to write to the file, if there is a file and a full block, or a partial one to be
+    /// included.
     pub(crate) fn next_unwritten_block(&self, include_partial: bool) -> Option<UnwrittenBlock> {
         let file = &self.file.as_ref()?.file;
         let block = self.memory.first()?;
@@ -76,7 +77,8 @@
         Some(UnwrittenBlock { file: file.clone(), offset: self.file_bytes, block: block.clone() })
     }
 
-    /// Removes the first block from memory once it is in the file. Does nothing if the file was dropped meanwhile.
+    /// Removes the first block from memory once it is in the file. Does nothing if the file was dropped
+    /// meanwhile.
     pub(crate) fn mark_written(&mut self, checksum: u32) {
         if self.file.is_none() {
             return;
@@ -96,8 +98,8 @@
         Some(StoredBlock { file, offset, length, checksum: self.checksums[index as usize] })
     }
 
-    /// The next bytes in memory from `offset` on, at most a block. They don't extend into what is not stored: that may
-    /// go to one reader only.
+    /// The next bytes in memory from `offset` on, at most a block. They don't extend into what is not stored:
+    /// that may go to one reader only.
     pub(crate) fn next_piece(&self, offset: u64) -> &[u8] {
         let piece = self.memory.block_from(offset);
         match self.not_stored_from {
@@ -135,8 +137,8 @@
         }
     }
 
-    /// Lets a reader consume what is not stored from `offset` on. From here on no other reader can have the complete
-    /// body, so what was stored of it is released.
+    /// Lets a reader consume what is not stored from `offset` on. From here on no other reader can have the
+    /// complete body, so what was stored of it is released.
     ///
     /// # Errors
     /// Another reader has consumed it.
@@ -167,7 +169,8 @@
     }
 }
 
-/// A body as a request holds it. Its storage is released when the request, the writer and all readers have dropped it.
+/// A body as a request holds it. Its storage is released when the request, the writer and all readers have
+/// dropped it.
 #[derive(Clone)]
 pub struct RequestBody(Rc<SharedBody>);
 
@@ -196,7 +199,8 @@
         self.0.state.borrow().end
     }
 
-    /// Whether bytes that are not stored were given to a reader: then no other attempt can have the complete body.
+    /// Whether bytes that are not stored were given to a reader: then no other attempt can have the complete
+    /// body.
     pub fn is_consumed(&self) -> bool {
         self.0.state.borrow().consumer.is_some()
     }
--- a/crates/body-store/src/body_file.rs
+++ b/crates/body-store/src/body_file.rs
@@ -43,7 +43,8 @@
 
 impl Drop for BodyFile {
     fn drop(&mut self) {
-        // The operating system frees the space of a large file in the call that closes it, which may take a while.
+        // The operating system frees the space of a large file in the call that closes it, which may take a
+        // while.
         if let Some(file) = self.file.take() {
             blocking::unblock(move || drop(file)).detach();
         }
--- a/crates/body-store/src/budget.rs
+++ b/crates/body-store/src/budget.rs
@@ -7,9 +7,9 @@
 
 /// Counts the bytes that the bodies of each tenant (class and state office) hold, against one total.
 ///
-/// Half of the total is guaranteed to the tenants in equal shares. The other half is first come, first served, except
-/// for a reserve that only small bodies may use. So no tenant can keep another from its share, and large bodies can't
-/// starve small ones.
+/// Half of the total is guaranteed to the tenants in equal shares. The other half is first come, first
+/// served, except for a reserve that only small bodies may use. So no tenant can keep another from its share,
+/// and large bodies can't starve small ones.
 #[derive(Clone, Debug)]
 pub struct Budget {
     total: u64,
@@ -63,8 +63,8 @@
         self.used_by_tenant[tenant]
     }
 
-    /// Reserves `more` bytes for a body of `tenant` that holds `held` bytes already. Returns false, and reserves
-    /// nothing, if the budget has no room for them.
+    /// Reserves `more` bytes for a body of `tenant` that holds `held` bytes already. Returns false, and
+    /// reserves nothing, if the budget has no room for them.
     ///
     /// # Panics
     /// `tenant` is not below [`Budget::tenants`].
--- a/crates/body-store/src/directory.rs
+++ b/crates/body-store/src/directory.rs
@@ -1,8 +1,9 @@
 //! The directory that operators set for bodies, in which files without a name are created.
 //!
-//! A file is created under a temporary name and unlinked at once while it stays open: whatever happens to the process,
-//! the operating system frees the space, and no partial body is left behind. Only a crash between the two steps leaves
-//! a name; the next start of the same node sweeps it. Calls may block, so they belong on a thread pool.
+//! A file is created under a temporary name and unlinked at once while it stays open: whatever happens to the
+//! process, the operating system frees the space, and no partial body is left behind. Only a crash between
+//! the two steps leaves a name; the next start of the same node sweeps it. Calls may block, so they belong on
+//! a thread pool.
 
 use crate::disk::{Disk, DiskFile, is_disk_full};
 use rustix::fs::{self, AtFlags, Mode, OFlags};
@@ -115,7 +116,8 @@
         self.was_full
     }
 
-    /// Deletes the files that an earlier process of this node left, and counts them. Those of other nodes stay.
+    /// Deletes the files that an earlier process of this node left, and counts them. Those of other nodes
+    /// stay.
     ///
     /// # Errors
     /// Those of the operating system.
@@ -165,8 +167,8 @@
     }
 }
 
-/// The prefix of all file names of one node. Bytes other than ASCII letters and digits are escaped, so that no node's
-/// prefix is the beginning of another's.
+/// The prefix of all file names of one node. Bytes other than ASCII letters and digits are escaped, so that
+/// no node's prefix is the beginning of another's.
 fn name_prefix(node: &str) -> String {
     let escape = |byte: u8| match byte.is_ascii_alphanumeric() {
         true => char::from(byte).to_string(),
@@ -176,8 +178,9 @@
     format!("sorrelhaven-body.{name}.")
 }
 
-/// Guards against symbolic links: one that another user made could lead the node's files anywhere, and one at the end
-/// of the path is most likely a mistake. Links of root and of the node's own user on the way are allowed.
+/// Guards against symbolic links: one that another user made could lead the node's files anywhere, and one at
+/// the end of the path is most likely a mistake. Links of root and of the node's own user on the way are
+/// allowed.
 fn reject_untrusted_links(path: &Path) -> Result<(), DirectoryErrorKind> {
     let own_uid = rustix::process::geteuid().as_raw();
     let mut prefix = PathBuf::new();
--- a/crates/body-store/src/disk.rs
+++ b/crates/body-store/src/disk.rs
@@ -32,7 +32,8 @@
     fn read_at(&self, bytes: &mut [u8], offset: u64) -> io::Result<()>;
 }
 
-/// Whether an error says that there is no room: the file system's, a quota's, or the process's own limit on a file.
+/// Whether an error says that there is no room: the file system's, a quota's, or the process's own limit on a
+/// file.
 pub fn is_disk_full(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/crates/body-store/src/disk_health.rs
+++ b/crates/body-store/src/disk_health.rs
@@ -1,4 +1,5 @@
-//! Whether the disk may be used: a circuit breaker that failures open for a time that doubles. No I/O, time passed in.
+//! Whether the disk may be used: a circuit breaker that failures open for a time that doubles. No I/O, time
+//! passed in.
 
 use crate::plan::{NotStoredReason, Timestamp};
 use std::time::Duration;
--- a/crates/body-store/src/lib.rs
+++ b/crates/body-store/src/lib.rs
@@ -1,8 +1,9 @@
 //! Stores the bodies of requests so that a request can be retried: in memory, then in files, then not at all.
 //!
-//! A [`BodyWriter`] takes a body in as it arrives. Any number of [`StoredBodyReader`]s read it from the first byte on,
-//! also while it is still being uploaded. A body is a sequence of blocks: those at its front may be in a file, with a
-//! checksum each, and the rest is in memory. A body that is stored nowhere is streamed to one reader.
+//! A [`BodyWriter`] takes a body in as it arrives. Any number of [`StoredBodyReader`]s read it from the first
+//! byte on, also while it is still being uploaded. A body is a sequence of blocks: those at its front may be
+//! in a file, with a checksum each, and the rest is in memory. A body that is stored nowhere is streamed to
+//! one reader.
 //!
 //! | module | concern |
 //! | --- | --- |
--- a/crates/body-store/src/plan.rs
+++ b/crates/body-store/src/plan.rs
@@ -1,8 +1,9 @@
 //! Decides where each body is stored. Events in, decisions out, time passed in; no I/O.
 //!
-//! A body moves up the tiers as it grows: memory while it fits its own limit and the budget, then a file that takes
-//! over what memory held, then not stored. It never moves back down. The caller reserves room for each piece before it
-//! takes it in ([`Plan::reserve`]), carries the decision out, and reports what it has released.
+//! A body moves up the tiers as it grows: memory while it fits its own limit and the budget, then a file that
+//! takes over what memory held, then not stored. It never moves back down. The caller reserves room for each
+//! piece before it takes it in ([`Plan::reserve`]), carries the decision out, and reports what it has
+//! released.
 
 use crate::budget::{Budget, SMALL_BODY_BYTES};
 use crate::disk_health::DiskHealth;
@@ -74,7 +75,7 @@
     /// Store nothing more of this body.
     NotStored(NotStoredReason),
     /// Reject the body: it is larger than any that is accepted.
-    TooLong,
+    TooLarge,
 }
 
 /// A body that the plan has begun to track.
@@ -169,8 +170,8 @@
         }
     }
 
-    /// Changes the limits. Bodies in memory beyond a lower limit are spilled by [`Plan::next_to_spill`]; what can't be
-    /// moved stays until its request ends.
+    /// Changes the limits. Bodies in memory beyond a lower limit are spilled by [`Plan::next_to_spill`]; what
+    /// can't be moved stays until its request ends.
     pub fn configure(&mut self, limits: Limits) {
         self.memory.resize(limits.max_memory_bytes);
         self.files.resize(limits.max_file_bytes());
@@ -205,7 +206,7 @@
         };
         self.bodies.insert(id, account);
         let decision = match declared_length {
-            Some(length) if length > self.limits.max_body_bytes => StorageDecision::TooLong,
+            Some(length) if length > self.limits.max_body_bytes => StorageDecision::TooLarge,
             Some(length) if length > self.limits.max_memory_bytes_per_body => {
                 self.move_out_of_memory(now, id, length)
             }
@@ -214,12 +215,13 @@
         RegisteredBody { id, decision }
     }
 
-    /// Reserves room for the next `more` bytes of a body. Where they are stored, they count as held from here on.
+    /// Reserves room for the next `more` bytes of a body. Where they are stored, they count as held from here
+    /// on.
     pub fn reserve(&mut self, now: Timestamp, id: BodyId, more: u64) -> StorageDecision {
-        let Some(body) = self.bodies.get_mut(&id) else { return StorageDecision::TooLong };
+        let Some(body) = self.bodies.get_mut(&id) else { return StorageDecision::TooLarge };
         let length = body.length.saturating_add(more);
         if length > self.limits.max_body_bytes {
-            return StorageDecision::TooLong;
+            return StorageDecision::TooLarge;
         }
         body.length = length;
         match body.tier {
@@ -230,7 +232,7 @@
     }
 
     fn reserve_memory(&mut self, now: Timestamp, id: BodyId, more: u64) -> StorageDecision {
-        let Some(body) = self.bodies.get_mut(&id) else { return StorageDecision::TooLong };
+        let Some(body) = self.bodies.get_mut(&id) else { return StorageDecision::TooLarge };
         let length = body.length;
         let fits = length <= self.limits.max_memory_bytes_per_body;
         if fits && self.memory.try_reserve(body.tenant, body.memory_bytes, more) {
@@ -241,7 +243,7 @@
     }
 
     fn reserve_in_file(&mut self, id: BodyId, more: u64) -> StorageDecision {
-        let Some(body) = self.bodies.get_mut(&id) else { return StorageDecision::TooLong };
+        let Some(body) = self.bodies.get_mut(&id) else { return StorageDecision::TooLarge };
         let fits = body.length <= self.limits.max_file_bytes_per_body();
         if !fits || !self.files.try_reserve(body.tenant, body.file_bytes, more) {
             body.tier = StorageTier::NotStored;
@@ -254,7 +256,7 @@
     /// Moves a body that memory can't hold to a file that takes all of it, or stops storing it.
     fn move_out_of_memory(&mut self, now: Timestamp, id: BodyId, expected_length: u64) -> StorageDecision {
         let file_allowed = self.check_files_usable(now);
-        let Some(body) = self.bodies.get_mut(&id) else { return StorageDecision::TooLong };
+        let Some(body) = self.bodies.get_mut(&id) else { return StorageDecision::TooLarge };
         if let Err(reason) = file_allowed {
             body.tier = StorageTier::NotStored;
             return StorageDecision::NotStored(reason);
@@ -284,8 +286,9 @@
         free_bytes >= must_stay_free.saturating_add(needed)
     }
 
-    /// Records that the disk has failed a body: the disk is disabled for a while, and nothing more of the body is
-    /// stored. A body that was being spilled is complete, partly in its file and partly in memory, and stays so.
+    /// Records that the disk has failed a body: the disk is disabled for a while, and nothing more of the
+    /// body is stored. A body that was being spilled is complete, partly in its file and partly in memory,
+    /// and stays so.
     pub fn record_disk_failure(
         &mut self,
         now: Timestamp,
@@ -300,7 +303,8 @@
         DiskFailure { decision: StorageDecision::NotStored(reason), is_first }
     }
 
-    /// Records that the disk has taken a piece: files may be created again. Returns whether the disk had failed before.
+    /// Records that the disk has taken a piece: files may be created again. Returns whether the disk had
+    /// failed before.
     pub fn record_disk_success(&mut self) -> bool {
         self.disk.record_success()
     }
@@ -342,8 +346,8 @@
         self.limits.files.is_some() && is_short
     }
 
-    /// Chooses a complete body to move from memory to a file, if memory is short: the largest of the tenant that holds
-    /// most of it, except for small ones. It counts as held in both until [`Plan::finish_spill`].
+    /// Chooses a complete body to move from memory to a file, if memory is short: the largest of the tenant
+    /// that holds most of it, except for small ones. It counts as held in both until [`Plan::finish_spill`].
     pub fn next_to_spill(&mut self, now: Timestamp) -> Option<BodyId> {
         if !self.has_memory_pressure() || self.active_spills >= MAX_CONCURRENT_SPILLS {
             return None;
--- a/crates/body-store/src/reader.rs
+++ b/crates/body-store/src/reader.rs
@@ -30,8 +30,8 @@
         StoredBodyReader { shared, id, offset: 0 }
     }
 
-    /// Appends the next piece, at most a block, to `out`, and waits for it if it has not arrived. Returns false once all
-    /// of the body was read.
+    /// Appends the next piece, at most a block, to `out`, and waits for it if it has not arrived. Returns
+    /// false once all of the body was read.
     ///
     /// # Errors
     /// The body can't be read to its end; what was read before must not be taken for a complete body.
--- a/crates/body-store/src/store.rs
+++ b/crates/body-store/src/store.rs
@@ -37,8 +37,9 @@
 }
 
 impl BodyStore {
-    /// A store for the bodies of `tenants` tenants (class and state office). `disk` is the directory of the settings, if
-    /// there is one, and `acquire_permit` returns a descriptor of the node's budget for each file.
+    /// A store for the bodies of `tenants` tenants (class and state office). `disk` is the directory of the
+    /// settings, if there is one, and `acquire_permit` returns a descriptor of the node's budget for each
+    /// file.
     pub fn new(
         settings: &BodySettings,
         tenants: usize,
@@ -60,8 +61,8 @@
         })
     }
 
-    /// Changes the settings. Bodies that are stored stay so, and those in memory beyond a lower limit are spilled to
-    /// files if there is a disk.
+    /// Changes the settings. Bodies that are stored stay so, and those in memory beyond a lower limit are
+    /// spilled to files if there is a disk.
     pub fn configure(&self, settings: &BodySettings, disk: Option<Arc<dyn Disk>>) {
         self.plan.borrow_mut().configure(settings::limits(settings, disk.is_some()));
         *self.disk.borrow_mut() = disk;
@@ -70,8 +71,8 @@
         self.memory_pressure.notify(1);
     }
 
-    /// The time by which the next byte of a body has to arrive so that its upload is fast enough: its first byte arrived
-    /// at `first_byte_at`, and `received` bytes since. `grace` is allowed in any case.
+    /// The time by which the next byte of a body has to arrive so that its upload is fast enough: its first
+    /// byte arrived at `first_byte_at`, and `received` bytes since. `grace` is allowed in any case.
     pub fn upload_deadline(&self, first_byte_at: Instant, grace: Duration, received: u64) -> Instant {
         let bytes_per_second = self.min_upload_bytes_per_second.get().max(1);
         first_byte_at + grace + Duration::from_secs_f64(received as f64 / bytes_per_second as f64)
@@ -85,7 +86,8 @@
     /// Begins to take in a body of `tenant`, whose length is known if the client declared it.
     ///
     /// # Errors
-    /// How the body has ended, and the body: it is too long, or it can't be stored and such bodies are rejected.
+    /// How the body has ended, and the body: it is too long, or it can't be stored and such bodies are
+    /// rejected.
     pub fn begin(
         self: &Rc<Self>,
         tenant: usize,
--- a/crates/body-store/src/writer.rs
+++ b/crates/body-store/src/writer.rs
@@ -21,7 +21,8 @@
 /// The slowest disk that is still used.
 const MIN_DISK_BYTES_PER_SECOND: f64 = 16.0 * 1024.0 * 1024.0;
 
-/// Takes in a body. If it is dropped before the body's end, the request was concluded before the body had arrived.
+/// Takes in a body. If it is dropped before the body's end, the request was concluded before the body had
+/// arrived.
 pub struct BodyWriter {
     shared: Rc<SharedBody>,
     /// How long the disk writes for this body have taken.
@@ -54,12 +55,12 @@
                 Ok(())
             }
             StorageDecision::NotStored(reason) => self.stop_storing(reason),
-            StorageDecision::TooLong => Err(self.end(BodyEnd::TooLong)),
+            StorageDecision::TooLarge => Err(self.end(BodyEnd::TooLong)),
         }
     }
 
-    /// Takes in the next piece. Waits while a file is written, or until the reader of a body that is not stored has
-    /// caught up.
+    /// Takes in the next piece. Waits while a file is written, or until the reader of a body that is not
+    /// stored has caught up.
     ///
     /// # Errors
     /// How the body has ended, if it can't be taken in.
@@ -67,7 +68,7 @@
         let now = self.shared.store.now();
         let decision = self.shared.plan().reserve(now, self.shared.id, bytes.len() as u64);
         match decision {
-            StorageDecision::TooLong => return Err(self.end(BodyEnd::TooLong)),
+            StorageDecision::TooLarge => return Err(self.end(BodyEnd::TooLong)),
             StorageDecision::Keep(tier) => self.store_piece(bytes, tier).await?,
             StorageDecision::NotStored(reason) => {
                 self.stop_storing(reason)?;
@@ -181,8 +182,8 @@
         }
     }
 
-    /// Writes the full blocks in memory to the file, with `include_partial` all blocks. Creates the file if there is
-    /// none.
+    /// Writes the full blocks in memory to the file, with `include_partial` all blocks. Creates the file if
+    /// there is none.
     ///
     /// # Errors
     /// Why the disk can't take them.
--- a/crates/body-store/tests/compatibility.rs
+++ b/crates/body-store/tests/compatibility.rs
@@ -1,5 +1,5 @@
-//! Files that the previous version wrote can be read by this one, and are written the same: the contents of a body's
-//! file, byte for byte, and the names that a crash leaves in the directory.
+//! Files that the previous version wrote can be read by this one, and are written the same: the contents of a
+//! body's file, byte for byte, and the names that a crash leaves in the directory.
 
 use futures_lite::future::block_on;
 use sorrelhaven_body_store::{BodyEnd, BodyStore, Directory, Disk, DiskFile, RequestBody};
--- a/crates/body-store/tests/directory.rs
+++ b/crates/body-store/tests/directory.rs
@@ -42,8 +42,8 @@
     }
 }
 
-/// What an earlier process of this node left is swept and counted; files of other nodes stay, whatever their names
-/// begin with.
+/// What an earlier process of this node left is swept and counted; files of other nodes stay, whatever their
+/// names begin with.
 #[test]
 fn leftovers_of_this_node_are_swept_and_no_others() {
     let scratch = ScratchDir::new("sweep");
--- a/crates/body-store/tests/plan.rs
+++ b/crates/body-store/tests/plan.rs
@@ -36,8 +36,10 @@
 
 fn operation() -> impl Strategy<Value = Operation> {
     let declared_length = prop_oneof![Just(None), (0..1_100 * KIB).prop_map(Some)];
+    let register = (0usize..6, declared_length)
+        .prop_map(|(tenant, declared_length)| Operation::Register { tenant, declared_length });
     prop_oneof![
-        4 => (0usize..6, declared_length).prop_map(|(tenant, declared_length)| Operation::Register { tenant, declared_length }),
+        4 => register,
         8 => (0usize..64, 1..48 * KIB).prop_map(|(index, more)| Operation::Grow { index, more }),
         2 => (0usize..64).prop_map(Operation::Complete),
         2 => (0usize..64).prop_map(Operation::Remove),
@@ -102,7 +104,7 @@
     ) -> Result<(), TestCaseError> {
         let RegisteredBody { id, decision } = self.plan.register(now, tenant, declared_length);
         let too_long = declared_length.is_some_and(|length| length > 1_024 * KIB);
-        prop_assert_eq!(decision == StorageDecision::TooLong, too_long);
+        prop_assert_eq!(decision == StorageDecision::TooLarge, too_long);
         self.bodies.push(ModelBody { id, tier: StorageTier::Memory, length: 0 });
         Ok(())
     }
@@ -111,7 +113,7 @@
         let index = index % self.bodies.len();
         let body = &mut self.bodies[index];
         let next = match self.plan.reserve(now, body.id, more) {
-            StorageDecision::TooLong => {
+            StorageDecision::TooLarge => {
                 prop_assert!(body.length + more > 1_024 * KIB);
                 return Ok(());
             }
@@ -185,8 +187,8 @@
     }
 }
 
-/// Whatever the order of events, usage exceeds no limit except by what was held before the limit was lowered, a body
-/// only moves up the tiers, and all is released in the end.
+/// Whatever the order of events, usage exceeds no limit except by what was held before the limit was lowered,
+/// a body only moves up the tiers, and all is released in the end.
 #[test]
 fn usage_stays_within_limits_and_tiers_only_go_up() {
     check_cases(
@@ -250,8 +252,8 @@
     assert!(budget.try_reserve(1, 0, budget.share()), "and the other tenant has all of its share");
 }
 
-/// A body with a declared length that memory can't hold goes to a file from its first byte; if there are no files, it is
-/// known before that byte that the body can't be stored.
+/// A body with a declared length that memory can't hold goes to a file from its first byte; if there are no
+/// files, it is known before that byte that the body can't be stored.
 #[test]
 fn a_declared_length_decides_before_the_first_byte() {
     let first = |files, length| Plan::new(limits(files), 1).register(NOW, 0, Some(length)).decision;
@@ -259,7 +261,7 @@
     assert_eq!(first(true, 64 * KIB + 1), StorageDecision::Keep(StorageTier::File));
     assert_eq!(first(true, 513 * KIB), StorageDecision::NotStored(NotStoredReason::Budget));
     assert_eq!(first(false, 64 * KIB + 1), StorageDecision::NotStored(NotStoredReason::Budget));
-    assert_eq!(first(true, 1_025 * KIB), StorageDecision::TooLong);
+    assert_eq!(first(true, 1_025 * KIB), StorageDecision::TooLarge);
 }
 
 /// Each failure disables the disk for twice as long, up to a limit, and one successful write enables it.
--- a/crates/body-store/tests/store.rs
+++ b/crates/body-store/tests/store.rs
@@ -79,7 +79,8 @@
     store.metrics().iter().find(|metric| metric.0 == name).expect("a metric of that name").1
 }
 
-/// Whatever the length, the pieces, the tier and the readers: what is read is what was written, byte for byte.
+/// Whatever the length, the pieces, the tier and the readers: what is read is what was written, byte for
+/// byte.
 #[test]
 fn a_body_is_read_as_it_was_written() {
     let cases = (0usize..400_000, 1usize..200_000, any::<bool>(), 0u64..3, any::<u64>(), any::<bool>());
@@ -133,8 +134,8 @@
     });
 }
 
-/// The disk fills up during a burst of uploads: bodies in flight are streamed and none is corrupt, those in memory are
-/// not affected, and when there is room again files are used again.
+/// The disk fills up during a burst of uploads: bodies in flight are streamed and none is corrupt, those in
+/// memory are not affected, and when there is room again files are used again.
 #[test]
 fn a_disk_that_fills_up_corrupts_no_body() {
     let disk = FakeDisk::new(2 * MIB);
@@ -308,7 +309,8 @@
     });
 }
 
-/// A body for whose file there is no descriptor is not stored either, and waits for its reader as any such body does.
+/// A body for whose file there is no descriptor is not stored either, and waits for its reader as any such
+/// body does.
 #[test]
 fn a_body_without_a_descriptor_for_its_file_waits_for_its_reader() {
     let disk = FakeDisk::new(64 * MIB);
--- a/crates/config/src/body_settings.rs
+++ b/crates/config/src/body_settings.rs
@@ -15,12 +15,12 @@
 #[serde(default, deny_unknown_fields)]
 #[schemars(rename = "Bodies")]
 pub struct BodySettings {
-    /// The largest body that is accepted, in bytes; a larger one is answered 413 from its head alone. The platform's
-    /// protocol allows 65536.
+    /// The largest body that is accepted, in bytes; a larger one is answered 413 from its head alone. The
+    /// platform's protocol allows 65536.
     #[schemars(range(max = 1_099_511_627_776u64))]
     pub largest_bytes: u64,
-    /// The slowest upload of a body on average, in bytes a second, from 2.2 s after its first byte on; a slower one is
-    /// answered 408.
+    /// The slowest upload of a body on average, in bytes a second, from 2.2 s after its first byte on; a
+    /// slower one is answered 408.
     #[schemars(range(min = 1, max = 1_099_511_627_776u64))]
     pub slowest_bytes_per_s: u64,
     /// Bodies in memory.
@@ -103,8 +103,8 @@
 }
 
 impl BodySettings {
-    /// Checks the values against each other, for a process that may hold `memory_mb` megabytes. The errors' paths begin
-    /// at this object.
+    /// Checks the values against each other, for a process that may hold `memory_mb` megabytes. The errors'
+    /// paths begin at this object.
     pub(crate) fn check(&self, memory_mb: u64) -> Vec<ConfigError> {
         let mut errors = self.check_sizes();
         errors.extend(self.check_upload_rate());
@@ -166,7 +166,8 @@
         let in_memory = self.memory.each_bytes;
         if each_bytes < in_memory {
             let problem = format!(
-                "{each_bytes} is under memory.each_bytes, {in_memory}: a body that outgrows memory would fit no file"
+                "{each_bytes} is under memory.each_bytes, {in_memory}: a body that outgrows memory would \
+                 fit no file"
             );
             errors.push(ConfigError::new("files.each_bytes", problem));
         }
@@ -181,8 +182,8 @@
             return None;
         }
         let problem = format!(
-            "{largest} is over {largest_stored}, the largest body that is stored: with bodies.unkept = \"refuse\" those \
-             between would always be rejected"
+            "{largest} is over {largest_stored}, the largest body that is stored: with bodies.unkept = \
+             \"refuse\" those between would always be rejected"
         );
         Some(ConfigError::new("largest_bytes", problem))
     }
--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -49,8 +49,8 @@
     pub drain_grace: Micros,
     /// The fields of a load report, in the report's order; empty if there are no reports.
     pub load_fields: Vec<String>,
-    /// A node that polls discovery is assumed to know a change this long after it happened, whether it has polled or not;
-    /// four times as long after a poll that failed.
+    /// A node that polls discovery is assumed to know a change this long after it happened, whether it has
+    /// polled or not; four times as long after a poll that failed.
     pub ask_within: Micros,
     /// The settings of the decision module.
     pub settings: Settings,
@@ -59,8 +59,8 @@
 }
 
 impl Config {
-    /// Reads the file named by `RELAY_CONFIG`, the other variables that take precedence over its keys, and the
-    /// operators' file named by `SORRELHAVEN_OPERATOR`, if there is one.
+    /// Reads the file named by `RELAY_CONFIG`, the other variables that take precedence over its keys, and
+    /// the operators' file named by `SORRELHAVEN_OPERATOR`, if there is one.
     ///
     /// # Errors
     /// All errors of both files.
@@ -68,10 +68,10 @@
         Config::from_files(platform_file::read_file(&env), &env)
     }
 
-    /// Reads both files again for a running node, and returns the configuration from now on: `discovery`, `limits` and
-    /// the operators' settings are taken from the files, all else stays. Also returns the keys that have changed but
-    /// take effect only after a restart. A `discovery` that has changed in the file takes precedence over the variable,
-    /// which can't change while the program runs.
+    /// Reads both files again for a running node, and returns the configuration from now on: `discovery`,
+    /// `limits` and the operators' settings are taken from the files, all else stays. Also returns the keys
+    /// that have changed but take effect only after a restart. A `discovery` that has changed in the file
+    /// takes precedence over the variable, which can't change while the program runs.
     ///
     /// # Errors
     /// All errors of both files; the node then keeps its configuration.
@@ -131,7 +131,8 @@
     }
 }
 
-/// The operators' settings, checked for a process that may hold `memory_mb` megabytes; the defaults if there is no file.
+/// The operators' settings, checked for a process that may hold `memory_mb` megabytes; the defaults if there
+/// is no file.
 fn read_operator(env: &impl Fn(&str) -> Option<String>, memory_mb: u64) -> Result<Operator, ConfigErrors> {
     let operator = match env(OPERATOR_FILE) {
         Some(path) => Operator::load(&path)?,
--- a/crates/config/src/hosts.rs
+++ b/crates/config/src/hosts.rs
@@ -54,12 +54,13 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct DiscoveryList {
     /// The version of the list.
-    #[serde(default)]
+    #[serde(rename = "seq", default)]
     pub seq: u64,
     /// Whether it replaces all that was known.
     #[serde(rename = "whole", default)]
     pub complete: bool,
     /// Its entries.
+    #[serde(rename = "hosts")]
     pub hosts: Vec<DiscoveryHost>,
 }
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,14 +1,15 @@
 //! Reads, checks and defaults all configuration of a node.
 //!
-//! A node reads its [`Config`] from the platform's file, the environment and the operators' file ([`Operator`]). The
-//! simulator reads only the settings of the decision module, which have the same form in its messages. Every error names
-//! its key. Unknown keys are ignored in the platform's file, and are errors in the operators' file.
+//! A node reads its [`Config`] from the platform's file, the environment and the operators' file
+//! ([`Operator`]). The simulator reads only the settings of the decision module, which have the same form in
+//! its messages. Every error names its key. Unknown keys are ignored in the platform's file, and are errors
+//! in the operators' file.
 //!
 //! | module | concern |
 //! | --- | --- |
 //! | `config` | the configuration of a node, and its reload |
 //! | `platform_file` | the platform's file and environment variables |
-//! | `settings_file` | the settings as the platform writes them: maps its keys to the names of this repository |
+//! | `settings_file` | the settings as the platform writes them: maps its keys to the names used here |
 //! | `settings` | checks the settings, and converts them to those of the decision module |
 //! | `hosts` | the worker list as discovery sends it |
 //! | `operator`, `unknown_keys` | the operators' file |
--- a/crates/config/src/membership_settings.rs
+++ b/crates/config/src/membership_settings.rs
@@ -24,7 +24,8 @@
     /// Each node probes one other node in this time, in milliseconds.
     #[schemars(range(min = 50, max = 60_000))]
     pub probe_period_ms: u64,
-    /// A probe that is not answered in this time is repeated through other nodes, in milliseconds; less than the period.
+    /// A probe that is not answered in this time is repeated through other nodes, in milliseconds; less than
+    /// the period.
     #[schemars(range(min = 5, max = 30_000))]
     pub probe_rtt_ms: u64,
     /// The number of nodes through which a probe is repeated.
--- a/crates/config/src/platform_file.rs
+++ b/crates/config/src/platform_file.rs
@@ -72,7 +72,8 @@
     serde_json::from_str(text).map_err(|error| ConfigError::new(PLATFORM_FILE, error))
 }
 
-/// Checks the file and the variables that take precedence over it. The operators' settings have their defaults.
+/// Checks the file and the variables that take precedence over it. The operators' settings have their
+/// defaults.
 ///
 /// # Errors
 /// All errors of both.
@@ -174,8 +175,8 @@
     }
 }
 
-/// The descriptor at which the platform hands over the clients' listening socket, by `RELAY_FD`; `None` if the node is
-/// to open the socket itself.
+/// The descriptor at which the platform hands over the clients' listening socket, by `RELAY_FD`; `None` if
+/// the node is to open the socket itself.
 ///
 /// # Errors
 /// `RELAY_FD` is not the number of a descriptor.
--- a/crates/config/src/settings_file.rs
+++ b/crates/config/src/settings_file.rs
@@ -1,5 +1,5 @@
-//! The settings as the platform writes them. The platform's keys are mapped to the names of this repository here, and
-//! nowhere else. Unknown keys are ignored. Times are in microseconds.
+//! The settings as the platform writes them. The platform's keys are mapped to the names of this repository
+//! here, and nowhere else. Unknown keys are ignored. Times are in microseconds.
 
 use serde::Deserialize;
 use sorrelhaven_dispatcher::Micros;
--- a/crates/config/tests/operator.rs
+++ b/crates/config/tests/operator.rs
@@ -105,7 +105,8 @@
     std::fs::remove_dir_all(&dir).expect("it was there");
 }
 
-/// Membership is off by default; if it is on, all that it needs is there and valid, and each error names its key.
+/// Membership is off by default; if it is on, all that it needs is there and valid, and each error names its
+/// key.
 #[test]
 fn membership_is_off_or_complete() {
     assert_eq!(Operator::default().membership.peers(), Ok(None));
--- a/crates/membership/examples/table.rs
+++ b/crates/membership/examples/table.rs
@@ -1,4 +1,5 @@
-//! Prints the table of `docs/membership.md`: detection times, false deaths and traffic by number of members and faults.
+//! Prints the table of `docs/membership.md`: detection times, false deaths and traffic by number of members
+//! and faults.
 //!
 //!     cargo run --release -p sorrelhaven-membership --example table -- 5 50 300
 //!
--- a/crates/membership/src/authentication.rs
+++ b/crates/membership/src/authentication.rs
@@ -1,4 +1,5 @@
-//! Signs and verifies datagrams: who sent one, its sequence number, and a code that only holders of the key can make.
+//! Signs and verifies datagrams: who sent one, its sequence number, and a code that only holders of the key
+//! can make.
 //!
 //! ```text
 //! byte 0         the version, 1
--- a/crates/membership/src/authentication/tests.rs
+++ b/crates/membership/src/authentication/tests.rs
@@ -42,7 +42,8 @@
     });
 }
 
-/// Compared with a set of all numbers received: none is accepted twice, and none within the window is rejected.
+/// Compared with a set of all numbers received: none is accepted twice, and none within the window is
+/// rejected.
 #[test]
 fn a_datagram_is_accepted_once_in_any_order() {
     check_cases(300, prop::collection::vec((0..3u64, 1..200u64), 1..300), |numbers| {
--- a/crates/membership/src/id.rs
+++ b/crates/membership/src/id.rs
@@ -4,8 +4,8 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The identity of a member: one incarnation of a node. A node that restarts is another member, and is never mistaken
-/// for a stale incarnation of itself.
+/// The identity of a member: one incarnation of a node. A node that restarts is another member, and is never
+/// mistaken for a stale incarnation of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Id {
     /// The node's name, the same in all its incarnations.
--- a/crates/membership/src/leave_broadcast.rs
+++ b/crates/membership/src/leave_broadcast.rs
@@ -1,5 +1,5 @@
-//! The leave broadcast, by which a member says that it leaves. It is spread beside the protocol's own messages, which
-//! don't distinguish a member that has left from one that has died.
+//! The leave broadcast, by which a member says that it leaves. It is spread beside the protocol's own
+//! messages, which don't distinguish a member that has left from one that has died.
 
 use crate::Id;
 use foca::{BroadcastHandler, Invalidates};
@@ -13,7 +13,8 @@
 /// An incarnation, and at least one byte of address and name.
 const MIN_NOTICE_BYTES: usize = size_of::<u64>() + 1;
 
-/// The encoded identity of a member that leaves: the incarnation, big-endian, then the address and the name as text.
+/// The encoded identity of a member that leaves: the incarnation, big-endian, then the address and the name
+/// as text.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct LeaveNotice(Vec<u8>);
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,9 +1,9 @@
 //! The membership of a cluster: which nodes are alive, suspected, dead, or have left.
 //!
-//! The protocol is SWIM, by the `foca` crate. This crate adds identities, time, authenticated datagrams, tolerance of its
-//! own pauses, a leave broadcast, and a table that other subsystems read. [`Membership`] does no I/O and reads no clock:
-//! datagrams and the time go in, datagrams come out. [`run`] drives it on a socket. `docs/membership.md` is the page for
-//! operators.
+//! The protocol is SWIM, by the `foca` crate. This crate adds identities, time, authenticated datagrams,
+//! tolerance of its own pauses, a leave broadcast, and a table that other subsystems read. [`Membership`]
+//! does no I/O and reads no clock: datagrams and the time go in, datagrams come out. [`run`] drives it on a
+//! socket. `docs/membership.md` is the page for operators.
 //!
 //! | module | concern |
 //! | --- | --- |
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -1,4 +1,5 @@
-//! How far this member may trust its own suspicions: not much after it was paused, as in the Lifeguard extension of SWIM.
+//! How far this member may trust its own suspicions: not much after it was paused, as in the Lifeguard
+//! extension of SWIM.
 
 use crate::time::Micros;
 
--- a/crates/membership/src/replay_filter.rs
+++ b/crates/membership/src/replay_filter.rs
@@ -24,8 +24,8 @@
 }
 
 impl ReplayFilter {
-    /// Whether a sequence number of a sender is received for the first time. Returns false for one that is so old that
-    /// this can't be known.
+    /// Whether a sequence number of a sender is received for the first time. Returns false for one that is so
+    /// old that this can't be known.
     pub(crate) fn accept(&mut self, sender: u64, sequence: u64) -> bool {
         self.datagrams += 1;
         if self.senders.len() >= MAX_SENDERS && !self.senders.contains_key(&sender) {
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -72,7 +72,8 @@
             // A member that was declared dead is told so, and can continue as its next incarnation.
             notify_down_members: true,
             periodic_announce: periodically(ANNOUNCE_PERIODS * self.probe_period, 1),
-            // Both sides of a partition that has healed have declared each other dead: one of them has to ask.
+            // Both sides of a partition that has healed have declared each other dead: one of them has to
+            // ask.
             periodic_announce_to_down_members: periodically(
                 ANNOUNCE_TO_DEAD_PERIODS * self.probe_period,
                 ANNOUNCE_TO_DEAD_MEMBERS,
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -56,8 +56,8 @@
     has_left: bool,
 }
 
-/// The seed for the random numbers of one incarnation: another one for each node and each start, even if `seed` is the
-/// same.
+/// The seed for the random numbers of one incarnation: another one for each node and each start, even if
+/// `seed` is the same.
 fn incarnation_seed(id: &Id, seed: u64) -> u64 {
     let with_name =
         id.name.bytes().fold(seed, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3));
@@ -105,8 +105,9 @@
         self.protocol.identity()
     }
 
-    /// Handles a datagram that was received. One that is not valid is counted and dropped. Datagrams that wait must be
-    /// handled before [`Membership::tick`]: a member that was paused would suspect those that have answered meanwhile.
+    /// Handles a datagram that was received. One that is not valid is counted and dropped. Datagrams that
+    /// wait must be handled before [`Membership::tick`]: a member that was paused would suspect those that
+    /// have answered meanwhile.
     pub fn handle_datagram(&mut self, now: Micros, datagram: &[u8]) {
         if self.has_left {
             return;
@@ -178,8 +179,8 @@
         self.carry_out(now, output);
     }
 
-    /// A member that was paused must not blame others for its own delay: its timers are postponed by the time that it
-    /// was paused, and for a while suspects get more time.
+    /// A member that was paused must not blame others for its own delay: its timers are postponed by the time
+    /// that it was paused, and for a while suspects get more time.
     fn handle_pause(&mut self, now: Micros) {
         let probe_period = self.probe_period();
         let delay = now - self.timers.next_due_at().unwrap_or(now);
@@ -191,8 +192,9 @@
         self.local_health.recover(now, probe_period);
     }
 
-    /// Announces this member to a seed that is not known to be alive: often while no other member is known, and now and
-    /// then later. Otherwise members that found each other through different seeds would stay two clusters.
+    /// Announces this member to a seed that is not known to be alive: often while no other member is known,
+    /// and now and then later. Otherwise members that found each other through different seeds would stay two
+    /// clusters.
     fn announce_to_seed(&mut self, now: Micros) {
         if now < self.announce_at {
             return;
@@ -219,8 +221,8 @@
         }
     }
 
-    /// Whether the timer is that of a suspicion that has been refuted. `foca` would keep the suspect alive, but tell it
-    /// all the same that it is dead, and it would take its next incarnation for nothing.
+    /// Whether the timer is that of a suspicion that has been refuted. `foca` would keep the suspect alive,
+    /// but tell it all the same that it is dead, and it would take its next incarnation for nothing.
     fn is_refuted(&self, timer: &Timer<Id>) -> bool {
         let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = timer else { return false };
         let is_still_suspect = self.protocol.iter_membership_state().any(|member| {
@@ -236,8 +238,8 @@
         if starts_probe && self.protocol.num_members() > 0 {
             self.metrics.probes += 1;
         }
-        // A probe that is not answered in time is repeated directly too, beside the indirect ones: with a fifth of the
-        // datagrams lost, one probe in three is not answered though the member is alive.
+        // A probe that is not answered in time is repeated directly too, beside the indirect ones: with a
+        // fifth of the datagrams lost, one probe in three is not answered though the member is alive.
         let is_timeout = matches!(timer, Timer::SendIndirectProbe { .. });
         let repeated_probe = if is_timeout { self.last_probe.take() } else { None };
         self.run_protocol(now, |protocol, output| {
@@ -264,7 +266,8 @@
         self.carry_out(now, output);
     }
 
-    /// The protocol has raised the incarnation by one; raises it further if a stale incarnation is still ahead.
+    /// The protocol has raised the incarnation by one; raises it further if a stale incarnation is still
+    /// ahead.
     fn raise_incarnation(&mut self, now: Micros, output: &mut ProtocolOutput) {
         let jump = self.incarnation_jump.on_declared_dead(now, self.probe_period());
         if jump <= 1 {
--- a/crates/membership/src/state/tests.rs
+++ b/crates/membership/src/state/tests.rs
@@ -30,8 +30,8 @@
     message.truncate(MAX_MESSAGE_BYTES);
 }
 
-/// Two members, of which one receives each message of the other a second time, damaged and signed again. Returns the
-/// metrics of that one.
+/// Two members, of which one receives each message of the other a second time, damaged and signed again.
+/// Returns the metrics of that one.
 fn exchange_damaged_messages(rng: &mut fastrand::Rng, steps: usize) -> Metrics {
     let mut sender = member("a", 1, 2, rng);
     let mut receiver = member("b", 2, 1, rng);
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -86,7 +86,8 @@
         change
     }
 
-    /// Removes the members that died or left at least `forget_after` ago, when the protocol has forgotten them too.
+    /// Removes the members that died or left at least `forget_after` ago, when the protocol has forgotten
+    /// them too.
     pub(crate) fn forget_old(&mut self, now: Micros, forget_after: Micros) {
         self.members
             .retain(|_, member| member.state < MemberState::Dead || now - member.since < forget_after);
--- a/crates/membership/src/timer_queue.rs
+++ b/crates/membership/src/timer_queue.rs
@@ -5,7 +5,8 @@
 use foca::Timer;
 use std::collections::BTreeMap;
 
-/// Timers in the order in which they are due; those due at the same time in the order in which they were started.
+/// Timers in the order in which they are due; those due at the same time in the order in which they were
+/// started.
 #[derive(Default)]
 pub(crate) struct TimerQueue {
     timers: BTreeMap<(Micros, u64), Timer<Id>>,
--- a/crates/membership/src/udp.rs
+++ b/crates/membership/src/udp.rs
@@ -21,8 +21,8 @@
 /// Runs a member that was created at `started_at` with the time 0. Never returns.
 pub async fn run(socket: &Async<UdpSocket>, member: &RefCell<Membership>, started_at: Instant) -> Infallible {
     loop {
-        // Datagrams that wait are handled before timers: after a pause the member must not suspect those that have
-        // answered meanwhile.
+        // Datagrams that wait are handled before timers: after a pause the member must not suspect those that
+        // have answered meanwhile.
         receive(socket, member, started_at);
         let outgoing = member.borrow_mut().tick(time(started_at));
         send(socket, outgoing);
--- a/crates/membership/tests/cases.rs
+++ b/crates/membership/tests/cases.rs
@@ -129,8 +129,8 @@
     }
 }
 
-/// The node's clock was set back by years: its stale incarnation is greater than its own, by far more than single steps
-/// could make up for.
+/// The node's clock was set back by years: its stale incarnation is greater than its own, by far more than
+/// single steps could make up for.
 #[test]
 fn a_restart_with_a_clock_set_back_passes_its_stale_incarnation() {
     for stale_is_dead in [false, true] {
@@ -164,8 +164,8 @@
     assert_eq!(cluster.sum(|metrics| metrics.malformed + metrics.unauthenticated + metrics.replayed), 0);
 }
 
-/// The first member of a cluster has no seeds. It must not be awake all the time: its node would have no time for
-/// requests.
+/// The first member of a cluster has no seeds. It must not be awake all the time: its node would have no time
+/// for requests.
 #[test]
 fn a_member_without_seeds_sleeps_until_a_timer_is_due() {
     let settings = Settings::new(b"a key of the tests alone".to_vec());
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -33,7 +33,8 @@
     Datagram(Vec<u8>),
 }
 
-/// What happens to a member at a time. Events at the same time happen in the order in which they were scheduled.
+/// What happens to a member at a time. Events at the same time happen in the order in which they were
+/// scheduled.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Event {
     at: Micros,
@@ -205,7 +206,8 @@
         member.is_some_and(|member| member.id == *id && member.state == MemberState::Alive)
     }
 
-    /// Runs the cluster until a condition holds, and returns the time; panics if it does not hold by `deadline`.
+    /// Runs the cluster until a condition holds, and returns the time; panics if it does not hold by
+    /// `deadline`.
     pub fn run_until(&mut self, deadline: Micros, condition: impl Fn(&Cluster) -> bool) -> Micros {
         while !condition(self) {
             assert!(self.now < deadline, "not by {} s", deadline / SECOND);
--- a/crates/membership/tests/compatibility.rs
+++ b/crates/membership/tests/compatibility.rs
@@ -1,5 +1,5 @@
-//! Nodes of the previous version and of this one are members of the same cluster during a rolling upgrade: datagrams
-//! recorded from the previous version are understood, and the same inputs give the same bytes.
+//! Nodes of the previous version and of this one are members of the same cluster during a rolling upgrade:
+//! datagrams recorded from the previous version are understood, and the same inputs give the same bytes.
 
 use sorrelhaven_membership::{Id, Member, MemberState, Membership, Micros, OutgoingDatagram, Settings};
 use std::net::SocketAddr;
