--- a/crates/body-store/tests/compatibility.rs
+++ b/crates/body-store/tests/compatibility.rs
@@ -2,11 +2,12 @@
 //! body's file, byte for byte, and the names that a crash leaves in the directory.
 
 use futures_lite::future::block_on;
-use sorrelhaven_body_store::{BodyEnd, BodyStore, Directory, Disk, DiskFile, RequestBody};
+use sorrelhaven_body_store::{BodyEnd, BodyReadError, BodyStore, Directory, Disk, DiskFile, RequestBody};
 use sorrelhaven_config::{BodyFiles, BodyMemory, BodySettings};
 use sorrelhaven_test_support::ScratchDir;
 use std::io;
 use std::rc::Rc;
+use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
 /// A body as a client sent it.
@@ -36,11 +37,12 @@
 struct RecordedDisk {
     recorded: Arc<Vec<u8>>,
     written: Arc<Mutex<Vec<u8>>>,
+    reads: Arc<AtomicUsize>,
 }
 
 impl RecordedDisk {
     fn new(recorded: Vec<u8>) -> RecordedDisk {
-        RecordedDisk { recorded: Arc::new(recorded), written: Arc::default() }
+        RecordedDisk { recorded: Arc::new(recorded), written: Arc::default(), reads: Arc::default() }
     }
 }
 
@@ -63,6 +65,7 @@
     }
 
     fn read_at(&self, bytes: &mut [u8], offset: u64) -> io::Result<()> {
+        self.reads.fetch_add(1, Ordering::Relaxed);
         let from = offset as usize;
         let Some(recorded) = self.recorded.get(from..from + bytes.len()) else {
             return Err(io::ErrorKind::UnexpectedEof.into());
@@ -105,6 +108,18 @@
     block_on(async {
         let body = write_to_file(&store, BODY).await;
         assert_eq!(read_all(&body).await, BODY);
+        assert_eq!(disk.reads.load(Ordering::Relaxed), 1, "the body is read from its file");
+    });
+}
+
+#[test]
+fn a_body_file_that_differs_from_what_was_written_is_corrupt() {
+    let mut damaged = recorded_file();
+    damaged[50] ^= 1;
+    let store = store(&RecordedDisk::new(damaged));
+    block_on(async {
+        let body = write_to_file(&store, BODY).await;
+        assert_eq!(body.reader().next(&mut Vec::new()).await, Err(BodyReadError::Corrupt));
     });
 }
 
