--- a/crates/node/src/check.rs
+++ b/crates/node/src/check.rs
@@ -2,7 +2,7 @@
 
 use crate::body_directory;
 use crate::environment::Environment;
-use sorrelhaven_config::{BodySettings, Config, Unkept};
+use sorrelhaven_config::{BodySettings, Config, NotStoredPolicy};
 use std::fmt::Write;
 use std::process::ExitCode;
 
@@ -31,7 +31,7 @@
 
 /// One line that says what a node with this configuration would do.
 fn summary(config: &Config) -> String {
-    let BodySettings { largest_bytes, memory, files, unkept, .. } = &config.operator.bodies;
+    let BodySettings { largest_bytes, memory, files, not_stored, .. } = &config.operator.bodies;
     let mut line = format!(
         "{} listens on {}; {} classes, {} tenants, {} boxes known; bodies of at most {}",
         config.name,
@@ -52,9 +52,9 @@
         ),
         None => write!(line, ", in no files"),
     };
-    line += match unkept {
-        Unkept::Stream => ", else passed through",
-        Unkept::Refuse => ", else refused",
+    line += match not_stored {
+        NotStoredPolicy::Stream => ", else passed through",
+        NotStoredPolicy::Reject => ", else refused",
     };
     line
 }
