--- a/crates/body-store/tests/directory.rs
+++ b/crates/body-store/tests/directory.rs
@@ -15,7 +15,7 @@
 #[test]
 fn a_directory_that_cannot_be_used_is_told_in_one_line() {
     let scratch = ScratchDir::new("faults");
-    let at = |name: &str| scratch.0.join(name);
+    let at = |name: &str| scratch.path(name);
     assert!(fault(&at("none")).ends_with("there is no such directory"));
     std::fs::write(at("file"), "").expect("a file");
     assert!(fault(&at("file")).ends_with("it is not a directory"));
@@ -31,13 +31,13 @@
 #[test]
 fn a_link_on_the_way_is_taken_only_from_ones_own() {
     let scratch = ScratchDir::new("way");
-    std::fs::create_dir_all(scratch.0.join("real/in")).expect("a directory");
-    symlink(scratch.0.join("real"), scratch.0.join("way")).expect("a link");
-    let path = scratch.0.join("way/in");
+    std::fs::create_dir_all(scratch.path("real/in")).expect("a directory");
+    symlink(scratch.path("real"), scratch.path("way")).expect("a link");
+    let path = scratch.path("way/in");
     assert!(Directory::open(&path, "n0").is_ok());
     // Only root can give a link away; elsewhere that half has nothing to show.
     let root = std::fs::metadata("/proc/self").expect("a process").uid() == 0;
-    if root && std::os::unix::fs::lchown(scratch.0.join("way"), Some(65_534), None).is_ok() {
+    if root && std::os::unix::fs::lchown(scratch.path("way"), Some(65_534), None).is_ok() {
         assert!(fault(&path).ends_with("way is a symbolic link"), "{}", fault(&path));
     }
 }
@@ -49,9 +49,9 @@
     let others = ["sorrelhaven-body.n01.7.0.part", "sorrelhaven-body.n0%2e.7.0.part", "notes.txt"];
     let mine = ["sorrelhaven-body.n0.7.0.part", "sorrelhaven-body.n0.7.1.part"];
     for name in others.iter().chain(&mine) {
-        std::fs::write(scratch.0.join(name), "half a bo").expect("a file");
+        std::fs::write(scratch.path(name), "half a bo").expect("a file");
     }
-    let directory = Directory::open(&scratch.0, "n0").expect("a sound directory");
+    let directory = Directory::open(scratch.root(), "n0").expect("a sound directory");
     assert_eq!(scratch.file_names(".").len(), 5, "to look at it changes nothing");
     assert_eq!((directory.sweep().expect("a listing"), directory.is_full()), (2, false));
     assert_eq!(scratch.file_names("."), ["notes.txt", others[1], others[0]]);
@@ -63,6 +63,6 @@
     assert_eq!(&back, b"body");
     assert!(file.read_at(&mut back, 4).is_err(), "no more than was written");
     assert!(directory.free().expect("a file system") > 0);
-    let other = Directory::open(&scratch.0, "n0.").expect("a sound directory");
+    let other = Directory::open(scratch.root(), "n0.").expect("a sound directory");
     assert_eq!(other.sweep().expect("a listing"), 1);
 }
--- a/crates/node/benches/bodies.rs
+++ b/crates/node/benches/bodies.rs
@@ -25,7 +25,7 @@
 
 fn main() {
     let scratch = ScratchDir::new("bench");
-    std::fs::create_dir(scratch.at("spool")).expect("a directory");
+    std::fs::create_dir(scratch.path("spool")).expect("a directory");
     println!("8 MB bodies, 8 clients, 96 bodies each step");
     println!("{:<28} {:>10}", "step", "MB/s");
     for (step, bounds) in [("memory", [16, 140, 16]), ("file", [1, 32, 16]), ("not kept", [1, 32, 1])] {
@@ -44,7 +44,7 @@
             r#"{{"bodies":{{"largest_bytes":{},"memory":{{"each_bytes":{each},"total_bytes":{total}}},
                 "files":{{"directory":"{}","each_bytes":{file},"total_bytes":2147483648,"leave_free_bytes":0}}}}}}"#,
             16 * MIB,
-            scratch.at("spool").display()
+            scratch.path("spool").display()
         ),
     );
     Program::start(Command::new(env!("CARGO_BIN_EXE_sorrelhaven")), &config, Some(&operator))
@@ -92,7 +92,7 @@
         .map(|_| {
             let begun = Instant::now();
             for i in 0..count {
-                let path = scratch.at(&format!("plain-{i}"));
+                let path = scratch.path(&format!("plain-{i}"));
                 let mut file = File::create(&path).expect("a file");
                 for _ in 0..BODY / block.len() {
                     file.write_all(&block).expect("room");
@@ -116,14 +116,14 @@
         largest_bytes: 16 * MIB as u64,
         memory: BodyMemory { each_bytes: MIB as u64, total_bytes: MEMORY as u64 },
         files: BodyFiles {
-            directory: Some(scratch.at("spool")),
+            directory: Some(scratch.path("spool")),
             each_bytes: 16 * MIB as u64,
             total_bytes: 1 << 31,
             leave_free_bytes: 0,
         },
         ..BodySettings::default()
     };
-    let directory = Directory::open(&scratch.at("spool"), "bench").expect("a directory");
+    let directory = Directory::open(&scratch.path("spool"), "bench").expect("a directory");
     let bodies = BodyStore::new(&settings, 1, Some(Arc::new(directory)), || Some(Box::new(())));
     let executor = async_executor::LocalExecutor::new();
     let begun = Instant::now();
--- a/crates/node/tests/bodies.rs
+++ b/crates/node/tests/bodies.rs
@@ -28,13 +28,13 @@
 impl Site {
     fn new(name: &str, boxes: usize) -> Site {
         let site = Site { scratch: ScratchDir::new(name), boxes: FakeWorkers::new(boxes) };
-        std::fs::create_dir(site.scratch.at("spool")).expect("a directory");
+        std::fs::create_dir(site.scratch.path("spool")).expect("a directory");
         site.scratch.write("node.json", &workers_config(&site.boxes.addresses));
         site
     }
 
     fn operator(&self, [each, total, file, files]: Bounds, largest: usize, unkept: &str) {
-        let spool = self.scratch.at("spool").display().to_string();
+        let spool = self.scratch.path("spool").display().to_string();
         self.scratch.write(
             "operator.json",
             &format!(
@@ -51,7 +51,7 @@
     }
 
     fn begin(&self, command: Command) -> Program {
-        Program::start(command, &self.scratch.at("node.json"), Some(&self.scratch.at("operator.json")))
+        Program::start(command, &self.scratch.path("node.json"), Some(&self.scratch.path("operator.json")))
     }
 }
 
@@ -344,7 +344,7 @@
     site.operator(BOUNDS, MIB, "refuse");
     site.scratch.write(
         "operator.json",
-        &std::fs::read_to_string(site.scratch.at("operator.json"))
+        &std::fs::read_to_string(site.scratch.path("operator.json"))
             .expect("a file")
             .replace("\"largest_bytes\":1048576", "\"largest_bytes\":262144")
             .replace("\"total_bytes\":67108864", "\"total_bytes\":262144"),
@@ -564,16 +564,16 @@
 fn a_directory_that_cannot_be_used_is_named_by_its_key() {
     let _alone = alone();
     let site = Site::new("directory", 1);
-    std::fs::create_dir(site.scratch.at("real")).expect("a directory");
-    std::os::unix::fs::symlink(site.scratch.at("real"), site.scratch.at("link")).expect("a link");
+    std::fs::create_dir(site.scratch.path("real")).expect("a directory");
+    std::os::unix::fs::symlink(site.scratch.path("real"), site.scratch.path("link")).expect("a link");
     site.operator(BOUNDS, MIB, "stream");
-    let node_file = site.scratch.at("node.json");
-    let good = std::fs::read_to_string(site.scratch.at("operator.json")).expect("a file");
-    let spool = site.scratch.at("spool").display().to_string();
+    let node_file = site.scratch.path("node.json");
+    let good = std::fs::read_to_string(site.scratch.path("operator.json")).expect("a file");
+    let spool = site.scratch.path("spool").display().to_string();
     let mut running = site.start();
     for (directory, what) in [
-        (site.scratch.at("none").display().to_string(), "there is no such directory"),
-        (site.scratch.at("link").display().to_string(), "is a symbolic link"),
+        (site.scratch.path("none").display().to_string(), "there is no such directory"),
+        (site.scratch.path("link").display().to_string(), "is a symbolic link"),
         (node_file.display().to_string(), "it is not a directory"),
         ("/proc".to_string(), "/proc: it can't be"),
     ] {
--- a/crates/node/tests/crash.rs
+++ b/crates/node/tests/crash.rs
@@ -4,7 +4,7 @@
 //! `SORRELHAVEN_KILLS` sets how often it is killed (12 where it is not set); the points come from a fixed seed.
 
 use sorrelhaven_test_support::{
-    AT_MOST_ONCE_CLASS, Checker, FakeWorkers, Program, ScratchDir, TestRequest, workers_config,
+    AT_MOST_ONCE_CLASS, Checker, CheckerTotals, FakeWorkers, Program, ScratchDir, TestRequest, workers_config,
 };
 use std::process::Command;
 use std::sync::Arc;
@@ -25,14 +25,14 @@
     let kills = std::env::var("SORRELHAVEN_KILLS").ok().and_then(|k| k.parse().ok()).unwrap_or(KILLS);
     let scratch = ScratchDir::new("crash");
     let boxes = FakeWorkers::new(4);
-    std::fs::create_dir(scratch.at("spool")).expect("a directory");
+    std::fs::create_dir(scratch.path("spool")).expect("a directory");
     let config = scratch.write("node.json", &workers_config(&boxes.addresses));
     let operator = scratch.write(
         "operator.json",
         &format!(
             r#"{{"bodies":{{"largest_bytes":1048576,"memory":{{"each_bytes":16384,"total_bytes":1048576}},
                 "files":{{"directory":"{}","each_bytes":524288,"leave_free_bytes":0}}}}}}"#,
-            scratch.at("spool").display()
+            scratch.path("spool").display()
         ),
     );
     // Another node's, which must live through all of it.
@@ -81,7 +81,7 @@
     }
     let runs = boxes.executed_requests();
     assert_eq!(checker.violations(&runs), [""; 0]);
-    let (sent, served) = checker.totals();
+    let CheckerTotals { requested: sent, served } = checker.totals();
     assert!(served as u64 > kills && runs.len() >= served);
     println!(
         "{kills} kills: {sent} payments sent, {} run, {} served, none twice; {left} names left by kills, {swept} swept",
--- a/crates/node/tests/members.rs
+++ b/crates/node/tests/members.rs
@@ -40,7 +40,7 @@
             address(n),
             address(0),
             address(1),
-            self.scratch.at("key").display()
+            self.scratch.path("key").display()
         );
         let platform = format!(
             r#"{{"name":"n{n}","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"{n}","known":{{"hosts":[]}},
@@ -158,10 +158,10 @@
     let ms = Duration::from_millis;
     group.between.set_all_faults(DatagramFaults {
         loss: 0.05,
-        twice: 0.1,
+        duplication: 0.1,
         delay: ms(2),
         jitter: ms(20),
-        cut: false,
+        blocked: false,
     });
     let healed = group.until("all know all", |g| (0..COUNT).all(|n| g.holds(n) == ["alive"; COUNT]));
     println!("one again after {healed:?}");
@@ -184,14 +184,14 @@
 fn losses_and_a_cut_in_one_direction_kill_no_one() {
     let group = Group::new("losses", 5);
     let lossy = |loss| DatagramFaults { loss, ..DatagramFaults::default() };
-    let cut = DatagramFaults { cut: true, ..DatagramFaults::default() };
+    let cut = DatagramFaults { blocked: true, ..DatagramFaults::default() };
     let still = |g: &Group| (0..COUNT).map(|n| g.node(n).metric("node_member_probes")).sum::<u64>();
     for stage in 0..3 {
         group.between.set_all_faults(DatagramFaults::default());
         match stage {
             0 => group.between.set_all_faults(lossy(0.2)),
-            1 => (0..COUNT).for_each(|to| group.between.set(2, to, lossy(0.4))),
-            _ => group.between.set(0, 1, cut),
+            1 => (0..COUNT).for_each(|to| group.between.set_faults(2, to, lossy(0.4))),
+            _ => group.between.set_faults(0, 1, cut),
         }
         // Each probes ten others and more.
         let from = still(&group);
--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -36,7 +36,7 @@
         let mut command = Command::new("sh");
         command.args(["-c", "exec \"$0\" 5<&0 0</dev/null", env!("CARGO_BIN_EXE_sorrelhaven")]);
         command.stdin(Stdio::from(OwnedFd::from(self.listener.try_clone().expect("a descriptor"))));
-        command.env("RELAY_FD", "5").env("RELAY_OPS", "127.0.0.1:0").env("TMPDIR", &self.scratch.0);
+        command.env("RELAY_FD", "5").env("RELAY_OPS", "127.0.0.1:0").env("TMPDIR", self.scratch.root());
         command
     }
 
@@ -120,8 +120,8 @@
         self.stop.store(true, Ordering::Relaxed);
         let again = self.clients.into_iter().map(|c| c.join().expect("a client")).sum();
         assert_eq!(self.checker.violations(&boxes.executed_requests()), [""; 0]);
-        let (asked, served) = self.checker.totals();
-        (asked, served, again)
+        let totals = self.checker.totals();
+        (totals.requested, totals.served, again)
     }
 }
 
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -128,7 +128,7 @@
         };
         let mut command = Command::new(self.program);
         shim.preload(&mut command, &self.scratch);
-        command.env("FAULT_COUNTS", self.scratch.at(&format!("faults-{number}")));
+        command.env("FAULT_COUNTS", self.scratch.path(&format!("faults-{number}")));
         command.env("RUST_LOG", "error,sorrelhaven=info");
         let config = self.scratch.write(&format!("node-{node}.json"), &self.configs[node]);
         let program = Program::start(command, &config, None);
@@ -248,7 +248,9 @@
     verdict.faults.extend((0..crashed).map(|_| "a node did not end cleanly".to_string()));
     verdict.faults.extend(shared.checker.violations(&executors.executed_requests()));
     verdict.faults.append(&mut shared.lost.lock().unwrap_or_else(PoisonError::into_inner));
-    (verdict.asked, verdict.served) = shared.checker.totals();
+    let totals = shared.checker.totals();
+    verdict.asked = totals.requested;
+    verdict.served = totals.served;
     verdict.injected_faults = injected_faults(&fleet.scratch);
     verdict
 }
@@ -256,7 +258,7 @@
 /// All faults that the shim injected into processes that ended by themselves.
 fn injected_faults(scratch: &ScratchDir) -> u64 {
     let names = scratch.file_names(".").into_iter().filter(|name| name.starts_with("faults-"));
-    let counts = names.map(|name| std::fs::read_to_string(scratch.at(&name)).unwrap_or_default());
+    let counts = names.map(|name| std::fs::read_to_string(scratch.path(&name)).unwrap_or_default());
     let of = |text: String| -> u64 {
         text.lines().filter_map(|l| l.rsplit(' ').next()?.parse::<u64>().ok()).sum()
     };
--- a/crates/test-support/src/checker.rs
+++ b/crates/test-support/src/checker.rs
@@ -1,102 +1,137 @@
-//! The checker: what clients asked and heard, held against what the boxes ran.
+//! Compares what clients sent and received with what workers executed.
 
 use crate::client::TestRequest;
 use crate::fake_workers::{ExecutedRequest, checksum};
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// A class whose jobs must not run twice.
+/// The class, in the files of [`workers_config`](crate::workers_config), whose jobs must not run twice.
 pub const AT_MOST_ONCE_CLASS: &str = "fee-charge";
 
+/// A request as its client sees it.
 #[derive(Debug)]
-struct Asked {
-    once: bool,
-    length: usize,
-    sum: u64,
-    answers: Vec<u16>,
+struct ClientRecord {
+    at_most_once: bool,
+    body_length: usize,
+    body_checksum: u64,
+    /// The status of each answer that its client received.
+    statuses: Vec<u16>,
 }
 
-/// What clients asked and heard, from any number of threads.
+/// How many requests clients have made.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct CheckerTotals {
+    /// Requests that were sent.
+    pub requested: usize,
+    /// Requests that were answered with 200.
+    pub served: usize,
+}
+
+/// Records what clients send and receive, from any number of threads, and finds violations of the delivery rules.
 #[derive(Default)]
-pub struct Checker(Mutex<BTreeMap<String, Asked>>);
+pub struct Checker {
+    /// By request id.
+    records: Mutex<BTreeMap<String, ClientRecord>>,
+}
 
 impl Checker {
-    fn asked_so_far(&self) -> MutexGuard<'_, BTreeMap<String, Asked>> {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    fn records(&self) -> MutexGuard<'_, BTreeMap<String, ClientRecord>> {
+        self.records.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A client asks this; to be told before the first byte is sent.
-    pub fn record_request(&self, ask: &TestRequest) {
-        let (once, length, sum) = (ask.class == AT_MOST_ONCE_CLASS, ask.body.len(), checksum(&ask.body));
-        self.asked_so_far().insert(ask.id.clone(), Asked { once, length, sum, answers: Vec::new() });
+    /// Records a request; to be called before its first byte is sent.
+    pub fn record_request(&self, request: &TestRequest) {
+        let record = ClientRecord {
+            at_most_once: request.class == AT_MOST_ONCE_CLASS,
+            body_length: request.body.len(),
+            body_checksum: checksum(&request.body),
+            statuses: Vec::new(),
+        };
+        self.records().insert(request.id.clone(), record);
     }
 
-    /// A client has heard this status for that id.
+    /// Records that a client has received this status for the request with this id.
     pub fn record_response(&self, id: &str, status: u16) {
-        if let Some(asked) = self.asked_so_far().get_mut(id) {
-            asked.answers.push(status);
+        if let Some(record) = self.records().get_mut(id) {
+            record.statuses.push(status);
+        }
+    }
+
+    /// The requests recorded so far.
+    pub fn totals(&self) -> CheckerTotals {
+        let records = self.records();
+        let served = records.values().filter(|record| record.statuses.contains(&200)).count();
+        CheckerTotals { requested: records.len(), served }
+    }
+
+    /// Each violation of a delivery rule, a line each: a run without a request, or with another body; an at-most-once
+    /// job that ran twice, or ran and was rejected; a request with two answers, or served without a run.
+    pub fn violations(&self, executed: &[ExecutedRequest]) -> Vec<String> {
+        let records = self.records();
+        let mut violations = Vec::new();
+        let mut runs_by_id: BTreeMap<&str, usize> = BTreeMap::new();
+        for run in executed {
+            *runs_by_id.entry(&run.id).or_default() += 1;
+            violations.extend(run_violation(run, records.get(&run.id)));
         }
+        for (id, record) in records.iter() {
+            let runs = runs_by_id.get(id.as_str()).copied().unwrap_or(0);
+            record.add_violations(id, runs, &mut violations);
+        }
+        violations
     }
+}
 
-    /// Requests asked, and those answered with 200.
-    pub fn totals(&self) -> (usize, usize) {
-        let asked = self.asked_so_far();
-        (asked.len(), asked.values().filter(|a| a.answers.contains(&200)).count())
+/// The rule that a single run violates, if any; `record` is that of its request.
+fn run_violation(run: &ExecutedRequest, record: Option<&ClientRecord>) -> Option<String> {
+    let Some(record) = record else {
+        return Some(format!("{} ran without a request", run.id));
+    };
+    if (record.body_length, record.body_checksum) != (run.body_length, run.body_checksum) {
+        return Some(format!("{} ran with another body, {} bytes", run.id, run.body_length));
     }
+    None
+}
 
-    /// Each broken rule, a line each: a run of what no one asked, or of half a body; a payment that ran twice, or ran
-    /// and was refused; a request with two answers, or served and not run.
-    pub fn violations(&self, runs: &[ExecutedRequest]) -> Vec<String> {
-        let asked = self.asked_so_far();
-        let mut faults = Vec::new();
-        let mut count: BTreeMap<&str, usize> = BTreeMap::new();
-        for run in runs {
-            *count.entry(&run.id).or_default() += 1;
-            match asked.get(&run.id) {
-                None => faults.push(format!("{} ran and no one asked", run.id)),
-                Some(a) if (a.length, a.sum) != (run.body_length, run.body_checksum) => {
-                    faults.push(format!("{} ran with another body, {} bytes", run.id, run.body_length));
-                }
-                Some(_) => {}
-            }
+impl ClientRecord {
+    /// Adds the rules that a request violates which workers ran `runs` times.
+    fn add_violations(&self, id: &str, runs: usize, violations: &mut Vec<String>) {
+        if self.at_most_once && runs > 1 {
+            violations.push(format!("{id} must not run twice and ran {runs} times"));
+        }
+        if self.statuses.len() > 1 {
+            violations.push(format!("{id} has {} answers", self.statuses.len()));
+        }
+        if self.statuses.contains(&200) && runs == 0 {
+            violations.push(format!("{id} was served and did not run"));
         }
-        for (id, a) in asked.iter() {
-            let runs = count.get(id.as_str()).copied().unwrap_or(0);
-            if a.once && runs > 1 {
-                faults.push(format!("{id} must not run twice and ran {runs} times"));
-            }
-            if a.answers.len() > 1 {
-                faults.push(format!("{id} has {} answers", a.answers.len()));
-            }
-            if a.answers.contains(&200) && runs == 0 {
-                faults.push(format!("{id} was served and did not run"));
-            }
-            if a.once && runs > 0 && a.answers.iter().any(|s| matches!(s, 429 | 503)) {
-                faults.push(format!("{id} was refused and ran"));
-            }
+        let was_rejected = self.statuses.iter().any(|status| matches!(status, 429 | 503));
+        if self.at_most_once && runs > 0 && was_rejected {
+            violations.push(format!("{id} was rejected and ran"));
         }
-        faults
     }
 }
 
 #[cfg(test)]
 mod tests {
-    use super::*;
+    use super::{AT_MOST_ONCE_CLASS, Checker};
+    use crate::client::TestRequest;
+    use crate::fake_workers::{ExecutedRequest, checksum};
 
     /// A checker that finds nothing proves nothing: each rule, broken once.
     #[test]
-    fn every_broken_rule_is_found() {
+    fn every_violated_rule_is_found() {
         let run = |id: &str, body: &[u8]| ExecutedRequest {
             id: id.into(),
             worker: 0,
             body_length: body.len(),
             body_checksum: checksum(body),
         };
-        let case = |answers: &[u16], runs: &[ExecutedRequest]| {
+        let case = |statuses: &[u16], executed: &[ExecutedRequest]| {
             let checker = Checker::default();
             checker.record_request(&TestRequest::new("q", AT_MOST_ONCE_CLASS, b"body".to_vec()));
-            answers.iter().for_each(|s| checker.record_response("q", *s));
-            checker.violations(runs)
+            statuses.iter().for_each(|status| checker.record_response("q", *status));
+            checker.violations(executed)
         };
         let ran = run("q", b"body");
         assert_eq!(case(&[200], std::slice::from_ref(&ran)), [""; 0]);
@@ -105,8 +140,8 @@
         assert_eq!(case(&[200], &[ran.clone(), ran.clone()]), ["q must not run twice and ran 2 times"]);
         assert_eq!(case(&[200], &[run("q", b"bo")]), ["q ran with another body, 2 bytes"]);
         assert_eq!(case(&[200], &[]), ["q was served and did not run"]);
-        assert_eq!(case(&[503], std::slice::from_ref(&ran)), ["q was refused and ran"]);
+        assert_eq!(case(&[503], std::slice::from_ref(&ran)), ["q was rejected and ran"]);
         assert_eq!(case(&[502, 502], &[]), ["q has 2 answers"]);
-        assert_eq!(case(&[], &[run("r", b"body")]), ["r ran and no one asked"]);
+        assert_eq!(case(&[], &[run("r", b"body")]), ["r ran without a request"]);
     }
 }
--- a/crates/test-support/src/chunked.rs
+++ b/crates/test-support/src/chunked.rs
@@ -1,29 +1,36 @@
-//! Answers that go on for as long as whoever gives them likes: an agent's of discovery, an executor's.
+//! Chunked HTTP/1.1 responses of open length, as discovery and workers send them.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-/// The head of such an answer.
+/// The head of a successful chunked response.
 pub const CHUNKED_RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Reads one request and gives its target.
+/// Reads the head of one request and returns its target.
+///
+/// # Panics
+/// If the connection fails or ends within the head, or the head is not a request.
 pub fn read_request_target(stream: &mut TcpStream) -> String {
-    let mut got = Vec::new();
-    while !got.ends_with(b"\r\n\r\n") {
+    let mut head = Vec::new();
+    while !head.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
-        assert_eq!(stream.read(&mut byte).expect("a request"), 1, "the node asks");
-        got.push(byte[0]);
+        let length = stream.read(&mut byte).expect("the node sends a request");
+        assert_eq!(length, 1, "the node ended the connection within a request head");
+        head.push(byte[0]);
     }
-    let text = String::from_utf8(got).expect("text");
-    text.split(' ').nth(1).expect("a target").to_string()
+    let text = String::from_utf8(head).expect("a request head is text");
+    text.split(' ').nth(1).expect("a request line has a target").to_string()
 }
 
-/// A piece of an open answer.
+/// `text` as one chunk of a chunked body.
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// Says something in an open answer.
+/// Sends `text` as one chunk of a response that stays open.
+///
+/// # Panics
+/// If the connection fails.
 pub fn send_chunk(stream: &mut TcpStream, text: &str) {
-    stream.write_all(chunk(text).as_bytes()).expect("the node reads");
+    stream.write_all(chunk(text).as_bytes()).expect("the node reads the response");
 }
--- a/crates/test-support/src/fake_disk.rs
+++ b/crates/test-support/src/fake_disk.rs
@@ -1,64 +1,77 @@
-//! A disk that fills up, fails, hangs or forgets what was written.
+//! A disk in memory that fills up, fails, hangs or loses what was written.
 
 use sorrelhaven_body_store::{Disk, DiskFile};
 use std::io;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 
+/// Linux error numbers, which `io::Error` takes as they are.
+const EIO: i32 = 5;
+const ENOSPC: i32 = 28;
+
 /// How a [`FakeDisk`] behaves.
 #[derive(Clone, Debug, Default)]
 pub struct DiskFaults {
-    /// The bytes that fit on it; a write that crosses them is cut there, as a real one may be.
+    /// Its size in bytes; a write beyond it is cut short there, as a real disk may do.
     pub capacity: u64,
     /// Every write fails with EIO.
     pub writes_fail: bool,
     /// Every read fails with EIO.
     pub reads_fail: bool,
-    /// Every write waits until this is taken back.
+    /// Every write blocks until this is unset.
     pub hangs: bool,
-    /// Writes from this many on are forgotten in silence: what is read back is zeros.
+    /// Writes after this many report success and are lost: zeros are read back.
     pub forgets_after: Option<u64>,
 }
 
 #[derive(Default)]
-struct State {
-    conduct: DiskFaults,
-    used: u64,
+struct DiskState {
+    faults: DiskFaults,
+    used_bytes: u64,
     writes: u64,
     files: usize,
 }
 
+struct Shared {
+    state: Mutex<DiskState>,
+    /// Signals that the faults have changed.
+    faults_changed: Condvar,
+}
+
 /// A disk in memory; clones are the same disk.
 #[derive(Clone)]
-pub struct FakeDisk(Arc<(Mutex<State>, Condvar)>);
+pub struct FakeDisk {
+    shared: Arc<Shared>,
+}
 
 impl FakeDisk {
-    /// A sound disk of so many bytes.
+    /// A disk of `capacity` bytes that works.
     pub fn new(capacity: u64) -> FakeDisk {
-        let conduct = DiskFaults { capacity, ..DiskFaults::default() };
-        FakeDisk(Arc::new((Mutex::new(State { conduct, ..State::default() }), Condvar::new())))
+        let faults = DiskFaults { capacity, ..DiskFaults::default() };
+        let state = Mutex::new(DiskState { faults, ..DiskState::default() });
+        FakeDisk { shared: Arc::new(Shared { state, faults_changed: Condvar::new() }) }
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
-        self.0.0.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, DiskState> {
+        self.shared.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes how it behaves from now on; calls that hang look again.
+    /// Changes how the disk behaves from now on; writes that hang go on if they no longer have to.
     pub fn set(&self, change: impl FnOnce(&mut DiskFaults)) {
-        change(&mut self.state().conduct);
-        self.0.1.notify_all();
+        change(&mut self.state().faults);
+        self.shared.faults_changed.notify_all();
     }
 
-    /// The bytes that files hold.
+    /// The bytes that its files hold.
     pub fn used(&self) -> u64 {
-        self.state().used
+        self.state().used_bytes
     }
 
-    /// The files that there are.
+    /// The number of its files.
     pub fn files(&self) -> usize {
         self.state().files
     }
 
-    /// The writes that were asked for.
+    /// The number of writes that were begun.
     pub fn writes(&self) -> u64 {
         self.state().writes
     }
@@ -67,69 +80,76 @@
 impl Disk for FakeDisk {
     fn create(&self) -> io::Result<Box<dyn DiskFile>> {
         self.state().files += 1;
-        Ok(Box::new(StandInFile { disk: self.clone(), bytes: Mutex::default() }))
+        Ok(Box::new(FakeFile { disk: self.clone(), content: Mutex::default() }))
     }
 
     fn free(&self) -> io::Result<u64> {
         let state = self.state();
-        Ok(state.conduct.capacity.saturating_sub(state.used))
+        Ok(state.faults.capacity.saturating_sub(state.used_bytes))
     }
 }
 
-struct StandInFile {
+/// A file of a [`FakeDisk`]; dropping it frees its space.
+struct FakeFile {
     disk: FakeDisk,
-    bytes: Mutex<Vec<u8>>,
+    content: Mutex<Vec<u8>>,
 }
 
-fn eio() -> io::Error {
-    io::Error::from_raw_os_error(5)
-}
+impl FakeFile {
+    fn content(&self) -> MutexGuard<'_, Vec<u8>> {
+        self.content.lock().unwrap_or_else(PoisonError::into_inner)
+    }
 
-impl DiskFile for StandInFile {
-    fn write_at(&self, bytes: &[u8], offset: u64) -> io::Result<()> {
+    /// Counts a write and waits while the disk hangs; returns the disk's state and the number of the write.
+    fn begin_write(&self) -> (MutexGuard<'_, DiskState>, u64) {
         let mut state = self.disk.state();
         state.writes += 1;
-        let number = state.writes;
-        while state.conduct.hangs {
-            state = self.disk.0.1.wait(state).unwrap_or_else(PoisonError::into_inner);
-        }
-        if state.conduct.writes_fail {
-            return Err(eio());
+        let write_number = state.writes;
+        let changed = &self.disk.shared.faults_changed;
+        let state = changed.wait_while(state, |state| state.faults.hangs);
+        (state.unwrap_or_else(PoisonError::into_inner), write_number)
+    }
+}
+
+impl DiskFile for FakeFile {
+    fn write_at(&self, bytes: &[u8], offset: u64) -> io::Result<()> {
+        let (mut state, write_number) = self.begin_write();
+        if state.faults.writes_fail {
+            return Err(io::Error::from_raw_os_error(EIO));
         }
-        let mut file = self.bytes.lock().unwrap_or_else(PoisonError::into_inner);
-        let end = offset as usize + bytes.len();
-        let grown = end.saturating_sub(file.len()) as u64;
-        let room = state.conduct.capacity.saturating_sub(state.used).min(grown);
-        state.used += room;
-        let fits = bytes.len() - (grown - room) as usize;
-        let end = offset as usize + fits;
-        if file.len() < end {
-            file.resize(end, 0);
+        let mut content = self.content();
+        let start = offset as usize;
+        let growth = (start + bytes.len()).saturating_sub(content.len()) as u64;
+        let granted = state.faults.capacity.saturating_sub(state.used_bytes).min(growth);
+        state.used_bytes += granted;
+        let fitting = bytes.len() - (growth - granted) as usize;
+        let end = start + fitting;
+        if content.len() < end {
+            content.resize(end, 0);
         }
-        if state.conduct.forgets_after.is_none_or(|after| number <= after) {
-            file[offset as usize..end].copy_from_slice(&bytes[..fits]);
+        if state.faults.forgets_after.is_none_or(|after| write_number <= after) {
+            content[start..end].copy_from_slice(&bytes[..fitting]);
         }
-        // 28 is ENOSPC on every system that this repository is built for.
-        if room < grown { Err(io::Error::from_raw_os_error(28)) } else { Ok(()) }
+        if granted < growth { Err(io::Error::from_raw_os_error(ENOSPC)) } else { Ok(()) }
     }
 
     fn read_at(&self, bytes: &mut [u8], offset: u64) -> io::Result<()> {
-        if self.disk.state().conduct.reads_fail {
-            return Err(eio());
+        if self.disk.state().faults.reads_fail {
+            return Err(io::Error::from_raw_os_error(EIO));
         }
-        let file = self.bytes.lock().unwrap_or_else(PoisonError::into_inner);
-        let from = offset as usize;
-        let found = file.get(from..from + bytes.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
+        let content = self.content();
+        let start = offset as usize;
+        let found = content.get(start..start + bytes.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
         bytes.copy_from_slice(found);
         Ok(())
     }
 }
 
-impl Drop for StandInFile {
+impl Drop for FakeFile {
     fn drop(&mut self) {
-        let held = self.bytes.get_mut().unwrap_or_else(PoisonError::into_inner).len() as u64;
+        let length = self.content().len() as u64;
         let mut state = self.disk.state();
-        state.used -= held;
+        state.used_bytes -= length;
         state.files -= 1;
     }
 }
--- a/crates/test-support/src/fake_workers.rs
+++ b/crates/test-support/src/fake_workers.rs
@@ -1,353 +1,172 @@
-//! Issuing boxes that follow a script, and log what they ran.
+//! Fake workers, the executors of the platform's protocol: they follow a script and record what they ran.
 
-use crate::chunked::{CHUNKED_RESPONSE_HEAD, chunk};
+mod behavior;
+mod connection;
+mod request_head;
+
+pub use behavior::WorkerBehavior;
+
+use connection::WorkerConnection;
 use std::collections::{HashMap, VecDeque};
-use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::Duration;
 
-/// What a box does with one request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WorkerBehavior {
-    /// Runs it and gives its result, the length and checksum of the body.
-    Done,
-    /// Runs it for this many milliseconds, then as `Done`.
-    DoneAfterMillis(u64),
-    /// Runs it, says that it has started, and ends it as `Done` once [`FakeWorkers::release`] is called.
-    PausedUntilReleased,
-    /// Runs it, and says that it failed.
-    Failed,
-    /// Answers 503 with `Not-Started: 1`, unrun.
-    Rejected,
-    /// Runs it, and says that it was killed.
-    Killed,
-    /// Answers 503 with `Not-Started: 1` from the head alone, and ends the connection with the body unread.
-    RejectedBeforeBody,
-    /// Answers 400.
-    InvalidRequest,
-    /// Runs it, says that it has started, and ends its answer.
-    Truncated,
-    /// Runs it, and answers with what is no job line.
-    Malformed,
-    /// Runs it, and answers for another request.
-    WrongRequestId,
-    /// Runs it, and answers with a line that has no end.
-    ResponseTooLarge,
-    /// Reads the head and no more, for as long as the other side waits.
-    StopsReading,
-    /// Resets the connection in the middle of the body.
-    ResetDuringBody,
-    /// Runs it, and resets the connection without a word.
-    ResetAfterBody,
-    /// Runs it, and says nothing for as long as the other side waits.
-    Silent,
-    /// Runs it, says nothing for this many milliseconds, and resets the connection.
-    SilentThenReset(u64),
-}
-
-/// A request that a box had whole, and so ran unless it turned it away.
+/// A request whose body a worker received in full, and which it ran, unless it rejected it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExecutedRequest {
     /// The request's id.
     pub id: String,
-    /// The box's number.
+    /// The number of the worker.
     pub worker: usize,
-    /// The length of the body.
+    /// The length of the body in bytes.
     pub body_length: usize,
     /// The checksum of the body, by [`checksum`].
     pub body_checksum: u64,
 }
 
 #[derive(Default)]
-struct Shared {
+struct State {
+    /// The next requests' behaviours, whichever worker they come to.
     script: VecDeque<WorkerBehavior>,
-    usual: Option<WorkerBehavior>,
-    usual_at: HashMap<usize, WorkerBehavior>,
-    runs: Vec<ExecutedRequest>,
-    begun: usize,
-    broken: usize,
+    /// What all workers do beyond the script.
+    default_behavior: Option<WorkerBehavior>,
+    /// What single workers do beyond the script, by number.
+    worker_behaviors: HashMap<usize, WorkerBehavior>,
+    executed: Vec<ExecutedRequest>,
+    received_requests: usize,
+    incomplete_requests: usize,
     released: bool,
 }
 
-/// FakeWorkers that share one script and one log. They serve for as long as the process.
+/// Workers, numbered from 0, that share one script and one record. They serve until the process ends; clones are the
+/// same workers.
 #[derive(Clone)]
 pub struct FakeWorkers {
-    shared: Arc<Mutex<Shared>>,
+    state: Arc<Mutex<State>>,
     release: Arc<Condvar>,
-    /// Where they listen.
+    /// The address of each worker, by number.
     pub addresses: Vec<SocketAddr>,
 }
 
-/// A checksum of bytes: FNV-1a.
-pub fn checksum(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |h, &b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
-}
-
-/// Bytes that differ from place to place and from seed to seed.
-pub fn sample_bytes(length: usize, seed: u64) -> Vec<u8> {
-    let mut x = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
-    let mut next = || {
-        x ^= x << 13;
-        x ^= x >> 7;
-        x ^= x << 17;
-        x as u8
-    };
-    (0..length).map(|_| next()).collect()
-}
-
 impl FakeWorkers {
-    /// So many boxes on loopback.
+    /// Starts `count` workers on loopback.
+    ///
+    /// # Panics
+    /// If a listener can't be opened.
     pub fn new(count: usize) -> FakeWorkers {
         let listeners: Vec<TcpListener> =
-            (0..count).map(|_| TcpListener::bind("127.0.0.1:0").expect("a port")).collect();
-        let addresses = listeners.iter().map(|l| l.local_addr().expect("its address")).collect();
-        let boxes = FakeWorkers { shared: Arc::default(), release: Arc::default(), addresses };
-        for (at, listener) in listeners.into_iter().enumerate() {
-            let boxes = boxes.clone();
-            thread::spawn(move || {
-                for stream in listener.incoming().flatten() {
-                    let boxes = boxes.clone();
-                    thread::spawn(move || boxes.serve(stream, at));
-                }
-            });
+            (0..count).map(|_| TcpListener::bind("127.0.0.1:0").expect("a port is free")).collect();
+        let addresses = listeners
+            .iter()
+            .map(|listener| listener.local_addr().expect("the listener has an address"))
+            .collect();
+        let workers = FakeWorkers { state: Arc::default(), release: Arc::default(), addresses };
+        for (worker, listener) in listeners.into_iter().enumerate() {
+            let workers = workers.clone();
+            thread::spawn(move || workers.accept_connections(worker, &listener));
         }
-        boxes
+        workers
     }
 
-    fn shared(&self) -> MutexGuard<'_, Shared> {
-        self.shared.lock().unwrap_or_else(PoisonError::into_inner)
+    fn accept_connections(&self, worker: usize, listener: &TcpListener) {
+        for stream in listener.incoming().flatten() {
+            let workers = self.clone();
+            thread::spawn(move || WorkerConnection { workers: &workers, worker, stream }.serve());
+        }
+    }
+
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What is done with the next requests, whichever box they come to; then [`WorkerBehavior::Done`].
-    pub fn script(&self, acts: &[WorkerBehavior]) {
-        self.shared().script = acts.iter().copied().collect();
+    /// Sets what is done with the next requests, one behaviour for each head that arrives at any worker.
+    pub fn script(&self, behaviors: &[WorkerBehavior]) {
+        self.state().script = behaviors.iter().copied().collect();
     }
 
-    /// What is done with the requests beyond the script, instead of [`WorkerBehavior::Done`].
-    pub fn set_default_behavior(&self, act: WorkerBehavior) {
-        self.shared().usual = Some(act);
+    /// Sets what is done with requests beyond the script, in place of [`WorkerBehavior::Done`].
+    pub fn set_default_behavior(&self, behavior: WorkerBehavior) {
+        self.state().default_behavior = Some(behavior);
     }
 
-    /// What one box does with the requests beyond the script, from now on; `None`: what all do.
-    pub fn set_worker_behavior(&self, at: usize, act: Option<WorkerBehavior>) {
-        let mut shared = self.shared();
-        match act {
-            Some(act) => shared.usual_at.insert(at, act),
-            None => shared.usual_at.remove(&at),
+    /// Sets what one worker does with requests beyond the script; with `None` it does what all do.
+    pub fn set_worker_behavior(&self, worker: usize, behavior: Option<WorkerBehavior>) {
+        let mut state = self.state();
+        match behavior {
+            Some(behavior) => state.worker_behaviors.insert(worker, behavior),
+            None => state.worker_behaviors.remove(&worker),
         };
     }
 
-    /// Lets what is [`WorkerBehavior::PausedUntilReleased`] end, now and from now on.
+    /// Counts a request that has come to `worker` and takes its behaviour from the script.
+    fn next_behavior(&self, worker: usize) -> WorkerBehavior {
+        let mut state = self.state();
+        state.received_requests += 1;
+        let of_worker = state.worker_behaviors.get(&worker).copied();
+        let unscripted = of_worker.or(state.default_behavior).unwrap_or(WorkerBehavior::Done);
+        state.script.pop_front().unwrap_or(unscripted)
+    }
+
+    /// Lets [`WorkerBehavior::PausedUntilReleased`] end, for the requests that wait and for all that follow.
     pub fn release(&self) {
-        self.shared().released = true;
+        self.state().released = true;
         self.release.notify_all();
     }
 
-    /// Returns once [`FakeWorkers::release`] was called.
-    fn held(&self) {
-        let shared = self.release.wait_while(self.shared(), |s| !s.released);
-        drop(shared.unwrap_or_else(PoisonError::into_inner));
+    fn wait_for_release(&self) {
+        let released = self.release.wait_while(self.state(), |state| !state.released);
+        drop(released.unwrap_or_else(PoisonError::into_inner));
     }
 
-    /// What they ran so far.
+    /// All requests that the workers have run, the first run first.
     pub fn executed_requests(&self) -> Vec<ExecutedRequest> {
-        self.shared().runs.clone()
+        self.state().executed.clone()
     }
 
-    /// The runs of one request.
+    /// The runs of the request with this id.
     pub fn executions_of(&self, id: &str) -> Vec<ExecutedRequest> {
-        self.shared().runs.iter().filter(|r| r.id == id).cloned().collect()
+        self.state().executed.iter().filter(|run| run.id == id).cloned().collect()
     }
 
-    /// Requests whose head has come.
+    /// The number of requests whose head has arrived.
     pub fn received_requests(&self) -> usize {
-        self.shared().begun
+        self.state().received_requests
     }
 
-    /// Requests that ended before they were whole.
+    /// The number of requests whose connection ended before their body was complete.
     pub fn incomplete_requests(&self) -> usize {
-        self.shared().broken
-    }
-
-    /// Serves one connection to its end.
-    fn serve(&self, stream: TcpStream, at: usize) {
-        let _ = stream.set_nodelay(true);
-        let Ok(reader) = stream.try_clone() else { return };
-        let mut reader = BufReader::new(reader);
-        while let Some(head) = Head::read(&mut reader) {
-            // The script goes by the order in which requests come.
-            let act = {
-                let mut shared = self.shared();
-                shared.begun += 1;
-                let usual =
-                    shared.usual_at.get(&at).copied().or(shared.usual).unwrap_or(WorkerBehavior::Done);
-                shared.script.pop_front().unwrap_or(usual)
-            };
-            match act {
-                WorkerBehavior::ResetDuringBody => {
-                    let _ = reader.read(&mut [0; 16]);
-                    return reset_connection(stream);
-                }
-                WorkerBehavior::RejectedBeforeBody => {
-                    let _ = (&stream).write_all(NOT_STARTED);
-                    return;
-                }
-                WorkerBehavior::StopsReading => {
-                    // It ends when the other side does, which shows as soon as what it wrote was read.
-                    while stream.peek(&mut [0]).is_ok_and(|n| n > 0) && !closed(&stream) {
-                        thread::sleep(Duration::from_millis(10));
-                    }
-                    return;
-                }
-                _ => {}
-            }
-            let Ok(body) = head.body(&mut reader) else {
-                self.shared().broken += 1;
-                return;
-            };
-            if !matches!(act, WorkerBehavior::Rejected | WorkerBehavior::InvalidRequest) {
-                let run = ExecutedRequest {
-                    id: head.id.clone(),
-                    worker: at,
-                    body_length: body.len(),
-                    body_checksum: checksum(&body),
-                };
-                self.shared().runs.push(run);
-            }
-            match act {
-                WorkerBehavior::ResetAfterBody => return reset_connection(stream),
-                WorkerBehavior::SilentThenReset(milliseconds) => {
-                    let _ = stream.set_read_timeout(Some(Duration::from_millis(milliseconds)));
-                    let _ = reader.read(&mut [0; 1]);
-                    return reset_connection(stream);
-                }
-                WorkerBehavior::Silent => {
-                    while reader.read(&mut [0; 64]).is_ok_and(|n| n > 0) {}
-                    return;
-                }
-                _ => {}
-            }
-            if self.answer(&stream, &head.id, act, &body).is_err() {
-                return;
-            }
-        }
-    }
-
-    fn answer(&self, mut stream: &TcpStream, id: &str, act: WorkerBehavior, body: &[u8]) -> io::Result<()> {
-        if act == WorkerBehavior::Rejected {
-            return stream.write_all(NOT_STARTED);
-        }
-        if act == WorkerBehavior::InvalidRequest {
-            return stream.write_all(b"HTTP/1.1 400 What\r\nContent-Length: 0\r\n\r\n");
-        }
-        stream.write_all(CHUNKED_RESPONSE_HEAD.as_bytes())?;
-        let mut say = |news: &str| {
-            let line = format!("{{\"id\":\"{id}\",\"from\":\"s\",{news}}}\n");
-            stream.write_all(chunk(&line).as_bytes())
-        };
-        say("\"state\":\"started\"")?;
-        match act {
-            WorkerBehavior::Truncated => {}
-            WorkerBehavior::Malformed => stream.write_all(b"5\r\nwhat\n\r\n")?,
-            WorkerBehavior::ResponseTooLarge => {
-                let line = vec![b'x'; 300_000];
-                stream.write_all(format!("{:x}\r\n", line.len()).as_bytes())?;
-                stream.write_all(&line)?;
-                stream.write_all(b"\r\n")?;
-            }
-            WorkerBehavior::WrongRequestId => {
-                let line = "{\"id\":\"another\",\"from\":\"s\",\"state\":\"done\",\"result\":\"1\"}\n";
-                stream.write_all(chunk(line).as_bytes())?;
-            }
-            WorkerBehavior::Failed => say("\"state\":\"failed\"")?,
-            WorkerBehavior::Killed => say("\"state\":\"lost\"")?,
-            act => {
-                match act {
-                    WorkerBehavior::DoneAfterMillis(milliseconds) => {
-                        thread::sleep(Duration::from_millis(milliseconds))
-                    }
-                    WorkerBehavior::PausedUntilReleased => self.held(),
-                    _ => {}
-                }
-                say(&format!("\"state\":\"done\",\"result\":\"{} {:x}\"", body.len(), checksum(body)))?;
-            }
-        }
-        stream.write_all(b"0\r\n\r\n")
+        self.state().incomplete_requests
     }
 }
 
-const NOT_STARTED: &[u8] = b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
+/// The FNV-1a checksum of `bytes`.
+pub fn checksum(bytes: &[u8]) -> u64 {
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x0100_0000_01b3;
+    bytes.iter().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(PRIME))
+}
 
-/// Whether the other side has ended the connection, whatever of it is unread.
-fn closed(stream: &TcpStream) -> bool {
-    let mut ends = [rustix::event::PollFd::new(stream, rustix::event::PollFlags::RDHUP)];
-    let now = rustix::time::Timespec { tv_sec: 0, tv_nsec: 0 };
-    rustix::event::poll(&mut ends, Some(&now)).is_ok_and(|n| n > 0)
+/// Pseudo-random bytes that follow from `seed` (xorshift).
+pub fn sample_bytes(length: usize, seed: u64) -> Vec<u8> {
+    let mut state = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
+    let mut next_byte = || {
+        state ^= state << 13;
+        state ^= state >> 7;
+        state ^= state << 17;
+        state as u8
+    };
+    (0..length).map(|_| next_byte()).collect()
 }
 
-/// Ends a connection with a reset: what has come and is not read makes it one.
+/// Closes a connection with a reset in place of an orderly end.
 pub fn reset_connection(stream: TcpStream) {
-    let _ = stream.set_linger_zero();
+    reset_on_close(&stream);
     drop(stream);
 }
 
-trait Linger {
-    fn set_linger_zero(&self) -> io::Result<()>;
-}
-
-impl Linger for TcpStream {
-    fn set_linger_zero(&self) -> io::Result<()> {
-        Ok(rustix::net::sockopt::set_socket_linger(self, Some(Duration::ZERO))?)
-    }
-}
-
-/// A request's head as far as a box needs it.
-struct Head {
-    id: String,
-    length: Option<usize>,
-}
-
-impl Head {
-    fn read(reader: &mut impl BufRead) -> Option<Head> {
-        let mut head = Head { id: String::new(), length: None };
-        let mut line = String::new();
-        let mut lines = 0;
-        loop {
-            line.clear();
-            if reader.read_line(&mut line).ok()? == 0 {
-                return None;
-            }
-            lines += 1;
-            match line.trim_end().split_once(": ") {
-                Some(("Request-Id", id)) => head.id = id.to_string(),
-                Some(("Content-Length", length)) => head.length = length.parse().ok(),
-                None if line.trim_end().is_empty() && lines > 1 => return Some(head),
-                _ => {}
-            }
-        }
-    }
-
-    /// The whole body; an error where it is not whole.
-    fn body(&self, reader: &mut impl BufRead) -> io::Result<Vec<u8>> {
-        let mut body = Vec::new();
-        if let Some(length) = self.length {
-            body.resize(length, 0);
-            reader.read_exact(&mut body)?;
-            return Ok(body);
-        }
-        loop {
-            let mut line = String::new();
-            reader.read_line(&mut line)?;
-            let size = usize::from_str_radix(line.trim_end(), 16).map_err(io::Error::other)?;
-            let from = body.len();
-            body.resize(from + size, 0);
-            reader.read_exact(&mut body[from..])?;
-            reader.read_exact(&mut [0; 2])?;
-            if size == 0 {
-                return Ok(body);
-            }
-        }
-    }
+/// Has the connection be reset when its last descriptor is closed.
+fn reset_on_close(stream: &TcpStream) {
+    let _ = rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO));
 }
--- a/crates/test-support/src/fault_proxy.rs
+++ b/crates/test-support/src/fault_proxy.rs
@@ -1,7 +1,7 @@
-//! What lies between processes that speak UDP: a stand-in that loses, delays, repeats, reorders and cuts.
+//! A UDP proxy between processes: it loses, delays, duplicates, reorders and blocks datagrams.
 //!
-//! Every process reaches each other one at an address of its own, so that each direction of each pair can be
-//! spoilt by itself. What happens to the datagrams of a direction follows from the seed and from how many it has carried.
+//! Every process reaches each other process at a proxy address of its own, so that each direction of each pair can be
+//! disturbed by itself. What happens to the datagrams of a direction follows from the seed and their sequence alone.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -11,69 +11,104 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How long a thread waits before it looks whether it is to end.
-const LOOK: Duration = Duration::from_millis(20);
-/// Datagrams under way at most; more are lost, so that a storm ends.
-const UNDER_WAY: usize = 10_000;
+/// How long a thread waits before it checks whether the proxy was dropped.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// More datagrams than these in flight are lost, so that a storm ends.
+const MAX_IN_FLIGHT: usize = 10_000;
+/// The largest UDP datagram fits.
+const RECEIVE_BUFFER_BYTES: usize = 1 << 16;
 
-/// What happens to the datagrams of one direction. The default passes all at once.
+/// What happens to the datagrams of one direction. By default all are forwarded at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DatagramFaults {
-    /// None gets through.
-    pub cut: bool,
-    /// The share that is lost, 0 to 1.
+    /// No datagram is forwarded.
+    pub blocked: bool,
+    /// The fraction that is lost, 0 to 1.
     pub loss: f64,
-    /// The share that comes twice, 0 to 1.
-    pub twice: f64,
-    /// How long each takes at least.
+    /// The fraction that is forwarded twice, 0 to 1.
+    pub duplication: f64,
+    /// The least delay.
     pub delay: Duration,
-    /// How much longer one may take, evenly drawn: those that follow closely overtake each other.
+    /// The greatest additional delay, drawn evenly: datagrams sent close together overtake each other.
     pub jitter: Duration,
 }
 
-/// What a direction has carried since the start.
+/// What one direction has carried since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProxyTraffic {
-    /// Datagrams that came from the sender.
-    pub came: u64,
-    /// Copies written to the receiver.
-    pub went: u64,
-    /// Datagrams lost on their way, and copies lost at its end: cut by then, or no one there.
+    /// Datagrams received from the sender.
+    pub received: u64,
+    /// Copies sent on to the receiver.
+    pub forwarded: u64,
+    /// Datagrams lost on arrival, and copies lost at delivery: blocked by then, or without a receiver.
     pub lost: u64,
-    /// Bytes that came from the sender.
-    pub bytes: u64,
+    /// Bytes received from the sender.
+    pub received_bytes: u64,
 }
 
+/// One direction of a pair of processes.
 struct Direction {
     faults: DatagramFaults,
-    carried: ProxyTraffic,
+    traffic: ProxyTraffic,
     rng: fastrand::Rng,
 }
 
-struct Flight {
+impl Direction {
+    /// The delay of each copy of the next datagram; empty if it is lost. The number of draws is always the same, so
+    /// that switching on one fault does not change what another does later.
+    fn draw_copy_delays(&mut self) -> Vec<Duration> {
+        let lost = self.rng.f64() < self.faults.loss;
+        let duplicated = self.rng.f64() < self.faults.duplication;
+        let DatagramFaults { blocked, delay, jitter, .. } = self.faults;
+        let delays = [self.rng.f64(), self.rng.f64()].map(|draw| delay + jitter.mul_f64(draw));
+        let copies = if blocked || lost { 0 } else { 1 + usize::from(duplicated) };
+        delays.into_iter().take(copies).collect()
+    }
+}
+
+/// A datagram between its arrival and its delivery.
+#[derive(Clone)]
+struct InFlight {
     from: usize,
     to: usize,
-    bytes: Vec<u8>,
+    payload: Vec<u8>,
+}
+
+/// Sorts datagrams in flight by delivery time, and those of equal times by arrival.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct DeliveryKey {
+    deliver_at: Instant,
+    sequence: u64,
 }
 
 struct State {
-    /// Where each process listens, once told.
-    at: Vec<Option<SocketAddr>>,
+    /// Where each process listens, once it is known.
+    listeners: Vec<Option<SocketAddr>>,
+    /// The direction from process `i` to process `j` has the index `i * process_count + j`.
     directions: Vec<Direction>,
-    /// By the time at which they are due, and in their order.
-    flights: BTreeMap<(Instant, u64), Flight>,
-    number: u64,
+    in_flight: BTreeMap<DeliveryKey, InFlight>,
+    last_sequence: u64,
 }
 
 struct Shared {
     state: Mutex<State>,
-    news: Condvar,
-    over: AtomicBool,
-    /// The socket at which process `i` reaches process `j` is number `i * count + j`, or `j` where each process has
-    /// one address for all.
+    /// Signals a new datagram in flight, or the end.
+    changed: Condvar,
+    stopped: AtomicBool,
+    /// The socket at which process `i` reaches process `j` has the index `i * process_count + j`, or `j` if each
+    /// process has one address for all others.
     sockets: Vec<UdpSocket>,
-    count: usize,
-    one_address: bool,
+    process_count: usize,
+    addressing: Addressing,
+}
+
+/// How many addresses the proxy gives to each process.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Addressing {
+    /// One for each sender.
+    PerPair,
+    /// One for all senders, which are identified by their source addresses.
+    PerProcess,
 }
 
 impl Shared {
@@ -81,179 +116,222 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    fn direction_index(&self, from: usize, to: usize) -> usize {
+        from * self.process_count + to
+    }
+
     fn socket(&self, from: usize, to: usize) -> &UdpSocket {
-        &self.sockets[if self.one_address { to } else { from * self.count + to }]
+        match self.addressing {
+            Addressing::PerPair => &self.sockets[self.direction_index(from, to)],
+            Addressing::PerProcess => &self.sockets[to],
+        }
+    }
+
+    /// The pairs of processes whose sockets have to be read.
+    fn receiving_pairs(&self) -> Vec<(usize, usize)> {
+        let count = self.process_count;
+        let all = (0..count * count).map(|index| (index / count, index % count));
+        match self.addressing {
+            Addressing::PerPair => all.filter(|(from, to)| from != to).collect(),
+            Addressing::PerProcess => all.filter(|(from, _)| *from == 0).collect(),
+        }
     }
 }
 
-/// Stands between `count` processes, numbered from 0, until it is dropped.
+/// A proxy between processes numbered from 0; it ends when dropped.
 pub struct FaultProxy {
     shared: Arc<Shared>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl FaultProxy {
-    /// Binds the addresses, on loopback at ports that the system picks. Equal seeds spoil alike.
-    pub fn new(count: usize, seed: u64) -> io::Result<FaultProxy> {
-        FaultProxy::make(count, seed, false)
+    /// Starts a proxy between `process_count` processes, on loopback ports that the system chooses, with an address
+    /// for each pair of processes. Equal seeds disturb alike.
+    ///
+    /// # Errors
+    /// Those of the socket calls.
+    pub fn new(process_count: usize, seed: u64) -> io::Result<FaultProxy> {
+        FaultProxy::start(process_count, seed, Addressing::PerPair)
     }
 
-    /// The same where all reach a process at one address of it, which they tell each other. Who sent a datagram shows
-    /// in where it came from, so each has to send from where it listens, and to be told by `listens` before it does.
-    pub fn with_one_address_each(count: usize, seed: u64) -> io::Result<FaultProxy> {
-        FaultProxy::make(count, seed, true)
+    /// The same with one address for each process, which processes may pass on to each other. Senders are identified by
+    /// their source address, so each has to send from where it listens, and be registered with
+    /// [`FaultProxy::register_listener`] first.
+    ///
+    /// # Errors
+    /// Those of the socket calls.
+    pub fn with_one_address_each(process_count: usize, seed: u64) -> io::Result<FaultProxy> {
+        FaultProxy::start(process_count, seed, Addressing::PerProcess)
     }
 
-    fn make(count: usize, seed: u64, one_address: bool) -> io::Result<FaultProxy> {
-        let bind = |_| {
-            let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
-            socket.set_read_timeout(Some(LOOK))?;
-            Ok(socket)
+    fn start(process_count: usize, seed: u64, addressing: Addressing) -> io::Result<FaultProxy> {
+        let pair_count = process_count * process_count;
+        let socket_count = match addressing {
+            Addressing::PerPair => pair_count,
+            Addressing::PerProcess => process_count,
         };
-        let many = if one_address { count } else { count * count };
-        let sockets = (0..many).map(bind).collect::<io::Result<Vec<_>>>()?;
+        let sockets = (0..socket_count).map(|_| bind_socket()).collect::<io::Result<Vec<_>>>()?;
         let mut rng = fastrand::Rng::with_seed(seed);
-        let direction = |_| Direction {
+        let directions = (0..pair_count).map(|_| Direction {
             faults: DatagramFaults::default(),
-            carried: ProxyTraffic::default(),
+            traffic: ProxyTraffic::default(),
             rng: rng.fork(),
-        };
+        });
         let state = State {
-            at: vec![None; count],
-            directions: (0..count * count).map(direction).collect(),
-            flights: BTreeMap::new(),
-            number: 0,
+            listeners: vec![None; process_count],
+            directions: directions.collect(),
+            in_flight: BTreeMap::new(),
+            last_sequence: 0,
         };
         let shared = Arc::new(Shared {
             state: Mutex::new(state),
-            news: Condvar::new(),
-            over: AtomicBool::new(false),
+            changed: Condvar::new(),
+            stopped: AtomicBool::new(false),
             sockets,
-            count,
-            one_address,
+            process_count,
+            addressing,
         });
-        let pairs =
-            (0..count * count).filter(|n| if one_address { n / count == 0 } else { n / count != n % count });
-        let mut threads: Vec<JoinHandle<()>> = pairs
-            .map(|n| {
-                let shared = shared.clone();
-                std::thread::spawn(move || take(&shared, n / shared.count, n % shared.count))
-            })
-            .collect();
-        let deliver_for = shared.clone();
-        threads.push(std::thread::spawn(move || deliver(&deliver_for)));
+        let threads = spawn_threads(&shared);
         Ok(FaultProxy { shared, threads })
     }
 
     /// The address at which process `from` reaches process `to`.
+    ///
+    /// # Errors
+    /// Those of the socket call.
     pub fn address(&self, from: usize, to: usize) -> io::Result<SocketAddr> {
         self.shared.socket(from, to).local_addr()
     }
 
-    /// Process `number` listens there, now or again after a restart; what comes for it before is lost.
-    pub fn register_listener(&self, number: usize, at: SocketAddr) {
-        self.shared.state().at[number] = Some(at);
+    /// Sets where a process listens, for the first time or after a restart; what is sent to it before is lost.
+    pub fn register_listener(&self, process: usize, address: SocketAddr) {
+        self.shared.state().listeners[process] = Some(address);
     }
 
-    /// From now on the datagrams of one direction fare so. What is under way still arrives, unless it is cut.
-    pub fn set(&self, from: usize, to: usize, faults: DatagramFaults) {
-        self.shared.state().directions[from * self.shared.count + to].faults = faults;
+    /// Sets the faults of one direction. Datagrams in flight still arrive, unless the direction is blocked.
+    pub fn set_faults(&self, from: usize, to: usize, faults: DatagramFaults) {
+        let index = self.shared.direction_index(from, to);
+        self.shared.state().directions[index].faults = faults;
     }
 
-    /// The same for all directions.
+    /// Sets the faults of all directions.
     pub fn set_all_faults(&self, faults: DatagramFaults) {
-        self.shared.state().directions.iter_mut().for_each(|d| d.faults = faults);
+        for direction in &mut self.shared.state().directions {
+            direction.faults = faults;
+        }
     }
 
-    /// Cuts all directions between the processes of a side and the others, and opens all within each.
+    /// Blocks all directions between the processes in `side` and the others, and unblocks all others.
     pub fn partition(&self, side: &[usize]) {
-        let count = self.shared.count;
-        for (n, direction) in self.shared.state().directions.iter_mut().enumerate() {
-            direction.faults.cut = side.contains(&(n / count)) != side.contains(&(n % count));
+        let count = self.shared.process_count;
+        for (index, direction) in self.shared.state().directions.iter_mut().enumerate() {
+            let from_side = side.contains(&(index / count));
+            let to_side = side.contains(&(index % count));
+            direction.faults.blocked = from_side != to_side;
         }
     }
 
-    /// What a direction has carried.
+    /// What one direction has carried.
     pub fn traffic(&self, from: usize, to: usize) -> ProxyTraffic {
-        self.shared.state().directions[from * self.shared.count + to].carried
+        let index = self.shared.direction_index(from, to);
+        self.shared.state().directions[index].traffic
     }
 }
 
 impl Drop for FaultProxy {
     fn drop(&mut self) {
-        self.shared.over.store(true, Ordering::Release);
-        self.shared.news.notify_all();
+        self.shared.stopped.store(true, Ordering::Release);
+        self.shared.changed.notify_all();
         for thread in self.threads.drain(..) {
-            // A thread that has panicked has already failed its test by what did not arrive.
+            // A thread that panicked has already failed its test by what did not arrive.
             let _ = thread.join();
         }
     }
 }
 
-impl Direction {
-    /// How long each copy of the next datagram takes; none if it is lost. The number of draws is always the same, so
-    /// that one fault switched on does not change what another does later.
-    fn fate(&mut self) -> Vec<Duration> {
-        let (lost, twice) = (self.rng.f64() < self.faults.loss, self.rng.f64() < self.faults.twice);
-        let DatagramFaults { cut, delay, jitter, .. } = self.faults;
-        let takes = [self.rng.f64(), self.rng.f64()].map(|draw| delay + jitter.mul_f64(draw));
-        let copies = if cut || lost { 0 } else { 1 + usize::from(twice) };
-        takes.into_iter().take(copies).collect()
+fn bind_socket() -> io::Result<UdpSocket> {
+    let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
+    socket.set_read_timeout(Some(STOP_POLL_INTERVAL))?;
+    Ok(socket)
+}
+
+fn spawn_threads(shared: &Arc<Shared>) -> Vec<JoinHandle<()>> {
+    let mut threads = Vec::new();
+    for (from, to) in shared.receiving_pairs() {
+        let shared = shared.clone();
+        threads.push(std::thread::spawn(move || receive_datagrams(&shared, from, to)));
     }
+    let shared = shared.clone();
+    threads.push(std::thread::spawn(move || deliver_datagrams(&shared)));
+    threads
 }
 
-/// Takes what one process sends to another.
-fn take(shared: &Shared, from: usize, to: usize) {
-    let mut buffer = vec![0; 1 << 16];
-    while !shared.over.load(Ordering::Acquire) {
+/// Receives what `from` sends to `to` until the proxy is dropped.
+fn receive_datagrams(shared: &Shared, from: usize, to: usize) {
+    let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
+    while !shared.stopped.load(Ordering::Acquire) {
         let Ok((length, source)) = shared.socket(from, to).recv_from(&mut buffer) else {
             continue;
         };
-        let now = Instant::now();
+        let received_at = Instant::now();
         let mut state = shared.state();
-        let sender =
-            if shared.one_address { state.at.iter().position(|at| *at == Some(source)) } else { Some(from) };
-        let Some(from) = sender else { continue };
-        let direction = &mut state.directions[from * shared.count + to];
-        direction.carried.came += 1;
-        direction.carried.bytes += length as u64;
-        let fate = direction.fate();
-        direction.carried.lost += u64::from(fate.is_empty());
-        for takes in fate {
-            if state.flights.len() < UNDER_WAY {
-                state.number += 1;
-                let number = state.number;
-                state
-                    .flights
-                    .insert((now + takes, number), Flight { from, to, bytes: buffer[..length].to_vec() });
+        let sender = match shared.addressing {
+            Addressing::PerPair => Some(from),
+            Addressing::PerProcess => state.listeners.iter().position(|address| *address == Some(source)),
+        };
+        let Some(sender) = sender else { continue };
+        let datagram = InFlight { from: sender, to, payload: buffer[..length].to_vec() };
+        state.accept(shared.direction_index(sender, to), received_at, &datagram);
+        shared.changed.notify_one();
+    }
+}
+
+impl State {
+    /// Counts a datagram of the direction with this index, and puts its copies in flight.
+    fn accept(&mut self, direction: usize, received_at: Instant, datagram: &InFlight) {
+        let direction = &mut self.directions[direction];
+        direction.traffic.received += 1;
+        direction.traffic.received_bytes += datagram.payload.len() as u64;
+        let delays = direction.draw_copy_delays();
+        direction.traffic.lost += u64::from(delays.is_empty());
+        for delay in delays {
+            if self.in_flight.len() < MAX_IN_FLIGHT {
+                self.last_sequence += 1;
+                let key = DeliveryKey { deliver_at: received_at + delay, sequence: self.last_sequence };
+                self.in_flight.insert(key, datagram.clone());
             }
         }
-        shared.news.notify_one();
     }
 }
 
-/// Writes each datagram when its time has come, from the address at which the receiver knows the sender.
-fn deliver(shared: &Shared) {
+/// Delivers each datagram when it is due, from the address at which the receiver knows the sender.
+fn deliver_datagrams(shared: &Shared) {
     let mut state = shared.state();
-    while !shared.over.load(Ordering::Acquire) {
+    while !shared.stopped.load(Ordering::Acquire) {
         let now = Instant::now();
-        let due = state.flights.first_key_value().map(|f| f.0.0);
-        match due {
-            Some(due) if due <= now => {
-                let Some((_, Flight { from, to, bytes })) = state.flights.pop_first() else { continue };
-                let n = from * shared.count + to;
-                let at = state.at[to].filter(|_| !state.directions[n].faults.cut);
-                // A receiver that is gone answers with an error here: the datagram is lost, as it would be.
-                let sent = at.map(|at| shared.socket(to, from).send_to(&bytes, at));
-                let carried = &mut state.directions[n].carried;
-                let end = if matches!(sent, Some(Ok(_))) { &mut carried.went } else { &mut carried.lost };
-                *end += 1;
-            }
-            _ => {
-                let wait = due.map_or(LOOK, |due| (due - now).min(LOOK));
-                let waited = shared.news.wait_timeout(state, wait);
-                state = waited.unwrap_or_else(PoisonError::into_inner).0;
-            }
+        let next_delivery = state.in_flight.first_key_value().map(|(key, _)| key.deliver_at);
+        if next_delivery.is_some_and(|deliver_at| deliver_at <= now) {
+            let Some((_, datagram)) = state.in_flight.pop_first() else { continue };
+            deliver(shared, &mut state, &datagram);
+            continue;
         }
+        let wait = next_delivery.map_or(STOP_POLL_INTERVAL, |at| (at - now).min(STOP_POLL_INTERVAL));
+        let waited = shared.changed.wait_timeout(state, wait);
+        state = waited.unwrap_or_else(PoisonError::into_inner).0;
+    }
+}
+
+/// Sends one datagram on, or counts it as lost.
+fn deliver(shared: &Shared, state: &mut State, datagram: &InFlight) {
+    let receiver = state.listeners[datagram.to];
+    let direction = &mut state.directions[shared.direction_index(datagram.from, datagram.to)];
+    let receiver = receiver.filter(|_| !direction.faults.blocked);
+    // A receiver that has ended can make this fail: its datagram is lost, as it would be without a proxy.
+    let sent =
+        receiver.map(|address| shared.socket(datagram.to, datagram.from).send_to(&datagram.payload, address));
+    if matches!(sent, Some(Ok(_))) {
+        direction.traffic.forwarded += 1;
+    } else {
+        direction.traffic.lost += 1;
     }
 }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,30 +1,36 @@
-//! Scripted peers and checkers of the rules, shared by the tests of all packages. Nothing in the product
-//! imports this. All peers bind to loopback addresses only, on ports that the system chooses.
+//! Scripted peers, fault injection and a checker of the delivery rules, shared by the tests of all packages.
+//!
+//! Nothing in the product depends on this crate. All peers bind to loopback addresses only, on ports that the
+//! system chooses. Helpers panic where a test could not go on; a panic names what was missing.
 
 mod cases;
 mod checker;
 mod chunked;
 mod client;
+mod cpu_share;
 mod fake_disk;
 mod fake_workers;
 mod fault_proxy;
-mod preload;
+mod fault_shim;
+mod node_config;
 mod program;
-mod settings;
-mod share;
-mod unreachable;
+mod refusing_port;
+mod scratch_dir;
+mod stalled_listener;
 
 pub use cases::check_cases;
-pub use checker::{AT_MOST_ONCE_CLASS, Checker};
+pub use checker::{AT_MOST_ONCE_CLASS, Checker, CheckerTotals};
 pub use chunked::{CHUNKED_RESPONSE_HEAD, chunk, read_request_target, send_chunk};
 pub use client::{TestRequest, TestResponse};
+pub use cpu_share::{CpuShare, cpu_time};
 pub use fake_disk::{DiskFaults, FakeDisk};
 pub use fake_workers::{
     ExecutedRequest, FakeWorkers, WorkerBehavior, checksum, reset_connection, sample_bytes,
 };
 pub use fault_proxy::{DatagramFaults, FaultProxy, ProxyTraffic};
-pub use preload::{FaultPlan, injected_faults};
-pub use program::{Program, ScratchDir};
-pub use settings::{single_worker_config, workers_config};
-pub use share::{CpuShare, cpu_time};
-pub use unreachable::{RefusingPort, StalledListener};
+pub use fault_shim::{FaultPlan, injected_faults};
+pub use node_config::{single_worker_config, workers_config};
+pub use program::Program;
+pub use refusing_port::RefusingPort;
+pub use scratch_dir::ScratchDir;
+pub use stalled_listener::StalledListener;
--- a/crates/test-support/src/program.rs
+++ b/crates/test-support/src/program.rs
@@ -1,54 +1,19 @@
 //! The program itself, started as an operator starts it.
 
 use std::io::{BufRead, BufReader, Read, Write};
-use std::path::{Path, PathBuf};
+use std::net::TcpStream;
+use std::path::Path;
 use std::process::{Child, ChildStderr, Command, Stdio};
-use std::sync::atomic::{AtomicU32, Ordering};
-
-/// A directory of a test's own, gone when dropped.
-pub struct ScratchDir(pub PathBuf);
-
-impl ScratchDir {
-    /// A new one, whose name holds `name`.
-    pub fn new(name: &str) -> ScratchDir {
-        static NEXT: AtomicU32 = AtomicU32::new(0);
-        let number = NEXT.fetch_add(1, Ordering::Relaxed);
-        let path = std::env::temp_dir().join(format!("sorrelhaven-{}-{number}-{name}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a directory");
-        ScratchDir(path.canonicalize().expect("it is there"))
-    }
-
-    /// A path in it.
-    pub fn at(&self, name: &str) -> PathBuf {
-        self.0.join(name)
-    }
-
-    /// Writes a file in it, and gives its path.
-    pub fn write(&self, name: &str, text: &str) -> PathBuf {
-        std::fs::write(self.at(name), text).expect("a file");
-        self.at(name)
-    }
-
-    /// The names in a directory of it, sorted.
-    pub fn file_names(&self, directory: &str) -> Vec<String> {
-        let entries = std::fs::read_dir(self.at(directory)).expect("a directory");
-        let mut names: Vec<String> =
-            entries.map(|e| e.expect("an entry").file_name().to_string_lossy().into_owned()).collect();
-        names.sort();
-        names
-    }
-}
-
-impl Drop for ScratchDir {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0);
-    }
-}
-
-/// A program that was told to end must have ended by then; far more than it may take.
-const END_MOST: std::time::Duration = std::time::Duration::from_secs(30);
-/// The variables that the program reads.
-const VARIABLES: [&str; 7] = [
+use std::sync::mpsc::{Receiver, RecvTimeoutError, channel};
+use std::thread;
+use std::time::Duration;
+
+/// A program that does not end within this time after SIGTERM is killed; far beyond what it may take.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(30);
+/// An admin call without an answer fails after this time; far beyond what it may take.
+const ADMIN_CALL_TIMEOUT: Duration = Duration::from_secs(20);
+/// The environment variables that the program reads.
+const PROGRAM_VARIABLES: [&str; 7] = [
     "RUST_LOG",
     "SORRELHAVEN_OPERATOR",
     "RELAY_NAME",
@@ -58,32 +23,33 @@
     "RELAY_FD",
 ];
 
-/// A program that serves; ended when dropped, whatever the test came to.
+/// A running process of the program; it is killed when dropped, however the test ends.
 pub struct Program {
     /// The process.
     pub child: Child,
     log: BufReader<ChildStderr>,
     startup_log: Vec<String>,
-    /// Where it listens.
+    /// The address at which it serves clients.
     pub address: String,
-    /// Where its operators call; `none` where it has no such address.
+    /// The address of its admin listener; `none` if it has none.
     pub admin_address: String,
 }
 
 impl Program {
-    /// Starts `command` with a platform's file, and an operators' if there is one, and waits until it is ready. Of
-    /// the variables that it reads it has those that the command sets, and no others.
+    /// Starts `command` with the platform's file `config`, and with `operator`'s if there is one, and waits until
+    /// the program logs that it is ready. Of the variables that the program reads it gets only those that
+    /// `command` sets.
+    ///
+    /// # Panics
+    /// If the program does not start, or ends before it is ready.
     pub fn start(mut command: Command, config: &Path, operator: Option<&Path>) -> Program {
-        let set: Vec<_> = command.get_envs().map(|(name, _)| name.to_os_string()).collect();
-        for name in VARIABLES.into_iter().filter(|name| !set.iter().any(|s| s == name)) {
-            command.env_remove(name);
-        }
+        remove_inherited_variables(&mut command);
         command.env("RELAY_CONFIG", config);
         if let Some(operator) = operator {
             command.env("SORRELHAVEN_OPERATOR", operator);
         }
-        let mut child = command.stderr(Stdio::piped()).spawn().expect("the program starts");
-        let log = BufReader::new(child.stderr.take().expect("its log"));
+        let mut child = command.stderr(Stdio::piped()).spawn().expect("the program can be started");
+        let log = BufReader::new(child.stderr.take().expect("standard error is piped"));
         let mut program = Program {
             child,
             log,
@@ -91,94 +57,113 @@
             address: String::new(),
             admin_address: String::new(),
         };
-        let line = loop {
-            let line = program.wait_for_log_line("");
+        program.wait_until_ready();
+        program
+    }
+
+    /// Reads the log up to the line that says that the program is ready, and takes the addresses from it.
+    fn wait_until_ready(&mut self) {
+        let ready_line = loop {
+            let line = self.wait_for_log_line("");
             if line.contains(" ready ") {
                 break line;
             }
-            program.startup_log.push(line);
+            self.startup_log.push(line);
         };
-        let field =
-            |name: &str| line.split_whitespace().find_map(|f| f.strip_prefix(name)).unwrap_or_default();
-        program.admin_address = field("ops=").to_string();
-        program.address = line.rsplit("listen=").next().expect("its address").trim().to_string();
-        program
+        self.admin_address = log_field(&ready_line, "ops").unwrap_or_default().to_string();
+        let address = ready_line.rsplit("listen=").next().expect("the ready line names the address");
+        self.address = address.trim().to_string();
     }
 
-    /// The next line of the log that holds `word`.
-    pub fn wait_for_log_line(&mut self, word: &str) -> String {
+    /// Reads the log up to the next line that contains `text`, and returns that line.
+    ///
+    /// # Panics
+    /// If the log ends before such a line.
+    pub fn wait_for_log_line(&mut self, text: &str) -> String {
         let mut line = String::new();
-        while self.log.read_line(&mut line).expect("its log") > 0 {
-            if line.contains(word) {
+        while self.log.read_line(&mut line).expect("the log can be read") > 0 {
+            if line.contains(text) {
                 return line;
             }
             line.clear();
         }
-        panic!("no line with {word:?}");
+        panic!("the log ended without a line that contains {text:?}");
     }
 
-    /// What its log said before it was ready.
+    /// The log lines before the one that said that the program was ready.
     pub fn startup_log(&self) -> &[String] {
         &self.startup_log
     }
 
-    /// The leftovers that it swept at its start.
+    /// The number of files of earlier processes that the program removed at its start.
     pub fn leftovers_removed(&self) -> u64 {
-        let swept = self.startup_log.iter().find_map(|line| line.split("swept=").nth(1));
-        swept.and_then(|swept| swept.trim().parse().ok()).unwrap_or(0)
+        let removed = self.startup_log.iter().find_map(|line| line.split("swept=").nth(1));
+        removed.and_then(|count| count.trim().parse().ok()).unwrap_or(0)
     }
 
-    /// What its operators are answered who call so.
+    /// Sends `call` to the admin listener and returns its answer.
+    ///
+    /// # Panics
+    /// If no answer comes within [`ADMIN_CALL_TIMEOUT`].
     pub fn admin_call(&self, call: &str) -> String {
-        let mut stream = std::net::TcpStream::connect(&self.admin_address).expect("its operators' address");
-        stream.write_all(format!("{call}\n").as_bytes()).expect("it reads");
-        // Far beyond what it owes: a node that never answers must not hold up the tests for ever.
-        stream.set_read_timeout(Some(std::time::Duration::from_secs(20))).expect("a socket");
+        let mut stream = TcpStream::connect(&self.admin_address).expect("the admin listener accepts");
+        stream.write_all(format!("{call}\n").as_bytes()).expect("the admin listener reads");
+        stream.set_read_timeout(Some(ADMIN_CALL_TIMEOUT)).expect("the socket takes a time limit");
         let mut answer = String::new();
-        stream.read_to_string(&mut answer).expect("an answer");
+        stream.read_to_string(&mut answer).expect("the admin listener answers");
         answer
     }
 
-    /// One of the metrics that it shows its operators, over all classes.
+    /// The value of a metric of `show-stat`, summed over all its labels.
+    ///
+    /// # Panics
+    /// If the admin listener does not answer, or the value is not an integer.
     pub fn metric(&self, name: &str) -> u64 {
-        let text = self.admin_call("show-stat");
-        let of = |line: &str| {
-            let (key, figure) = line.rsplit_once(' ')?;
-            (key.split('{').next() == Some(name)).then(|| figure.parse::<u64>().expect("a figure"))
+        let metrics = self.admin_call("show-stat");
+        let value_of = |line: &str| {
+            let (key, value) = line.rsplit_once(' ')?;
+            let has_name = key.split('{').next() == Some(name);
+            has_name.then(|| value.parse::<u64>().expect("a metric is an integer"))
         };
-        text.lines().filter_map(of).sum()
+        metrics.lines().filter_map(value_of).sum()
     }
 
-    /// Sends it a signal by its short name.
+    /// Sends the signal with this short name, such as `TERM`.
+    ///
+    /// # Panics
+    /// If the signal can't be sent.
     pub fn signal(&self, name: &str) {
-        let id = self.child.id().to_string();
-        assert!(Command::new("kill").args(["-s", name, &id]).status().expect("kill").success());
+        let process_id = self.child.id().to_string();
+        let status = Command::new("kill").args(["-s", name, &process_id]).status().expect("kill can be run");
+        assert!(status.success(), "SIG{name} was not sent");
     }
 
-    /// A figure of its counters now.
+    /// The current value of a counter, from the counters line that SIGUSR1 makes the program log.
+    ///
+    /// # Panics
+    /// If there is no counter of this name.
     pub fn counter(&mut self, name: &str) -> u64 {
         self.signal("USR1");
         let line = self.wait_for_log_line("admitted=");
-        let found = line.split_whitespace().find_map(|f| f.strip_prefix(&format!("{name}=")));
-        found.and_then(|f| f.parse().ok()).unwrap_or_else(|| panic!("no {name} in {line}"))
+        let value = log_field(&line, name).and_then(|value| value.parse().ok());
+        value.unwrap_or_else(|| panic!("no counter {name} in {line}"))
     }
 
-    /// Asks it to end, and gives what is left of its log; panics where it does not end cleanly.
+    /// Ends the program with SIGTERM and returns the rest of its log.
+    ///
+    /// # Panics
+    /// If the program does not exit with success.
     pub fn terminate(mut self) -> String {
         self.signal("TERM");
-        // One that never ends must not hold up the tests for ever: its log ends with it.
-        let (id, (ended, watch)) = (self.child.id().to_string(), std::sync::mpsc::channel::<()>());
-        let watchdog = std::thread::spawn(move || {
-            if watch.recv_timeout(END_MOST) == Err(std::sync::mpsc::RecvTimeoutError::Timeout) {
-                let _ = Command::new("kill").args(["-s", "KILL", &id]).status();
-            }
-        });
-        let mut rest = String::new();
-        self.log.read_to_string(&mut rest).expect("its log");
+        let process_id = self.child.id();
+        let (ended, watched) = channel::<()>();
+        let watchdog = thread::spawn(move || kill_unless_ended(process_id, &watched));
+        let mut log = String::new();
+        self.log.read_to_string(&mut log).expect("the log can be read");
         drop(ended);
-        watchdog.join().expect("the watchdog");
-        assert!(self.child.wait().expect("it ends").success(), "{rest}");
-        rest
+        watchdog.join().expect("the watchdog ends");
+        assert!(self.child.wait().expect("the program has ended").success(), "{log}");
+        log
     }
 }
 
@@ -188,3 +173,26 @@
         let _ = self.child.wait();
     }
 }
+
+/// Removes the variables that the program reads and `command` does not set itself.
+fn remove_inherited_variables(command: &mut Command) {
+    let set_by_test: Vec<_> = command.get_envs().map(|(name, _)| name.to_os_string()).collect();
+    for name in PROGRAM_VARIABLES {
+        if !set_by_test.iter().any(|set| set == name) {
+            command.env_remove(name);
+        }
+    }
+}
+
+/// The value of `name=value` in a log line.
+fn log_field<'line>(line: &'line str, name: &str) -> Option<&'line str> {
+    line.split_whitespace().find_map(|field| field.strip_prefix(name)?.strip_prefix('='))
+}
+
+/// Kills the process unless `ended` is closed within [`SHUTDOWN_TIMEOUT`], so that a program that never ends does
+/// not hold up the tests: its log ends with it.
+fn kill_unless_ended(process_id: u32, ended: &Receiver<()>) {
+    if ended.recv_timeout(SHUTDOWN_TIMEOUT) == Err(RecvTimeoutError::Timeout) {
+        let _ = Command::new("kill").args(["-s", "KILL", &process_id.to_string()]).status();
+    }
+}
--- /dev/null
+++ b/crates/test-support/src/scratch_dir.rs
@@ -0,0 +1,61 @@
+//! Temporary directories of tests.
+
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicU32, Ordering};
+
+/// A temporary directory that belongs to one test; it is removed when dropped.
+pub struct ScratchDir {
+    root: PathBuf,
+}
+
+impl ScratchDir {
+    /// Creates a directory whose name contains `name`.
+    ///
+    /// # Panics
+    /// If the system's directory for temporary files can't be written to.
+    pub fn new(name: &str) -> ScratchDir {
+        static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
+        let path = std::env::temp_dir().join(format!("sorrelhaven-{}-{number}-{name}", std::process::id()));
+        std::fs::create_dir_all(&path).expect("the scratch directory can be created");
+        ScratchDir { root: path.canonicalize().expect("the scratch directory exists") }
+    }
+
+    /// The directory itself.
+    pub fn root(&self) -> &Path {
+        &self.root
+    }
+
+    /// The path of `name` in the directory.
+    pub fn path(&self, name: &str) -> PathBuf {
+        self.root.join(name)
+    }
+
+    /// Writes `text` to the file `name` and returns its path.
+    ///
+    /// # Panics
+    /// If the file can't be written.
+    pub fn write(&self, name: &str, text: &str) -> PathBuf {
+        std::fs::write(self.path(name), text).expect("the file can be written");
+        self.path(name)
+    }
+
+    /// The sorted names of the entries of `directory`, a path relative to this one.
+    ///
+    /// # Panics
+    /// If the directory can't be read.
+    pub fn file_names(&self, directory: &str) -> Vec<String> {
+        let entries = std::fs::read_dir(self.path(directory)).expect("the directory can be read");
+        let mut names: Vec<String> = entries
+            .map(|entry| entry.expect("the entry can be read").file_name().to_string_lossy().into_owned())
+            .collect();
+        names.sort();
+        names
+    }
+}
+
+impl Drop for ScratchDir {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.root);
+    }
+}
