--- a/crates/node/tests/large_fleet.rs
+++ b/crates/node/tests/large_fleet.rs
@@ -1,39 +1,40 @@
-//! A node with thousands of executors on a small share of a core: each request has its answer in time, whatever the list
-//! and the executors do.
+//! A node with thousands of workers on a small share of a core answers each request in time, also while workers hang
+//! and a release replaces half of the worker list.
 
 use sorrelhaven_test_support::{
-    CHUNKED_RESPONSE_HEAD, CpuShare, FakeWorkers, Program, ScratchDir, TestRequest, WorkerBehavior, chunk,
-    cpu_time, read_request_target,
+    CpuShare, FakeWorkers, Program, ScratchDir, TestRequest, WatchStep, WorkerBehavior, cpu_time,
+    serve_discovery, worker_list,
 };
-use std::io::Write;
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::SocketAddr;
 use std::process::Command;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, OnceLock, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Entries of the list, each an executor of its own to the node.
-const EXECUTORS: usize = 3_200;
+/// Entries of the list, each a worker of its own to the node.
+const WORKERS: usize = 3_200;
 /// Processes that serve them: entry n is served by process n modulo this.
 const SERVERS: usize = 16;
-/// Those of them that fall silent.
-const HANGING: usize = 14;
-/// The usual size of a list.
-const USUAL: usize = 200;
-/// Requests a second, and for how long they come.
-const RATE: usize = 40;
-const LASTS: Duration = Duration::from_secs(12);
-/// When executors begin to hang and the release begins, and when both end.
-const TROUBLE: [Duration; 2] = [Duration::from_secs(3), Duration::from_secs(8)];
-/// Pieces of the list in which the release is told.
-const PIECES: usize = 10;
-/// A node's share of a core in multiples of what it needs in the mean with [`USUAL`] executors.
-const SHARE_OF_NEED: f64 = 1.5;
-/// An answer this long after its deadline is none.
-const SLACK: Duration = Duration::from_millis(500);
-/// Discovery says something at least this often.
-const KEEP_ALIVE: Duration = Duration::from_secs(1);
+/// The number of these processes that hang for a time.
+const HANGING_SERVERS: usize = 14;
+/// The size of a list that processor time is compared with.
+const USUAL_WORKERS: usize = 200;
+const REQUESTS_PER_SECOND: usize = 40;
+/// For so long requests arrive.
+const LOAD_DURATION: Duration = Duration::from_secs(12);
+/// When workers begin to hang and the release begins.
+const FAULT_START: Duration = Duration::from_secs(3);
+/// When both end.
+const FAULT_END: Duration = Duration::from_secs(8);
+/// Updates of the list in which the release is sent.
+const RELEASE_PARTS: usize = 10;
+/// What a hanging server does: it resets the connections after the end of the fault, when most clients have given up.
+const HANG: WorkerBehavior = WorkerBehavior::SilentThenReset(5_300);
+/// A node's share of a core, in multiples of its mean use with [`USUAL_WORKERS`] workers.
+const SHARE_OF_USUAL_USE: f64 = 1.5;
+/// An answer that is later than its deadline by more than this counts as lost.
+const ANSWER_GRACE: Duration = Duration::from_millis(500);
 
 /// One entry of the list.
 fn entry(number: usize, servers: &[SocketAddr], health: &str) -> String {
@@ -44,10 +45,6 @@
     )
 }
 
-fn list(version: usize, whole: bool, entries: &[String]) -> String {
-    format!(r#"{{"seq":{version},"whole":{whole},"hosts":[{}]}}"#, entries.join(","))
-}
-
 /// The file of a node among 300, whose clients wait for 5 s.
 fn config(discovery: SocketAddr, known: &str) -> String {
     let class = |name: &str, effect: &str| {
@@ -66,186 +63,193 @@
     )
 }
 
-/// A fake discovery that says a list of changes whenever it is given one.
+/// A discovery that sends each list that it is given to every watch.
 struct Discovery {
-    pieces: Arc<Mutex<Vec<String>>>,
+    lists: Arc<Mutex<Vec<String>>>,
     address: SocketAddr,
 }
 
 impl Discovery {
     fn new() -> Discovery {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("its address");
-        let pieces: Arc<Mutex<Vec<String>>> = Arc::default();
-        let said = pieces.clone();
-        thread::spawn(move || {
-            for stream in listener.incoming().flatten() {
-                let said = said.clone();
-                thread::spawn(move || serve(stream, &said));
+        let lists: Arc<Mutex<Vec<String>>> = Arc::default();
+        let served = lists.clone();
+        let address = serve_discovery(move || {
+            let lists = served.clone();
+            let mut sent = 0;
+            move || {
+                let unsent = lists.lock().unwrap_or_else(PoisonError::into_inner)[sent..].to_vec();
+                sent += unsent.len();
+                WatchStep::Send(unsent)
             }
         });
-        Discovery { pieces, address }
-    }
-
-    fn say(&self, list: &str) {
-        self.pieces.lock().unwrap_or_else(PoisonError::into_inner).push(format!("{list}\n"));
+        Discovery { lists, address }
     }
-}
 
-fn serve(mut stream: TcpStream, said: &Mutex<Vec<String>>) {
-    read_request_target(&mut stream);
-    let (mut text, mut told, mut last) = (CHUNKED_RESPONSE_HEAD.to_string(), 0, Instant::now());
-    loop {
-        let pieces = said.lock().unwrap_or_else(PoisonError::into_inner)[told..].to_vec();
-        told += pieces.len();
-        pieces.iter().for_each(|list| text += &chunk(list));
-        if text.is_empty() && last.elapsed() > KEEP_ALIVE {
-            text = chunk("\n");
-        }
-        if !text.is_empty() {
-            if stream.write_all(text.as_bytes()).is_err() {
-                return;
-            }
-            (text, last) = (String::new(), Instant::now());
-        }
-        thread::sleep(Duration::from_millis(5));
+    fn send(&self, list: &str) {
+        self.lists.lock().unwrap_or_else(PoisonError::into_inner).push(format!("{list}\n"));
     }
 }
 
-/// What clients came to.
+/// The outcomes of all requests.
 #[derive(Debug, Default)]
-struct Heard {
+struct RequestCounts {
     answered: AtomicUsize,
     served: AtomicUsize,
-    /// Requests that had no answer within [`SLACK`] of their time.
+    /// Requests without an answer within [`ANSWER_GRACE`] of their deadline.
     lost: AtomicUsize,
 }
 
 /// Sends one request on a connection of its own, and waits for the answer.
-fn ask(number: usize, address: &str, heard: &Heard) {
+fn send_request(number: usize, address: &str, counts: &RequestCounts) {
     let class = ["licence-issue", "fee-charge"][number % 2];
-    let mut ask = TestRequest::new(&format!("q-{number}"), class, vec![b'x'; 200]);
-    ask.timeout = Duration::from_secs(5);
-    ask.work_hint_micros = Some(40_000);
-    // One request in seven is about the same object, one in ten about another.
+    let mut request = TestRequest::new(&format!("q-{number}"), class, vec![b'x'; 200]);
+    request.timeout = Duration::from_secs(5);
+    request.work_hint_micros = Some(40_000);
+    // One request in seven has the same affinity key, one in ten another one.
     let mut rng = fastrand::Rng::with_seed(number as u64);
-    ask.affinity = Some(match rng.u8(0..100) {
+    request.affinity = Some(match rng.u8(0..100) {
         0..15 => "7d3e94f201".to_string(),
         15..25 => "6b22950b01".to_string(),
         _ => format!("{:010x}", rng.u32(0..500)),
     });
-    match ask.send(address) {
-        Ok(reply) if reply.elapsed <= ask.timeout + SLACK => {
-            heard.answered.fetch_add(1, Ordering::Relaxed);
-            heard.served.fetch_add(usize::from(reply.status == 200), Ordering::Relaxed);
+    match request.send(address) {
+        Ok(response) if response.elapsed <= request.timeout + ANSWER_GRACE => {
+            counts.answered.fetch_add(1, Ordering::Relaxed);
+            counts.served.fetch_add(usize::from(response.status == 200), Ordering::Relaxed);
         }
         Ok(_) | Err(_) => {
-            heard.lost.fetch_add(1, Ordering::Relaxed);
+            counts.lost.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
 
-/// What differs from run to run.
-struct ExecutedRequest {
-    executors: usize,
-    /// The node's share of a core; `None`: all that it wants.
-    share: Option<f64>,
+/// The load that a node is measured under.
+struct Scenario {
+    workers: usize,
+    /// The node's share of a core; `None` for no limit.
+    cpu_share: Option<f64>,
 }
 
-/// What came of it.
+/// What was measured.
 #[derive(Debug)]
-struct Seen {
-    heard: Arc<Heard>,
-    /// Processor time between the first request and the last answer.
-    used: Duration,
+struct Measurement {
+    requests: Arc<RequestCounts>,
+    /// Processor time of the node between the first request and the last answer.
+    cpu_time: Duration,
     counters: String,
 }
 
-/// Plays [`LASTS`]: within [`TROUBLE`] most executors hang and a release replaces half of the list.
-fn play(run: &ExecutedRequest) -> Seen {
-    let boxes = FakeWorkers::new(SERVERS);
-    boxes.set_default_behavior(WorkerBehavior::DoneAfterMillis(40));
+/// Loads a node for [`LOAD_DURATION`]. From [`FAULT_START`] to [`FAULT_END`] most workers hang and a release replaces
+/// half of the list.
+fn measure(scenario: &Scenario) -> Measurement {
+    let workers = FakeWorkers::new(SERVERS);
+    workers.set_default_behavior(WorkerBehavior::DoneAfterMillis(40));
     let discovery = Discovery::new();
     let scratch = ScratchDir::new("large");
-    let all: Vec<_> = (0..run.executors).map(|n| entry(n, &boxes.addresses, "in_service")).collect();
-    let file = scratch.write("node.json", &config(discovery.address, &list(1, true, &all)));
+    let entries: Vec<_> =
+        (0..scenario.workers).map(|number| entry(number, &workers.addresses, "in_service")).collect();
+    let file = scratch.write("node.json", &config(discovery.address, &worker_list(1, true, &entries)));
     let mut command = Command::new(env!("CARGO_BIN_EXE_sorrelhaven"));
     command.env("RUST_LOG", "error,sorrelhaven=info,sorrelhaven_engine=warn");
     let program = Program::start(command, &file, None);
     let process = program.child.id();
-    let heard = Arc::<Heard>::default();
-    let share = run.share.map(|share| CpuShare::limit(process, share));
-    let (begun, before) = (Instant::now(), cpu_time(process));
+    let requests = Arc::<RequestCounts>::default();
+    let limit = scenario.cpu_share.map(|share| CpuShare::limit(process, share));
+    let begun = Instant::now();
+    let cpu_time_before = cpu_time(process);
     let clients = {
-        let (heard, address) = (heard.clone(), program.address.clone());
-        thread::spawn(move || ask_all(begun, &address, &heard))
+        let (requests, address) = (requests.clone(), program.address.clone());
+        thread::spawn(move || send_requests(begun, &address, &requests))
     };
-    let wait = |at: Duration| thread::sleep((begun + at).saturating_duration_since(Instant::now()));
-    wait(TROUBLE[0]);
-    (0..HANGING)
-        .for_each(|server| boxes.set_worker_behavior(server, Some(WorkerBehavior::SilentThenReset(5_300))));
-    let gap = (TROUBLE[1] - TROUBLE[0]) / PIECES as u32;
-    for piece in 0..PIECES {
-        discovery.say(&replaced(piece, run.executors, &boxes.addresses));
-        wait(TROUBLE[0] + gap * (piece as u32 + 1));
+    hang_and_release(begun, scenario.workers, &workers, &discovery);
+    clients.join().expect("the clients end");
+    let cpu_time = cpu_time(process) - cpu_time_before;
+    drop(limit);
+    Measurement { requests, cpu_time, counters: program.terminate() }
+}
+
+/// Has servers hang from [`FAULT_START`] to [`FAULT_END`] after `begun`, and sends the release meanwhile.
+fn hang_and_release(begun: Instant, worker_count: usize, workers: &FakeWorkers, discovery: &Discovery) {
+    let wait_until = |at: Duration| thread::sleep((begun + at).saturating_duration_since(Instant::now()));
+    wait_until(FAULT_START);
+    for server in 0..HANGING_SERVERS {
+        workers.set_worker_behavior(server, Some(HANG));
+    }
+    let part_interval = (FAULT_END - FAULT_START) / RELEASE_PARTS as u32;
+    for part in 0..RELEASE_PARTS {
+        discovery.send(&release_part(part, worker_count, &workers.addresses));
+        wait_until(FAULT_START + part_interval * (part as u32 + 1));
+    }
+    for server in 0..HANGING_SERVERS {
+        workers.set_worker_behavior(server, None);
     }
-    (0..HANGING).for_each(|server| boxes.set_worker_behavior(server, None));
-    clients.join().expect("the clients");
-    let used = cpu_time(process) - before;
-    drop(share);
-    Seen { heard, used, counters: program.terminate() }
 }
 
-/// One piece of a release that replaces half of the list: old executors begin to drain, new ones are in service.
-fn replaced(piece: usize, executors: usize, servers: &[SocketAddr]) -> String {
-    let part = executors / 2 / PIECES;
-    let places = piece * part..(piece + 1) * part;
-    let old = places.clone().map(|n| entry(n, servers, "terminating"));
-    let new = places.map(|n| entry(executors + n, servers, "in_service"));
-    list(piece + 2, false, &old.chain(new).collect::<Vec<_>>())
+/// One update of a release that replaces half of the list: old workers begin to drain, new ones are in service.
+fn release_part(part: usize, workers: usize, servers: &[SocketAddr]) -> String {
+    let part_length = workers / 2 / RELEASE_PARTS;
+    let replaced = part * part_length..(part + 1) * part_length;
+    let old = replaced.clone().map(|number| entry(number, servers, "terminating"));
+    let new = replaced.map(|number| entry(workers + number, servers, "in_service"));
+    worker_list(part as u64 + 2, false, &old.chain(new).collect::<Vec<_>>())
 }
 
-/// Sends all requests, each at its time, and waits for the answers.
-fn ask_all(begun: Instant, address: &str, heard: &Arc<Heard>) {
-    let count = RATE * LASTS.as_secs() as usize;
+/// Sends all requests, evenly spread over [`LOAD_DURATION`], and waits for the answers.
+fn send_requests(begun: Instant, address: &str, counts: &Arc<RequestCounts>) {
+    let count = REQUESTS_PER_SECOND * LOAD_DURATION.as_secs() as usize;
     let client = |number: usize| {
-        let at = begun + LASTS.mul_f64(number as f64 / count as f64);
-        thread::sleep(at.saturating_duration_since(Instant::now()));
-        let (heard, address) = (heard.clone(), address.to_string());
-        thread::spawn(move || ask(number, &address, &heard))
+        let send_at = begun + LOAD_DURATION.mul_f64(number as f64 / count as f64);
+        thread::sleep(send_at.saturating_duration_since(Instant::now()));
+        let (counts, address) = (counts.clone(), address.to_string());
+        thread::spawn(move || send_request(number, &address, &counts))
     };
     let clients: Vec<_> = (0..count).map(client).collect();
-    clients.into_iter().for_each(|client| client.join().expect("a client"));
+    clients.into_iter().for_each(|client| client.join().expect("the client ends"));
 }
 
-/// What the same traffic needs before the usual number of executors, as processor time, by this build on this machine.
-fn usual_need() -> Duration {
-    static NEED: OnceLock<Duration> = OnceLock::new();
-    *NEED.get_or_init(|| {
-        let seen = play(&ExecutedRequest { executors: USUAL, share: None });
-        assert_eq!(seen.heard.lost.load(Ordering::Relaxed), 0, "{seen:?}");
-        seen.used
+/// The processor time that the same load takes with [`USUAL_WORKERS`] workers, by this build on this machine.
+fn usual_cpu_time() -> Duration {
+    static CPU_TIME: OnceLock<Duration> = OnceLock::new();
+    *CPU_TIME.get_or_init(|| {
+        let measured = measure(&Scenario { workers: USUAL_WORKERS, cpu_share: None });
+        assert_eq!(measured.requests.lost.load(Ordering::Relaxed), 0, "{measured:?}");
+        measured.cpu_time
     })
 }
 
-/// What the operators allow for more executors: 1.4 times, and 0.02 s and 0.03 s for each thousand.
+/// The operators allow, for more workers, 1.4 times the usual time, and 0.02 s and 0.03 s for each thousand.
 #[test]
-fn thousands_of_executors_cost_no_more_processor_time_than_allowed() {
-    let usual = usual_need();
-    let seen = play(&ExecutedRequest { executors: EXECUTORS, share: None });
+fn thousands_of_workers_cost_no_more_processor_time_than_allowed() {
+    let usual = usual_cpu_time();
+    let measured = measure(&Scenario { workers: WORKERS, cpu_share: None });
     let allowed = usual.mul_f64(1.4) + Duration::from_millis(20) + Duration::from_millis(30).mul_f64(3.2);
-    println!("{usual:?} with {USUAL} executors, {:?} with {EXECUTORS}, {allowed:?} allowed", seen.used);
-    assert!(seen.used <= allowed, "{:?} used, {allowed:?} allowed: {}", seen.used, seen.counters);
-}
-
-/// A node whose share of a core is [`SHARE_OF_NEED`] times what it needs in the mean with the usual number of executors
-/// answers everything in time with thousands.
+    println!(
+        "{usual:?} with {USUAL_WORKERS} workers, {:?} with {WORKERS}, {allowed:?} allowed",
+        measured.cpu_time
+    );
+    assert!(
+        measured.cpu_time <= allowed,
+        "{:?} used, {allowed:?} allowed: {}",
+        measured.cpu_time,
+        measured.counters
+    );
+}
+
+/// A node whose share of a core is [`SHARE_OF_USUAL_USE`] times its mean use with the usual number of workers answers
+/// everything in time with thousands.
 #[test]
-fn with_thousands_of_executors_each_request_is_answered_in_time_on_a_small_share_of_a_core() {
-    let share = (usual_need().div_duration_f64(LASTS) * SHARE_OF_NEED).min(0.9);
-    let seen = play(&ExecutedRequest { executors: EXECUTORS, share: Some(share) });
-    let heard = &seen.heard;
-    println!("share {share:.3}: {heard:?}, {}", seen.counters);
-    assert_eq!(heard.lost.load(Ordering::Relaxed), 0, "no answer in time on a share of {share:.3}: {seen:?}");
-    assert_eq!(heard.answered.load(Ordering::Relaxed), RATE * LASTS.as_secs() as usize);
+fn with_thousands_of_workers_each_request_is_answered_in_time_on_a_small_share_of_a_core() {
+    let share = (usual_cpu_time().div_duration_f64(LOAD_DURATION) * SHARE_OF_USUAL_USE).min(0.9);
+    let measured = measure(&Scenario { workers: WORKERS, cpu_share: Some(share) });
+    let requests = &measured.requests;
+    println!("share {share:.3}: {requests:?}, {}", measured.counters);
+    assert_eq!(
+        requests.lost.load(Ordering::Relaxed),
+        0,
+        "no answer in time on a share of {share:.3}: {measured:?}"
+    );
+    assert_eq!(
+        requests.answered.load(Ordering::Relaxed),
+        REQUESTS_PER_SECOND * LOAD_DURATION.as_secs() as usize
+    );
 }
--- /dev/null
+++ b/crates/node/tests/large_lists.rs
@@ -0,0 +1,194 @@
+//! Worker lists of a thousand entries within the least memory and descriptors, and lists that are mostly out of date.
+
+use sorrelhaven_test_support::{
+    CHUNKED_RESPONSE_HEAD, FakeWorkers, Program, RefusingPort, ScratchDir, TestRequest, read_request_target,
+    send_chunk, worker_list,
+};
+use std::io::Write;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::ops::Range;
+use std::process::Command;
+use std::thread;
+
+const WORKERS: usize = 1025;
+/// Zones, and kinds of workers, that the settings name.
+const NAMES: usize = 1025;
+const MEMORY_LIMIT_KIB: u64 = 32 * 1024;
+const DESCRIPTOR_LIMIT: usize = 256;
+
+/// An entry of the list. Workers share these addresses, but the node opens connections for each of them.
+fn entry(number: usize, addresses: &[SocketAddr], health: &str) -> String {
+    let dial = addresses[number % addresses.len()];
+    let name = number % NAMES;
+    format!(
+        r#"{{"host":"s-{number:08x}","dial":"{dial}","site":"zone-{name}","class":"kind-{name}","block":{number},"health":"{health}","share":1.0,"born_ms":0}}"#
+    )
+}
+
+/// The list laid out over many lines with deep indentation, as some JSON writers do.
+fn indented(list: &str) -> String {
+    let value: serde_json::Value = serde_json::from_str(list).expect("a list");
+    let mut text = Vec::new();
+    let format = serde_json::ser::PrettyFormatter::with_indent(b"        ");
+    let mut writer = serde_json::Serializer::with_formatter(&mut text, format);
+    serde::Serialize::serialize(&value, &mut writer).expect("text");
+    String::from_utf8(text).expect("text") + "\n"
+}
+
+fn config(addresses: &[SocketAddr], discovery: SocketAddr) -> String {
+    let names = |prefix: &str| -> String {
+        (0..NAMES).map(|number| format!("\"{prefix}-{number}\"")).collect::<Vec<_>>().join(",")
+    };
+    let known: Vec<String> = (0..WORKERS).map(|number| entry(number, addresses, "in_service")).collect();
+    format!(
+        r#"{{"name":"n1023","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"1f",
+            "limits":{{"sockets":256,"memory_mb":32}},"known":{},
+            "settings":{{"balancers":1024,"me":1023,"zone":3,"zones":[{}],"kinds":[{}],
+                "ceilings":{{"maxAttempts":3,"dialTimeout":250000,"cancel":true}},
+                "invariants":{{"cold":24000000,"fall":1000000,"overloadFactor":3.0,"startCapacity":0.12}},
+                "familyInfo":{{"tellsStart":true}},
+                "grades":[{{"name":"fee-charge","aim":300000,"deadline":5000000,"lateValue":0.5,
+                    "effect":"at_most_once"}}]}}}}"#,
+        worker_list(1, true, &known),
+        names("zone"),
+        names("kind"),
+    )
+}
+
+/// Accepts a poll of the node and begins to answer it.
+fn accept_watch(discovery: &TcpListener) -> TcpStream {
+    let mut stream = discovery.accept().expect("the node polls discovery").0;
+    read_request_target(&mut stream);
+    stream.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).expect("the node reads");
+    stream
+}
+
+/// The number in the line of `/proc/PID/status` with this key.
+fn process_status(node: &Program, key: &str) -> u64 {
+    let text =
+        std::fs::read_to_string(format!("/proc/{}/status", node.child.id())).expect("the process runs");
+    let line = text.lines().find_map(|line| line.strip_prefix(key)).expect("the key exists");
+    line.trim_matches(|character: char| !character.is_ascii_digit()).parse().expect("the value is a number")
+}
+
+/// The list is known from the start and is sent again indented; then there is an update for each worker, by which all
+/// but one leave and all return. Requests are answered throughout.
+#[test]
+fn a_node_among_1024_with_1025_workers_keeps_to_32_mb_and_256_descriptors() {
+    let addresses = FakeWorkers::new(8).addresses;
+    let discovery = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    let scratch = ScratchDir::new("many");
+    let file = scratch.write(
+        "node.json",
+        &config(&addresses, discovery.local_addr().expect("the listener has an address")),
+    );
+    let mut command = Command::new("sh");
+    // The log is read only at the end: a line for each list would fill the pipe and block the node.
+    command.args(["-c", "ulimit -n 256; exec \"$0\"", env!("CARGO_BIN_EXE_sorrelhaven")]);
+    command.env("RUST_LOG", "info,sorrelhaven_engine::discovery_watch=warn");
+    command.env("RELAY_OPS", "127.0.0.1:0");
+    let node = Program::start(command, &file, None);
+    let send_requests = |numbers: Range<u64>| {
+        for number in numbers {
+            let request = TestRequest {
+                work_hint_micros: Some(20_000),
+                ..TestRequest::new(&format!("q-{number}"), "fee-charge", b"body".to_vec())
+            };
+            let response = request.send(&node.address).expect("the request is answered");
+            assert_eq!(response.status, 200, "{number}: {}", response.body);
+        }
+    };
+    send_requests(0..100);
+    let mut watch = accept_watch(&discovery);
+    let entries = |health: &str| -> Vec<String> {
+        (0..WORKERS).map(|number| entry(number, &addresses, health)).collect()
+    };
+    send_chunk(&mut watch, &indented(&worker_list(2, true, &entries("in_service"))));
+    let mut version = 2;
+    for (first, health, skipped) in [(1, "terminating", WORKERS - 1), (0, "in_service", 0)] {
+        for entry in &entries(health)[first..] {
+            version += 1;
+            let update = worker_list(version, false, std::slice::from_ref(entry));
+            let text = if version % 3 == 0 { indented(&update) } else { update + "\n" };
+            send_chunk(&mut watch, &text);
+        }
+        while node.metric("node_skipped_executors") != skipped as u64 {
+            thread::yield_now();
+        }
+        assert_eq!(node.metric("node_known_executors"), WORKERS as u64);
+        send_requests(version..version + 100);
+    }
+    // A list with an invalid entry is logged by its key and not applied, and the full list is polled.
+    let mut invalid = entries("terminating");
+    invalid[700] = invalid[700].replace("terminating", "asleep");
+    send_chunk(&mut watch, &indented(&worker_list(version + 1, true, &invalid)));
+    let mut polled = accept_watch(&discovery);
+    send_chunk(&mut polled, &indented(&worker_list(version + 2, true, &entries("in_service"))));
+    send_requests(0..100);
+    assert_eq!(node.metric("node_skipped_executors"), 0);
+    let descriptors =
+        std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).expect("the process runs").count();
+    assert!(descriptors < DESCRIPTOR_LIMIT, "{descriptors} descriptors");
+    let peak_kib = process_status(&node, "VmHWM:");
+    println!("{peak_kib} KiB at most, {descriptors} descriptors");
+    assert!(peak_kib < MEMORY_LIMIT_KIB, "{peak_kib} KiB");
+    let log = node.terminate();
+    let is_fault = |line: &&str| line.contains("hosts[700].health") && line.contains("asleep");
+    let faults_logged = log.lines().filter(is_fault).count();
+    assert_eq!(faults_logged, 1, "{log}");
+}
+
+/// A node starts with a list of which four in five workers are gone, and discovery sends nothing yet. Each request is
+/// answered at once, served or rejected without a run, until the node has found out which workers are there; from then on
+/// all are served. The current list removes those that are gone.
+#[test]
+fn with_an_outdated_known_list_requests_are_answered_and_the_current_list_corrects_it() {
+    let workers = FakeWorkers::new(4);
+    let discovery = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    let gone: Vec<_> = (0..16).map(|_| RefusingPort::new().expect("a port is free")).collect();
+    let live = workers.addresses.iter().copied();
+    let known: Vec<SocketAddr> = gone.iter().map(|port| port.address).chain(live).collect();
+    let entry = |(number, dial): (usize, &SocketAddr)| {
+        format!(r#"{{"host":"s-{number}","dial":"{dial}","health":"in_service"}}"#)
+    };
+    let entries: Vec<String> = known.iter().enumerate().map(entry).collect();
+    let config = format!(
+        r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{}","seed":"1f","known":{},
+            "settings":{{"balancers":1,"ceilings":{{"maxAttempts":3,"dialTimeout":250000}},"invariants":{{}},
+                "familyInfo":{{"tellsStart":true}},
+                "grades":[{{"name":"fee","aim":300000,"deadline":5000000,"effect":"at_most_once"}}]}}}}"#,
+        discovery.local_addr().expect("the listener has an address"),
+        worker_list(1, true, &entries)
+    );
+    let scratch = ScratchDir::new("stale");
+    let command = Command::new(env!("CARGO_BIN_EXE_sorrelhaven"));
+    let mut node = Program::start(command, &scratch.write("node.json", &config), None);
+    let mut watch = accept_watch(&discovery);
+    let address = node.address.clone();
+    let count_served = |numbers: Range<u64>| {
+        let outcomes = numbers.map(|number| {
+            let request = TestRequest::new(&format!("q-{number}"), "fee", b"body".to_vec());
+            let response = request.send(&address).expect("the request is answered");
+            assert!([200, 503].contains(&response.status), "{number}: {}", response.status);
+            // A rejected request never ran.
+            let runs = workers.executions_of(&request.id).len();
+            assert_eq!(runs, usize::from(response.status == 200), "{number}");
+            assert!(response.elapsed.as_millis() < 1_000, "{number}: {:?}", response.elapsed);
+            response.status == 200
+        });
+        outcomes.filter(|served| *served).count()
+    };
+    let (learning, learned) = (count_served(0..30), count_served(30..60));
+    let failed = node.counter("connect_failed");
+    println!("{learning} of the first 30 served, {learned} of the next, {failed} connections refused");
+    assert!(learning >= 15 && learned == 30, "{learning} of the first 30 served, {learned} of the next");
+    assert!((1..=64).contains(&failed), "{failed} connections refused");
+    send_chunk(&mut watch, &(worker_list(2, true, &entries[16..]) + "\n"));
+    node.wait_for_log_line("workers=4");
+    assert_eq!(
+        (count_served(60..90), node.counter("connect_failed")),
+        (30, failed),
+        "nothing is sent to workers that are gone"
+    );
+    node.terminate();
+}
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -8,6 +8,7 @@
 mod chunked;
 mod client;
 mod cpu_share;
+mod fake_discovery;
 mod fake_disk;
 mod fake_workers;
 mod fault_proxy;
@@ -23,6 +24,7 @@
 pub use chunked::{CHUNKED_RESPONSE_HEAD, chunk, read_request_target, send_chunk};
 pub use client::{TestRequest, TestResponse};
 pub use cpu_share::{CpuShare, cpu_time};
+pub use fake_discovery::{WatchStep, serve_discovery, worker_list};
 pub use fake_disk::{DiskFaults, FakeDisk};
 pub use fake_workers::{
     ExecutedRequest, FakeWorkers, WorkerBehavior, checksum, reset_connection, sample_bytes,
