--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -1,36 +1,40 @@
-//! Real processes under faults that overlap; `crates/soak` says what is drawn and how it is judged.
+//! Real processes under faults that overlap; `crates/soak` describes what is drawn and what is checked.
 //!
-//! `SORRELHAVEN_SOAK=from..to` plays these seeds at the large size; without it two fixed seeds run at the small one.
+//! `SORRELHAVEN_SOAK=from..to` runs these seeds at the large size; without it two fixed seeds run at the small one.
 
 use sorrelhaven_soak::{Plan, Size, run};
 use std::path::Path;
 
-const FIXED: [u64; 2] = [11, 12];
+const FIXED_SEEDS: [u64; 2] = [11, 12];
 
 #[test]
-fn overlapping_faults_break_no_promise() {
-    let asked = std::env::var("SORRELHAVEN_SOAK").ok();
-    let (seeds, size): (Vec<u64>, Size) = match &asked {
-        None => (FIXED.to_vec(), Size::SHORT),
+fn overlapping_faults_violate_no_rule() {
+    let requested_seeds = std::env::var("SORRELHAVEN_SOAK").ok();
+    let (seeds, size): (Vec<u64>, Size) = match &requested_seeds {
+        None => (FIXED_SEEDS.to_vec(), Size::SHORT),
         Some(text) => {
             let (from, to) = text.split_once("..").expect("from..to");
-            ((from.parse().expect("a seed")..to.parse().expect("a seed")).collect(), Size::LONG)
+            (
+                (from.parse().expect("a seed is a number")..to.parse().expect("a seed is a number"))
+                    .collect(),
+                Size::LONG,
+            )
         }
     };
-    let mut broken = Vec::new();
+    let mut failed = Vec::new();
     for seed in seeds {
         let plan = Plan::draw(seed, size);
         let verdict = run(Path::new(env!("CARGO_BIN_EXE_sorrelhaven")), &plan);
-        let faults = verdict.faults.len();
+        let violations = verdict.violations.len();
         println!(
-            "seed {seed}: {} asked, {} served, {} processes, {} faults injected, {faults} rules broken",
-            verdict.asked, verdict.served, verdict.processes, verdict.injected_faults
+            "seed {seed}: {} sent, {} served, {} processes, {} faults injected, {violations} rules violated",
+            verdict.requested, verdict.served, verdict.processes, verdict.injected_faults
         );
-        assert!(verdict.served * 4 > verdict.asked, "too little is served to prove anything");
-        if faults > 0 {
-            println!("{plan}{}", verdict.faults.join("\n"));
-            broken.push(seed);
+        assert!(verdict.served * 4 > verdict.requested, "too little is served to prove anything");
+        if violations > 0 {
+            println!("{plan}{}", verdict.violations.join("\n"));
+            failed.push(seed);
         }
     }
-    assert_eq!(broken, [0; 0], "play one again: SORRELHAVEN_SOAK=SEED..SEED+1, or as here without it");
+    assert_eq!(failed, [0; 0], "replay one seed with SORRELHAVEN_SOAK=SEED..SEED+1, or as here without it");
 }
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,184 +1,185 @@
-//! A fake discovery: watches on one list of any length, which may fall silent or be closed.
+//! The discovery of a soak: one worker list of any length, whose watches may be silent or closed.
 
-use sorrelhaven_test_support::{CHUNKED_RESPONSE_HEAD, chunk};
-use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use sorrelhaven_test_support::{WatchStep, serve_discovery, worker_list};
+use std::net::SocketAddr;
+use std::ops::Range;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-const LOOK: Duration = Duration::from_millis(5);
-/// Something is said at least this often.
-const KEEP_ALIVE: Duration = Duration::from_millis(1_000);
-
-/// Parts in which a release is told.
+/// Updates of the list in which a release is sent.
 const RELEASE_PARTS: usize = 10;
+/// A drain that would leave fewer workers than this in service does not happen.
+const MIN_WORKERS_IN_SERVICE: usize = 2;
+const IN_SERVICE: &str = "in_service";
+const TERMINATING: &str = "terminating";
 
 #[derive(Clone)]
-struct Host {
-    dial: SocketAddr,
+struct Entry {
+    address: SocketAddr,
     health: &'static str,
-    born_ms: u128,
-    /// The list's version in which it changed last.
-    changed: u64,
+    started_at_unix_ms: u128,
+    /// The version of the list in which it changed last.
+    changed_in: u64,
 }
 
 struct State {
-    seq: u64,
-    hosts: Vec<Host>,
+    version: u64,
+    entries: Vec<Entry>,
     silent_until: Instant,
+    /// How often all watches were closed.
     resets: u64,
-    /// Executors behind the entries: entry n is one of number n modulo this.
-    executors: usize,
+    /// Entry `i` is an entry of worker `i % worker_count`.
+    worker_count: usize,
 }
 
 impl State {
-    /// The entries of one executor are like this from now on.
-    fn change(&mut self, executor: usize, health: &'static str, born_ms: u128) {
-        let (changed, executors) = (self.next(), self.executors);
-        for host in self.hosts.iter_mut().skip(executor).step_by(executors) {
-            *host = Host { dial: host.dial, health, born_ms, changed };
+    fn entries_of(&self, worker: usize) -> impl Iterator<Item = &Entry> {
+        self.entries.iter().skip(worker).step_by(self.worker_count)
+    }
+
+    /// Sets the state of all entries of one worker.
+    fn update_worker(&mut self, worker: usize, health: &'static str, started_at_unix_ms: u128) {
+        let changed_in = self.next_version();
+        for entry in self.entries.iter_mut().skip(worker).step_by(self.worker_count) {
+            *entry = Entry { address: entry.address, health, started_at_unix_ms, changed_in };
         }
     }
 
-    /// These entries drain, and new ones for the same executors come.
-    fn replace(&mut self, entries: std::ops::Range<usize>) {
-        let changed = self.next();
-        for entry in entries {
-            let dial = self.hosts[entry].dial;
-            self.hosts[entry] = Host { health: "terminating", changed, ..self.hosts[entry].clone() };
-            self.hosts.push(Host { dial, health: "in_service", born_ms: now_ms(), changed });
+    /// Drains these entries and adds new ones for the same workers.
+    fn replace(&mut self, indices: Range<usize>) {
+        let changed_in = self.next_version();
+        for index in indices {
+            let old = &mut self.entries[index];
+            old.health = TERMINATING;
+            old.changed_in = changed_in;
+            let address = old.address;
+            let started_at_unix_ms = unix_time_ms();
+            self.entries.push(Entry { address, health: IN_SERVICE, started_at_unix_ms, changed_in });
         }
     }
 
-    /// The next version of the list.
-    fn next(&mut self) -> u64 {
-        self.seq += 1;
-        self.seq
+    fn next_version(&mut self) -> u64 {
+        self.version += 1;
+        self.version
+    }
+
+    /// What has changed after `version`, as an update of the list; the full list after version 0.
+    fn update_after(&self, version: u64) -> String {
+        let changed = self.entries.iter().enumerate().filter(|(_, entry)| entry.changed_in > version);
+        let entries: Vec<String> = changed.map(|(number, entry)| entry.to_json(number)).collect();
+        worker_list(self.version, version == 0, &entries) + "\n"
+    }
+}
+
+impl Entry {
+    fn to_json(&self, number: usize) -> String {
+        let Entry { address, health, started_at_unix_ms, .. } = self;
+        format!(
+            r#"{{"host":"s-{number}","dial":"{address}","health":"{health}","born_ms":{started_at_unix_ms}}}"#
+        )
     }
 }
 
-fn now_ms() -> u128 {
+fn unix_time_ms() -> u128 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis()
 }
 
-/// Discovery as all nodes of a soak see it.
+/// Discovery as all nodes of a soak see it. Clones are the same discovery.
 #[derive(Clone)]
 pub struct Discovery {
     state: Arc<Mutex<State>>,
-    /// Where it listens.
+    /// The address at which nodes poll it.
     pub address: SocketAddr,
 }
 
 impl Discovery {
-    /// So many entries for these executors, all in service for long.
-    pub fn new(dials: &[SocketAddr], entries: usize) -> Discovery {
-        let host = |dial: &SocketAddr| Host { dial: *dial, health: "in_service", born_ms: 0, changed: 1 };
-        let hosts = dials.iter().cycle().take(entries).map(host).collect();
-        let executors = dials.len();
-        let state = State { seq: 1, hosts, silent_until: Instant::now(), resets: 0, executors };
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("its address");
-        let discovery = Discovery { state: Arc::new(Mutex::new(state)), address };
-        let at = discovery.clone();
-        thread::spawn(move || {
-            for stream in listener.incoming().flatten() {
-                let at = at.clone();
-                thread::spawn(move || at.serve(stream));
-            }
-        });
-        discovery
+    /// Starts a discovery with `entry_count` entries for the workers at these addresses, all long in service.
+    pub fn new(worker_addresses: &[SocketAddr], entry_count: usize) -> Discovery {
+        let new_entry = |address: &SocketAddr| Entry {
+            address: *address,
+            health: IN_SERVICE,
+            started_at_unix_ms: 0,
+            changed_in: 1,
+        };
+        let state = Arc::new(Mutex::new(State {
+            version: 1,
+            entries: worker_addresses.iter().cycle().take(entry_count).map(new_entry).collect(),
+            silent_until: Instant::now(),
+            resets: 0,
+            worker_count: worker_addresses.len(),
+        }));
+        let served = state.clone();
+        let address = serve_discovery(move || new_watch(served.clone()));
+        Discovery { state, address }
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.state)
     }
 
-    /// All entries of an executor begin to drain; two executors stay in service.
-    pub fn drain(&self, executor: usize) {
+    /// Drains all entries of a worker, if enough workers are in service.
+    pub fn drain(&self, worker: usize) {
         let mut state = self.state();
-        let in_service = |at: &usize| {
-            state.hosts.iter().skip(*at).step_by(state.executors).any(|host| host.health == "in_service")
-        };
-        if (0..state.executors).filter(in_service).count() > 2 {
-            state.change(executor, "terminating", 0);
+        let is_in_service =
+            |worker: &usize| state.entries_of(*worker).any(|entry| entry.health == IN_SERVICE);
+        if (0..state.worker_count).filter(is_in_service).count() > MIN_WORKERS_IN_SERVICE {
+            state.update_worker(worker, TERMINATING, 0);
         }
     }
 
-    /// The entries of an executor that drain are in service again, started just now.
-    pub fn born(&self, executor: usize) {
+    /// Puts all entries of a worker in service, started just now, if any of them drains.
+    pub fn restart_worker(&self, worker: usize) {
         let mut state = self.state();
-        let drains = |host: &Host| host.health != "in_service";
-        if state.hosts.iter().skip(executor).step_by(state.executors).any(drains) {
-            state.change(executor, "in_service", now_ms());
+        if state.entries_of(worker).any(|entry| entry.health != IN_SERVICE) {
+            state.update_worker(worker, IN_SERVICE, unix_time_ms());
         }
     }
 
-    /// Half of the entries drain, and as many new ones come, a part at a time for so long.
-    pub fn release(&self, lasts: Duration) {
-        let at = self.clone();
+    /// Drains half of the entries and adds as many new ones, in steps that take `duration` together.
+    pub fn release(&self, duration: Duration) {
+        let discovery = self.clone();
         thread::spawn(move || {
-            let part = at.state().hosts.len() / 2 / RELEASE_PARTS;
-            for number in 0..RELEASE_PARTS {
-                at.state().replace(number * part..(number + 1) * part);
-                thread::sleep(lasts / RELEASE_PARTS as u32);
+            let part_length = discovery.state().entries.len() / 2 / RELEASE_PARTS;
+            for part in 0..RELEASE_PARTS {
+                discovery.state().replace(part * part_length..(part + 1) * part_length);
+                thread::sleep(duration / RELEASE_PARTS as u32);
             }
         });
     }
 
-    /// Nothing is said for so long.
-    pub fn silent(&self, lasts: Duration) {
-        self.state().silent_until = Instant::now() + lasts;
+    /// Sends nothing for `duration`.
+    pub fn silence(&self, duration: Duration) {
+        self.state().silent_until = Instant::now() + duration;
     }
 
-    /// All watches are closed.
+    /// Closes all watches.
     pub fn reset(&self) {
         self.state().resets += 1;
     }
+}
 
-    fn serve(&self, mut stream: TcpStream) {
-        let mut head = Vec::new();
-        while !head.ends_with(b"\r\n\r\n") {
-            let mut byte = [0];
-            if !matches!(stream.read(&mut byte), Ok(1)) {
-                return;
-            }
-            head.push(byte[0]);
+fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
+    state.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+/// A watch that sends the full list first and then each change.
+fn new_watch(state: Arc<Mutex<State>>) -> impl FnMut() -> WatchStep {
+    let resets_at_start = lock(&state).resets;
+    let mut sent_version = 0;
+    move || {
+        let state = lock(&state);
+        if state.resets != resets_at_start {
+            return WatchStep::Close;
         }
-        let (resets, mut told, mut last) = (self.state().resets, 0, Instant::now());
-        let mut text = CHUNKED_RESPONSE_HEAD.to_string();
-        loop {
-            let state = self.state();
-            if state.resets != resets {
-                return;
-            }
-            let silent = Instant::now() < state.silent_until;
-            if !silent && state.seq != told {
-                text += &chunk(&list(&state, told));
-                told = state.seq;
-            } else if !silent && last.elapsed() > KEEP_ALIVE {
-                text += &chunk("\n");
-            }
-            drop(state);
-            if !text.is_empty() && !silent {
-                if stream.write_all(text.as_bytes()).is_err() {
-                    return;
-                }
-                text.clear();
-                last = Instant::now();
-            }
-            thread::sleep(LOOK);
+        if Instant::now() < state.silent_until {
+            return WatchStep::StaySilent;
+        }
+        if state.version == sent_version {
+            return WatchStep::Send(Vec::new());
         }
+        let update = state.update_after(sent_version);
+        sent_version = state.version;
+        WatchStep::Send(vec![update])
     }
 }
-
-/// What has changed after this version; after none, the whole list.
-fn list(state: &State, after: u64) -> String {
-    let host = |(number, host): (usize, &Host)| {
-        let Host { dial, health, born_ms, .. } = host;
-        format!(r#"{{"host":"s-{number}","dial":"{dial}","health":"{health}","born_ms":{born_ms}}}"#)
-    };
-    let changed = state.hosts.iter().enumerate().filter(|(_, host)| host.changed > after);
-    let hosts: Vec<String> = changed.map(host).collect();
-    format!("{{\"seq\":{},\"whole\":{},\"hosts\":[{}]}}\n", state.seq, after == 0, hosts.join(","))
-}
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,13 +1,11 @@
-//! The processes of a soak, what happens to them, and the verdict.
+//! The processes of a soak, and the faults that they meet.
 
-use crate::client::{self, Shared};
 use crate::discovery::Discovery;
-use crate::plan::{Plan, Trouble};
+use crate::node_history::{EndCause, NodeHistory};
+use crate::plan::{Fault, Plan, Size};
 use crate::proxy::Proxy;
-use fastrand::Rng;
-use sorrelhaven_test_support::{
-    Checker, FakeWorkers, FaultPlan, Program, ScratchDir, WorkerBehavior, workers_config,
-};
+use crate::verdict::Verdict;
+use sorrelhaven_test_support::{FakeWorkers, FaultPlan, Program, ScratchDir, WorkerBehavior, workers_config};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::Command;
@@ -15,252 +13,206 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Clients of each node.
-const CLIENTS: usize = 3;
-
-/// Descriptors of each node, the least that it has to do with: entries by the thousand have a connection each, so that
+/// Descriptors of each node, the fewest that it works with: list entries by the thousand have a connection each, so that
 /// nodes run short of them.
-const SOCKETS: usize = 256;
-
-/// One process in a node's place.
-#[derive(Clone)]
-pub struct Life {
-    /// Where it listens.
-    pub address: SocketAddr,
-    number: usize,
+const DESCRIPTOR_LIMIT: usize = 256;
+/// How long a worker runs a job.
+const JOB_MILLIS: u64 = 5;
+/// The names of the files, in the scratch directory, to which the fault shim writes its counts, begin so.
+const FAULT_COUNTS_PREFIX: &str = "faults-";
+
+/// The workers, their proxies and discovery, which outlive the nodes.
+pub(crate) struct Environment {
+    pub(crate) workers: FakeWorkers,
+    proxies: Vec<Proxy>,
+    discovery: Discovery,
 }
 
-/// How a process's life was ended from outside.
-#[derive(Clone, Copy)]
-enum Ended {
-    Told(Instant),
-    Killed,
-}
-
-#[derive(Default)]
-struct Lives {
-    current: Option<Life>,
-    ended: Vec<Option<Ended>>,
-}
-
-/// A node's place in the fleet, in which one process follows another.
-#[derive(Default)]
-pub struct Place(Mutex<Lives>);
-
-impl Place {
-    fn lives(&self) -> MutexGuard<'_, Lives> {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    /// The process that takes clients now.
-    pub fn life(&self) -> Life {
-        self.lives().current.clone().expect("a process")
+impl Environment {
+    pub(crate) fn start(size: Size) -> Environment {
+        let workers = FakeWorkers::new(size.workers);
+        workers.set_default_behavior(WorkerBehavior::DoneAfterMillis(JOB_MILLIS));
+        let proxies: Vec<Proxy> = workers.addresses.iter().map(|address| Proxy::new(*address)).collect();
+        let addresses: Vec<SocketAddr> = proxies.iter().map(|proxy| proxy.address).collect();
+        let discovery = Discovery::new(&addresses, size.list_entries);
+        Environment { workers, proxies, discovery }
     }
 
-    fn begin(&self, address: &str) {
-        let mut lives = self.lives();
-        let number = lives.ended.len();
-        lives.ended.push(None);
-        lives.current = Some(Life { address: address.parse().expect("its address"), number });
-    }
-
-    fn end(&self, ended: Ended) {
-        let mut lives = self.lives();
-        let number = lives.current.as_ref().expect("a process").number;
-        lives.ended[number] = Some(ended);
-    }
-
-    /// Whether this process was killed.
-    pub fn was_killed(&self, life: &Life) -> bool {
-        matches!(self.lives().ended[life.number], Some(Ended::Killed))
-    }
-
-    /// Whether a process may have closed a connection without an answer on which a request was begun then: it was killed,
-    /// or told to end `door` before.
-    pub fn may_close(&self, life: &Life, begun: Instant, door: Duration) -> bool {
-        match self.lives().ended[life.number] {
-            Some(Ended::Killed) => true,
-            Some(Ended::Told(at)) => begun > at + door,
-            None => false,
-        }
+    /// The configuration file of the node `number` of `node_count`.
+    fn node_config(&self, number: usize, node_count: usize) -> String {
+        let addresses: Vec<SocketAddr> = self.proxies.iter().map(|proxy| proxy.address).collect();
+        workers_config(&addresses)
+            .replace("127.0.0.1:1\"", &format!("{}\"", self.discovery.address))
+            .replace("\"balancers\":1", &format!("\"balancers\":{node_count},\"me\":{number}"))
+            .replace("\"sockets\":1024", &format!("\"sockets\":{DESCRIPTOR_LIMIT}"))
+            .replace("\"seed\":\"1f\"", &format!("\"seed\":\"{number:x}f\""))
     }
 }
 
-/// What a soak came to.
-#[derive(Debug, Default)]
-pub struct Verdict {
-    /// Each broken rule, a line each.
-    pub faults: Vec<String>,
-    /// Requests asked.
-    pub asked: usize,
-    /// Requests served.
-    pub served: usize,
-    /// Processes that were started.
-    pub processes: usize,
-    /// Faults that the shim injected into processes that ended by themselves.
-    pub injected_faults: u64,
+/// One node of the fleet.
+struct Node {
+    history: Arc<NodeHistory>,
+    /// The process that runs; `None` after the end of the soak.
+    program: Option<Program>,
+    config: String,
 }
 
-/// The fleet while it runs.
-struct Fleet<'a> {
+/// The nodes while the soak runs.
+pub(crate) struct Fleet<'a> {
     program: &'a Path,
     plan: &'a Plan,
     scratch: ScratchDir,
-    places: Vec<Arc<Place>>,
-    nodes: Vec<Option<Program>>,
-    configs: Vec<String>,
+    nodes: Vec<Node>,
     verdict: Arc<Mutex<Verdict>>,
-    endings: Vec<thread::JoinHandle<()>>,
+    /// One thread for each process that has got SIGTERM; it panics if the process fails to end.
+    shutdowns: Vec<thread::JoinHandle<()>>,
 }
 
-impl Fleet<'_> {
-    fn start(&mut self, node: usize) {
-        let number = {
-            let mut verdict = self.verdict.lock().unwrap_or_else(PoisonError::into_inner);
+impl<'a> Fleet<'a> {
+    /// Starts all nodes, with the program at this path.
+    pub(crate) fn start(program: &'a Path, plan: &'a Plan, environment: &Environment) -> Fleet<'a> {
+        let node_count = plan.size.nodes;
+        let new_node = |number| Node {
+            history: Arc::default(),
+            program: None,
+            config: environment.node_config(number, node_count),
+        };
+        let mut fleet = Fleet {
+            program,
+            plan,
+            scratch: ScratchDir::new("soak"),
+            nodes: (0..node_count).map(new_node).collect(),
+            verdict: Arc::default(),
+            shutdowns: Vec::new(),
+        };
+        (0..node_count).for_each(|number| fleet.start_node(number));
+        fleet
+    }
+
+    /// The incarnations of a node.
+    pub(crate) fn history(&self, number: usize) -> Arc<NodeHistory> {
+        self.nodes[number].history.clone()
+    }
+
+    fn start_node(&mut self, number: usize) {
+        let process_number = {
+            let mut verdict = lock(&self.verdict);
             verdict.processes += 1;
             verdict.processes
         };
-        let system = &self.plan.systems[node];
+        let system = &self.plan.systems[number];
         let shim = FaultPlan {
             calls: system.calls.clone(),
-            clock: format!("0:{}", system.clock_ms),
+            clock: format!("0:{}", system.clock_offset_ms),
             seed: self.plan.seed,
         };
+        let counts_file = format!("{FAULT_COUNTS_PREFIX}{process_number}");
         let mut command = Command::new(self.program);
         shim.preload(&mut command, &self.scratch);
-        command.env("FAULT_COUNTS", self.scratch.path(&format!("faults-{number}")));
+        command.env("FAULT_COUNTS", self.scratch.path(&counts_file));
         command.env("RUST_LOG", "error,sorrelhaven=info");
-        let config = self.scratch.write(&format!("node-{node}.json"), &self.configs[node]);
+        let node = &mut self.nodes[number];
+        let config = self.scratch.write(&format!("node-{number}.json"), &node.config);
         let program = Program::start(command, &config, None);
-        self.places[node].begin(&program.address);
-        self.nodes[node] = Some(program);
+        node.history.record_start(&program.address);
+        node.program = Some(program);
     }
 
-    /// Has a process that was told to end run to its end beside everything else, and judges its last words.
-    fn let_end(&mut self, node: usize) {
-        self.places[node].end(Ended::Told(Instant::now()));
-        let Some(program) = self.nodes[node].take() else { return };
+    /// Ends a node with SIGTERM. A thread waits for its end and checks its last counters, so that the soak goes on.
+    fn terminate_node(&mut self, number: usize) {
+        let node = &mut self.nodes[number];
+        node.history.record_end(EndCause::Terminated(Instant::now()));
+        let Some(program) = node.program.take() else { return };
         let verdict = self.verdict.clone();
         program.signal("TERM");
-        self.endings.push(thread::spawn(move || {
+        self.shutdowns.push(thread::spawn(move || {
             let log = program.terminate();
-            let mut verdict = verdict.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut verdict = lock(&verdict);
             if !log.contains(" invariant_violations=0 ") {
-                verdict.faults.push(format!("node {node}: an invariant was violated: {log}"));
+                verdict.violations.push(format!("node {number}: an invariant was violated: {log}"));
             }
             if !log.contains(" in_progress=0 ") {
-                verdict.faults.push(format!("node {node} ended with requests in progress: {log}"));
+                verdict.violations.push(format!("node {number} ended with requests in progress: {log}"));
             }
         }));
     }
 
-    fn meet(&mut self, trouble: Trouble, executors: &FakeWorkers, proxies: &[Proxy], discovery: &Discovery) {
-        match trouble {
-            Trouble::HeldUp(node, ms) => {
-                let Some(program) = &self.nodes[node] else { return };
+    fn kill_node(&mut self, number: usize) {
+        let node = &mut self.nodes[number];
+        node.history.record_end(EndCause::Killed);
+        // Dropping a program kills it.
+        node.program = None;
+    }
+
+    /// Makes a fault happen.
+    pub(crate) fn inject(&mut self, fault: Fault, environment: &Environment) {
+        let Environment { workers, proxies, discovery } = environment;
+        match fault {
+            Fault::PauseNode { node, millis } => {
+                let Some(program) = &self.nodes[node].program else { return };
                 program.signal("STOP");
-                thread::sleep(Duration::from_millis(ms));
+                thread::sleep(Duration::from_millis(millis));
                 program.signal("CONT");
             }
-            Trouble::Reload(node) => self.nodes[node].iter().for_each(|program| program.signal("HUP")),
-            Trouble::Restart(node) => {
-                self.let_end(node);
-                self.start(node);
+            Fault::ReloadNode { node } => {
+                let Some(program) = &self.nodes[node].program else { return };
+                program.signal("HUP");
+            }
+            Fault::RestartNode { node } => {
+                self.terminate_node(node);
+                self.start_node(node);
             }
-            Trouble::Kill(node) => {
-                self.places[node].end(Ended::Killed);
-                // Dropping it kills it.
-                self.nodes[node] = None;
-                self.start(node);
+            Fault::KillNode { node } => {
+                self.kill_node(node);
+                self.start_node(node);
             }
-            Trouble::Network(executor, link, ms) => proxies[executor].set(link, Duration::from_millis(ms)),
-            Trouble::Drain(executor) => discovery.drain(executor),
-            Trouble::Born(executor) => discovery.born(executor),
-            Trouble::DiscoverySilent(ms) => discovery.silent(Duration::from_millis(ms)),
-            Trouble::DiscoveryResets => discovery.reset(),
-            Trouble::Release(ms) => discovery.release(Duration::from_millis(ms)),
-            Trouble::Hang(executor, ms) => hang(executors, executor, Duration::from_millis(ms)),
-            Trouble::Script(acts) => executors.script(&acts),
+            Fault::DisturbConnections { worker, fault, millis } => {
+                proxies[worker].disturb(fault, Duration::from_millis(millis));
+            }
+            Fault::DrainWorker { worker } => discovery.drain(worker),
+            Fault::RestartWorker { worker } => discovery.restart_worker(worker),
+            Fault::SilenceDiscovery { millis } => discovery.silence(Duration::from_millis(millis)),
+            Fault::ResetDiscovery => discovery.reset(),
+            Fault::Release { millis } => discovery.release(Duration::from_millis(millis)),
+            Fault::HangWorker { worker, millis } => hang_worker(workers, worker, millis),
+            Fault::ScriptWorkers(behaviors) => workers.script(&behaviors),
         }
     }
-}
 
-/// An executor says nothing for so long to the requests that it takes, and resets their connections then.
-fn hang(executors: &FakeWorkers, executor: usize, lasts: Duration) {
-    let silent = WorkerBehavior::SilentThenReset(lasts.as_millis() as u64);
-    executors.set_worker_behavior(executor, Some(silent));
-    let executors = executors.clone();
-    thread::spawn(move || {
-        thread::sleep(lasts);
-        executors.set_worker_behavior(executor, None);
-    });
+    /// Ends all nodes and returns what their processes add to the verdict.
+    pub(crate) fn terminate(mut self) -> Verdict {
+        (0..self.nodes.len()).for_each(|number| self.terminate_node(number));
+        let shutdowns = std::mem::take(&mut self.shutdowns);
+        let failed = shutdowns.into_iter().filter_map(|shutdown| shutdown.join().err()).count();
+        let mut verdict = std::mem::take(&mut *lock(&self.verdict));
+        verdict.violations.extend((0..failed).map(|_| "a node did not end cleanly".to_string()));
+        verdict.injected_faults = count_injected_faults(&self.scratch);
+        verdict
+    }
 }
 
-/// The settings of one node of the fleet.
-fn config(number: usize, nodes: usize, proxies: &[Proxy], discovery: SocketAddr) -> String {
-    let addresses: Vec<SocketAddr> = proxies.iter().map(|proxy| proxy.address).collect();
-    workers_config(&addresses)
-        .replace("127.0.0.1:1\"", &format!("{discovery}\""))
-        .replace("\"balancers\":1", &format!("\"balancers\":{nodes},\"me\":{number}"))
-        .replace("\"sockets\":1024", &format!("\"sockets\":{SOCKETS}"))
-        .replace("\"seed\":\"1f\"", &format!("\"seed\":\"{number:x}f\""))
+fn lock(verdict: &Mutex<Verdict>) -> MutexGuard<'_, Verdict> {
+    verdict.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Plays a plan with the program at this path, and judges it.
-pub fn run(program: &Path, plan: &Plan) -> Verdict {
-    let size = plan.size;
-    let executors = FakeWorkers::new(size.executors);
-    executors.set_default_behavior(WorkerBehavior::DoneAfterMillis(5));
-    let proxies: Vec<Proxy> = executors.addresses.iter().map(|address| Proxy::new(*address)).collect();
-    let discovery =
-        Discovery::new(&proxies.iter().map(|proxy| proxy.address).collect::<Vec<_>>(), size.entries);
-    let configs = (0..size.nodes).map(|n| config(n, size.nodes, &proxies, discovery.address)).collect();
-    let mut fleet = Fleet {
-        program,
-        plan,
-        scratch: ScratchDir::new("soak"),
-        places: (0..size.nodes).map(|_| Arc::default()).collect(),
-        nodes: (0..size.nodes).map(|_| None).collect(),
-        configs,
-        verdict: Arc::default(),
-        endings: Vec::new(),
-    };
-    (0..size.nodes).for_each(|node| fleet.start(node));
-    let begun = Instant::now();
-    let shared =
-        Arc::new(Shared { checker: Checker::default(), lost: Mutex::default(), until: begun + size.lasts });
-    let clients: Vec<_> = (0..size.nodes * CLIENTS)
-        .map(|number| {
-            let (place, shared) = (fleet.places[number % size.nodes].clone(), shared.clone());
-            let rng = Rng::with_seed(plan.seed ^ ((number as u64) << 32));
-            thread::spawn(move || client::run(number, &place, &shared, rng))
-        })
-        .collect();
-    for (at, trouble) in &plan.timeline {
-        thread::sleep((begun + *at).saturating_duration_since(Instant::now()));
-        fleet.meet(*trouble, &executors, &proxies, &discovery);
-    }
-    clients.into_iter().for_each(|client| client.join().expect("a client"));
-    (0..size.nodes).for_each(|node| fleet.let_end(node));
-    let endings = std::mem::take(&mut fleet.endings);
-    let crashed = endings.into_iter().filter_map(|ending| ending.join().err()).count();
-    let mut verdict = std::mem::take(&mut *fleet.verdict.lock().unwrap_or_else(PoisonError::into_inner));
-    verdict.faults.extend((0..crashed).map(|_| "a node did not end cleanly".to_string()));
-    verdict.faults.extend(shared.checker.violations(&executors.executed_requests()));
-    verdict.faults.append(&mut shared.lost.lock().unwrap_or_else(PoisonError::into_inner));
-    let totals = shared.checker.totals();
-    verdict.asked = totals.requested;
-    verdict.served = totals.served;
-    verdict.injected_faults = injected_faults(&fleet.scratch);
-    verdict
+/// A worker sends nothing for so long to the requests that it accepts, and then resets their connections.
+fn hang_worker(workers: &FakeWorkers, worker: usize, millis: u64) {
+    workers.set_worker_behavior(worker, Some(WorkerBehavior::SilentThenReset(millis)));
+    let workers = workers.clone();
+    thread::spawn(move || {
+        thread::sleep(Duration::from_millis(millis));
+        workers.set_worker_behavior(worker, None);
+    });
 }
 
 /// All faults that the shim injected into processes that ended by themselves.
-fn injected_faults(scratch: &ScratchDir) -> u64 {
-    let names = scratch.file_names(".").into_iter().filter(|name| name.starts_with("faults-"));
-    let counts = names.map(|name| std::fs::read_to_string(scratch.path(&name)).unwrap_or_default());
-    let of = |text: String| -> u64 {
-        text.lines().filter_map(|l| l.rsplit(' ').next()?.parse::<u64>().ok()).sum()
-    };
-    counts.map(of).sum()
+fn count_injected_faults(scratch: &ScratchDir) -> u64 {
+    let names = scratch.file_names(".").into_iter().filter(|name| name.starts_with(FAULT_COUNTS_PREFIX));
+    let texts = names.map(|name| std::fs::read_to_string(scratch.path(&name)).unwrap_or_default());
+    texts.map(|text| sum_counts(&text)).sum()
+}
+
+/// The sum of the counts, the last word of each line.
+fn sum_counts(text: &str) -> u64 {
+    text.lines().filter_map(|line| line.rsplit(' ').next()?.parse::<u64>().ok()).sum()
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -10,74 +10,88 @@
 pub struct Size {
     /// Processes of the program.
     pub nodes: usize,
-    /// Executors.
-    pub executors: usize,
-    /// Entries of the list, each one of these executors.
-    pub entries: usize,
-    /// How long clients come.
-    pub lasts: Duration,
-    /// Troubles that overlap.
-    pub troubles: usize,
+    /// Fake workers.
+    pub workers: usize,
+    /// Entries of the worker list, each one of these workers.
+    pub list_entries: usize,
+    /// How long clients send requests.
+    pub duration: Duration,
+    /// Faults, which overlap.
+    pub faults: usize,
 }
 
 impl Size {
     /// For continuous integration: a few seconds.
     pub const SHORT: Size =
-        Size { nodes: 8, executors: 6, entries: 3_000, lasts: Duration::from_millis(3_000), troubles: 6 };
+        Size { nodes: 8, workers: 6, list_entries: 3_000, duration: Duration::from_millis(3_000), faults: 6 };
     /// On demand.
-    pub const LONG: Size =
-        Size { nodes: 10, executors: 12, entries: 3_000, lasts: Duration::from_millis(12_000), troubles: 24 };
+    pub const LONG: Size = Size {
+        nodes: 10,
+        workers: 12,
+        list_entries: 3_000,
+        duration: Duration::from_millis(12_000),
+        faults: 24,
+    };
 }
 
-/// What happens to the connections of one executor.
+/// What happens to the connections of one worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Link {
-    /// Bytes take this many milliseconds more.
-    Delayed(u64),
+pub enum ConnectionFault {
+    /// Bytes take this much longer.
+    Delay { millis: u64 },
     /// No byte goes either way, and none is lost.
-    Stalled,
-    /// Answers are lost; requests arrive.
-    CutBack,
-    /// All connections are reset at the beginning, and new ones at once.
+    Stall,
+    /// Responses are lost; requests arrive.
+    LoseResponses,
+    /// All connections are reset at the beginning, and new ones when they are opened.
     Reset,
 }
 
-/// One trouble.
+/// One fault of a soak.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
-    /// A node is held up (SIGSTOP) for so long.
-    HeldUp(usize, u64),
-    /// A node is told to read its configuration again.
-    Reload(usize),
-    /// A node is told to end, and another is started in its place at once.
-    Restart(usize),
-    /// A node is killed, and another is started in its place.
-    Kill(usize),
-    /// The connections of an executor, for so long.
-    Network(usize, Link, u64),
-    /// An executor begins to drain.
-    Drain(usize),
-    /// An executor that drained is there again, started anew.
-    Born(usize),
-    /// Half of the list is replaced within this many milliseconds.
-    Release(u64),
-    /// An executor takes requests and says nothing for so many milliseconds, then resets the connections.
-    Hang(usize, u64),
-    /// Discovery says nothing to anybody, for so long.
-    DiscoverySilent(u64),
+pub enum Fault {
+    /// A node is stopped with SIGSTOP and goes on after this time.
+    PauseNode { node: usize, millis: u64 },
+    /// A node reads its configuration again.
+    ReloadNode { node: usize },
+    /// A node gets SIGTERM, and another process takes its place at once.
+    RestartNode { node: usize },
+    /// A node is killed, and another process takes its place.
+    KillNode { node: usize },
+    /// The connections of a worker are disturbed for this time.
+    DisturbConnections { worker: usize, fault: ConnectionFault, millis: u64 },
+    /// A worker begins to drain.
+    DrainWorker { worker: usize },
+    /// A worker that drains is in service again, newly started.
+    RestartWorker { worker: usize },
+    /// Half of the list is replaced within this time.
+    Release { millis: u64 },
+    /// A worker accepts requests and sends nothing for this time, then resets the connections.
+    HangWorker { worker: usize, millis: u64 },
+    /// Discovery sends nothing to any node for this time.
+    SilenceDiscovery { millis: u64 },
     /// Discovery closes all its connections.
-    DiscoveryResets,
-    /// The next requests meet these acts of executors.
-    Script([WorkerBehavior; 6]),
+    ResetDiscovery,
+    /// The next requests meet these behaviours of workers.
+    ScriptWorkers([WorkerBehavior; 6]),
 }
 
-/// What a node's process meets from its system.
+/// A fault and when it begins.
+#[derive(Clone, Copy, Debug)]
+pub struct TimedFault {
+    /// The time since the beginning of the soak.
+    pub at: Duration,
+    /// The fault.
+    pub fault: Fault,
+}
+
+/// What a node's process meets from its operating system.
 #[derive(Clone, Debug, Default)]
-pub struct System {
+pub struct SystemFaults {
     /// The fault shim's plan of failing calls.
     pub calls: String,
-    /// Its wall clock is off by so many milliseconds.
-    pub clock_ms: i64,
+    /// The wall clock is off by so many milliseconds.
+    pub clock_offset_ms: i64,
 }
 
 /// One soak.
@@ -87,15 +101,15 @@
     pub seed: u64,
     /// How large it is.
     pub size: Size,
-    /// What happens, and how long after the beginning.
-    pub timeline: Vec<(Duration, Trouble)>,
-    /// The system of each node.
-    pub systems: Vec<System>,
+    /// The faults, by time.
+    pub timeline: Vec<TimedFault>,
+    /// The system faults of each node.
+    pub systems: Vec<SystemFaults>,
 }
 
-/// Errors that pass, call by call. Failures of `epoll_ctl` are not drawn: they are known to stop a node (docs/incidents,
+/// Errors that pass, by call. Failures of `epoll_ctl` are not drawn: they are known to stop a node (docs/incidents,
 /// open).
-const PASSING: [&str; 10] = [
+const TRANSIENT_ERRORS: [&str; 10] = [
     "recv:EINTR:20",
     "send:EINTR:20",
     "read:EINTR:20",
@@ -108,7 +122,7 @@
     "poll:EINTR:5;setsockopt:ENOBUFS:10",
 ];
 
-const ACTS: [WorkerBehavior; 12] = [
+const SCRIPTED_BEHAVIORS: [WorkerBehavior; 12] = [
     WorkerBehavior::Done,
     WorkerBehavior::DoneAfterMillis(40),
     WorkerBehavior::DoneAfterMillis(150),
@@ -123,70 +137,83 @@
     WorkerBehavior::ResetAfterBody,
 ];
 
+/// Faults of one cluster begin within this many milliseconds.
+const CLUSTER_SPREAD_MS: u64 = 200;
+/// Faults of one cluster.
+const FAULTS_PER_CLUSTER: usize = 3;
+
 impl Plan {
-    /// The plan of this seed and size.
+    /// The plan of this seed and size. Faults come in clusters, so that two or three overlap.
     pub fn draw(seed: u64, size: Size) -> Plan {
         let mut rng = Rng::with_seed(seed);
-        let span = size.lasts.as_millis() as u64;
-        // In clusters, so that two or three overlap: each cluster's troubles begin within 0.2 s.
-        let clusters = (size.troubles / 3).max(1);
-        let centres: Vec<u64> = (0..clusters).map(|_| rng.u64(span / 10..span * 7 / 10)).collect();
-        let mut timeline: Vec<(Duration, Trouble)> = (0..size.troubles)
-            .map(|n| {
-                let at = centres[n % clusters] + rng.u64(0..200);
-                (Duration::from_millis(at), trouble(&mut rng, size))
-            })
-            .collect();
-        timeline.sort_by_key(|(at, _)| *at);
-        let systems = (0..size.nodes).map(|_| system(&mut rng)).collect();
+        let duration_ms = size.duration.as_millis() as u64;
+        let cluster_count = (size.faults / FAULTS_PER_CLUSTER).max(1);
+        let cluster_starts: Vec<u64> =
+            (0..cluster_count).map(|_| rng.u64(duration_ms / 10..duration_ms * 7 / 10)).collect();
+        let mut timeline = Vec::new();
+        for number in 0..size.faults {
+            let at_ms = cluster_starts[number % cluster_count] + rng.u64(0..CLUSTER_SPREAD_MS);
+            let fault = draw_fault(&mut rng, size);
+            timeline.push(TimedFault { at: Duration::from_millis(at_ms), fault });
+        }
+        timeline.sort_by_key(|timed| timed.at);
+        let systems = (0..size.nodes).map(|_| draw_system_faults(&mut rng)).collect();
         Plan { seed, size, timeline, systems }
     }
 }
 
-fn trouble(rng: &mut Rng, size: Size) -> Trouble {
-    let (node, executor) = (rng.usize(0..size.nodes), rng.usize(0..size.executors));
+fn draw_fault(rng: &mut Rng, size: Size) -> Fault {
+    let node = rng.usize(0..size.nodes);
+    let worker = rng.usize(0..size.workers);
     match rng.u8(0..14) {
-        0 => Trouble::HeldUp(node, rng.u64(20..150)),
-        1 => Trouble::Reload(node),
-        2 | 3 => Trouble::Restart(node),
-        4 => Trouble::Kill(node),
-        5 => Trouble::Network(executor, Link::Delayed(rng.u64(5..300)), rng.u64(100..1_000)),
-        6 => Trouble::Network(executor, Link::Stalled, rng.u64(100..1_000)),
+        0 => Fault::PauseNode { node, millis: rng.u64(20..150) },
+        1 => Fault::ReloadNode { node },
+        2 | 3 => Fault::RestartNode { node },
+        4 => Fault::KillNode { node },
+        5 => {
+            let fault = ConnectionFault::Delay { millis: rng.u64(5..300) };
+            Fault::DisturbConnections { worker, fault, millis: rng.u64(100..1_000) }
+        }
+        6 => {
+            let fault = ConnectionFault::Stall;
+            Fault::DisturbConnections { worker, fault, millis: rng.u64(100..1_000) }
+        }
         7 => {
-            Trouble::Network(executor, if rng.bool() { Link::CutBack } else { Link::Reset }, rng.u64(50..500))
+            let fault = if rng.bool() { ConnectionFault::LoseResponses } else { ConnectionFault::Reset };
+            Fault::DisturbConnections { worker, fault, millis: rng.u64(50..500) }
         }
-        8 => Trouble::Drain(executor),
-        9 => Trouble::Born(executor),
-        10 => {
-            if rng.bool() {
-                Trouble::DiscoverySilent(rng.u64(500..4_000))
-            } else {
-                Trouble::DiscoveryResets
-            }
+        8 => Fault::DrainWorker { worker },
+        9 => Fault::RestartWorker { worker },
+        10 if rng.bool() => Fault::SilenceDiscovery { millis: rng.u64(500..4_000) },
+        10 => Fault::ResetDiscovery,
+        11 => Fault::Release { millis: rng.u64(500..4_000) },
+        12 => Fault::HangWorker { worker, millis: rng.u64(500..4_000) },
+        _ => {
+            let behaviors = [(); 6].map(|()| SCRIPTED_BEHAVIORS[rng.usize(0..SCRIPTED_BEHAVIORS.len())]);
+            Fault::ScriptWorkers(behaviors)
         }
-        11 => Trouble::Release(rng.u64(500..4_000)),
-        12 => Trouble::Hang(executor, rng.u64(500..4_000)),
-        _ => Trouble::Script([(); 6].map(|()| ACTS[rng.usize(0..ACTS.len())])),
     }
 }
 
-fn system(rng: &mut Rng) -> System {
+fn draw_system_faults(rng: &mut Rng) -> SystemFaults {
     let mut calls = Vec::new();
     for _ in 0..rng.usize(0..4) {
-        calls.push(PASSING[rng.usize(0..PASSING.len())]);
+        calls.push(TRANSIENT_ERRORS[rng.usize(0..TRANSIENT_ERRORS.len())]);
     }
-    let clock_ms = [0, 0, 3_600_000, -3_600_000, 5_000, -5_000][rng.usize(0..6)];
-    System { calls: calls.join(";"), clock_ms }
+    let clock_offset_ms = [0, 0, 3_600_000, -3_600_000, 5_000, -5_000][rng.usize(0..6)];
+    SystemFaults { calls: calls.join(";"), clock_offset_ms }
 }
 
 impl fmt::Display for Plan {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "soak of seed {}: {:?}", self.seed, self.size)?;
-        for (node, system) in self.systems.iter().enumerate().filter(|(_, s)| !s.calls.is_empty()) {
-            writeln!(f, "  node {node}: {} clock {} ms", system.calls, system.clock_ms)?;
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        writeln!(formatter, "soak of seed {}: {:?}", self.seed, self.size)?;
+        for (node, system) in self.systems.iter().enumerate() {
+            if !system.calls.is_empty() {
+                writeln!(formatter, "  node {node}: {} clock {} ms", system.calls, system.clock_offset_ms)?;
+            }
         }
-        for (at, trouble) in &self.timeline {
-            writeln!(f, "  {:>6} ms {trouble:?}", at.as_millis())?;
+        for timed in &self.timeline {
+            writeln!(formatter, "  {:>6} ms {:?}", timed.at.as_millis(), timed.fault)?;
         }
         Ok(())
     }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,99 +1,125 @@
-//! A TCP proxy in front of one executor, whose connections can be delayed, stalled, cut one way or reset.
+//! A TCP proxy in front of one worker, which delays, stalls, cuts or resets its connections.
 
-use crate::plan::Link;
+use crate::plan::ConnectionFault;
 use sorrelhaven_test_support::reset_connection;
-use std::io::{ErrorKind, Read, Write};
+use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often a connection looks at what holds for it.
-const LOOK: Duration = Duration::from_millis(5);
+/// How often a connection checks which fault is in force.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+const BUFFER_BYTES: usize = 16 * 1024;
+
+#[derive(Clone, Copy)]
+struct ActiveFault {
+    fault: ConnectionFault,
+    until: Instant,
+}
 
 #[derive(Default)]
 struct State {
-    link: Option<(Link, Instant)>,
+    fault: Option<ActiveFault>,
+    /// How often all connections were reset.
     resets: u64,
 }
 
-/// The proxy of one executor; it serves for as long as the process.
+/// What holds for all connections at one moment.
+struct Conditions {
+    fault: Option<ConnectionFault>,
+    resets: u64,
+}
+
+/// The direction of bytes through the proxy.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Direction {
+    ToWorker,
+    FromWorker,
+}
+
+/// The proxy of one worker; it serves until the process ends. Clones are the same proxy.
 #[derive(Clone)]
 pub struct Proxy {
     state: Arc<Mutex<State>>,
-    /// Where it listens.
+    /// The address at which nodes reach the worker.
     pub address: SocketAddr,
 }
 
 impl Proxy {
-    /// A proxy that passes everything on to `executor`.
-    pub fn new(executor: SocketAddr) -> Proxy {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let proxy = Proxy { state: Arc::default(), address: listener.local_addr().expect("its address") };
-        let at = proxy.clone();
+    /// Starts a proxy to `worker`.
+    pub fn new(worker: SocketAddr) -> Proxy {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+        let address = listener.local_addr().expect("the listener has an address");
+        let proxy = Proxy { state: Arc::default(), address };
+        let acceptor = proxy.clone();
         thread::spawn(move || {
             for client in listener.incoming().flatten() {
-                let Ok(server) = TcpStream::connect(executor) else { continue };
-                at.carry(client, server);
+                let Ok(upstream) = TcpStream::connect(worker) else { continue };
+                acceptor.forward(client, &upstream);
             }
         });
         proxy
     }
 
-    /// From now on and for so long its connections are like this.
-    pub fn set(&self, link: Link, lasts: Duration) {
-        let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        state.link = Some((link, Instant::now() + lasts));
-        state.resets += u64::from(link == Link::Reset);
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What holds at the moment, and how often all connections were reset.
-    fn now(&self) -> (Option<Link>, u64) {
-        let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        let link = state.link.filter(|(_, until)| Instant::now() < *until).map(|(link, _)| link);
-        (link, state.resets)
+    /// Disturbs all connections for `duration`, in place of an earlier fault.
+    pub fn disturb(&self, fault: ConnectionFault, duration: Duration) {
+        let mut state = self.state();
+        state.fault = Some(ActiveFault { fault, until: Instant::now() + duration });
+        state.resets += u64::from(fault == ConnectionFault::Reset);
     }
 
-    fn carry(&self, client: TcpStream, server: TcpStream) {
-        let (link, resets) = self.now();
-        if link == Some(Link::Reset) {
+    fn conditions(&self) -> Conditions {
+        let state = self.state();
+        let active = state.fault.filter(|active| Instant::now() < active.until);
+        Conditions { fault: active.map(|active| active.fault), resets: state.resets }
+    }
+
+    /// Starts to forward both directions of a new connection.
+    fn forward(&self, client: TcpStream, upstream: &TcpStream) {
+        let conditions = self.conditions();
+        if conditions.fault == Some(ConnectionFault::Reset) {
             return reset_connection(client);
         }
-        let pairs =
-            [(client.try_clone(), server.try_clone(), false), (server.try_clone(), client.try_clone(), true)];
-        for (from, to, back) in pairs {
+        let pairs = [
+            (client.try_clone(), upstream.try_clone(), Direction::ToWorker),
+            (upstream.try_clone(), client.try_clone(), Direction::FromWorker),
+        ];
+        for (from, to, direction) in pairs {
             let (Ok(from), Ok(to)) = (from, to) else { return };
-            let at = self.clone();
-            thread::spawn(move || at.pump(from, to, back, resets));
+            let proxy = self.clone();
+            thread::spawn(move || proxy.pump(from, to, direction, conditions.resets));
         }
     }
 
-    /// Moves bytes one way until either side ends, or all connections are reset.
-    fn pump(&self, mut from: TcpStream, mut to: TcpStream, back: bool, born: u64) {
-        let _ = from.set_read_timeout(Some(LOOK));
-        let _ = (from.set_nodelay(true), to.set_nodelay(true));
-        let mut piece = [0; 16 * 1024];
+    /// Copies bytes in one direction until either side ends, or all connections are reset: then there have been more
+    /// resets than `resets_at_start`.
+    fn pump(&self, mut from: TcpStream, mut to: TcpStream, direction: Direction, resets_at_start: u64) {
+        let _ = from.set_read_timeout(Some(POLL_INTERVAL));
+        let _ = from.set_nodelay(true);
+        let _ = to.set_nodelay(true);
+        let mut buffer = [0; BUFFER_BYTES];
         loop {
-            let (link, resets) = self.now();
-            if resets != born {
+            let conditions = self.conditions();
+            if conditions.resets != resets_at_start {
                 reset_connection(from);
                 return reset_connection(to);
             }
-            if link == Some(Link::Stalled) {
-                thread::sleep(LOOK);
+            if conditions.fault == Some(ConnectionFault::Stall) {
+                thread::sleep(POLL_INTERVAL);
                 continue;
             }
-            match from.read(&mut piece) {
+            match from.read(&mut buffer) {
                 Ok(0) => {
                     let _ = to.shutdown(Shutdown::Write);
                     return;
                 }
-                Ok(_) if back && link == Some(Link::CutBack) => {}
                 Ok(length) => {
-                    if let Some(Link::Delayed(ms)) = link {
-                        thread::sleep(Duration::from_millis(ms));
-                    }
-                    if to.write_all(&piece[..length]).is_err() {
+                    if copy_piece(&buffer[..length], &mut to, direction, conditions.fault).is_err() {
                         return reset_connection(from);
                     }
                 }
@@ -103,3 +129,19 @@
         }
     }
 }
+
+/// Writes what has been read, unless the fault loses it.
+fn copy_piece(
+    piece: &[u8],
+    to: &mut TcpStream,
+    direction: Direction,
+    fault: Option<ConnectionFault>,
+) -> io::Result<()> {
+    if direction == Direction::FromWorker && fault == Some(ConnectionFault::LoseResponses) {
+        return Ok(());
+    }
+    if let Some(ConnectionFault::Delay { millis }) = fault {
+        thread::sleep(Duration::from_millis(millis));
+    }
+    to.write_all(piece)
+}
