--- /dev/null
+++ b/crates/node/tests/bodies/clients.rs
@@ -0,0 +1,109 @@
+//! Clients that stop in the middle of a body, or send it slowly.
+
+use crate::installation::{BodyLimits, Installation, KIB, MIB, job_result, run_alone};
+use sorrelhaven_test_support::{TestRequest, sample_bytes};
+use std::io::{Read, Write};
+use std::net::TcpStream;
+use std::time::{Duration, Instant};
+
+/// A client that disconnects in the middle of a body frees everything at once, and its worker receives an incomplete
+/// request.
+#[test]
+fn a_client_that_disconnects_within_a_body_leaves_nothing_behind() {
+    let _running_alone = run_alone();
+    let installation = Installation::new("stops", 2);
+    installation.write_operator_file(BodyLimits::DEFAULT, MIB, "stream");
+    let mut node = installation.start();
+    let mut clients = Vec::new();
+    for (number, length) in [10 * KIB, 200 * KIB, 600 * KIB, 600 * KIB].into_iter().enumerate() {
+        let mut request = TestRequest::new(&format!("q-{number}"), "fee-charge", sample_bytes(length, 1));
+        request.chunked = number == 3;
+        let mut stream = TcpStream::connect(&node.address).expect("the node accepts");
+        stream.write_all(request.head().as_bytes()).expect("the node reads");
+        if request.chunked {
+            stream.write_all(format!("{length:x}\r\n").as_bytes()).expect("the node reads");
+        }
+        stream.write_all(&request.body[..length / 2]).expect("the node reads");
+        clients.push(stream);
+    }
+    let deadline = Instant::now() + Duration::from_secs(5);
+    while node.counter("file_bytes") < 100 * KIB as u64
+        || node.counter("attempts") < 2
+        || installation.workers.received_requests() < 2
+    {
+        assert!(Instant::now() < deadline, "the bodies have not arrived");
+    }
+    drop(clients);
+    while installation.workers.incomplete_requests() < 2 || node.counter("body_client_disconnected") < 4 {
+        assert!(
+            Instant::now() < deadline,
+            "{} incomplete requests",
+            installation.workers.incomplete_requests()
+        );
+    }
+    assert_eq!((node.counter("memory_bytes"), node.counter("file_bytes")), (0, 0));
+    assert_eq!(installation.workers.executed_requests(), [], "no worker received a complete body");
+    let response = TestRequest::new("q-9", "fee-charge", sample_bytes(9, 1))
+        .send(&node.address)
+        .expect("the request is answered");
+    assert_eq!(response.status, 200);
+}
+
+/// Clients that send 1 byte a second of large bodies are answered within 3 s and stay within the body limits, and other
+/// clients are served meanwhile.
+#[test]
+fn five_hundred_slow_clients_delay_no_other_client() {
+    let _running_alone = run_alone();
+    let installation = Installation::new("slow", 2);
+    installation.write_operator_file(
+        BodyLimits::new([64 * KIB, MIB, 256 * KIB, 4 * MIB]),
+        16 * MIB,
+        "stream",
+    );
+    let mut node = installation.start();
+    let begun = Instant::now();
+    let mut slow_clients: Vec<TcpStream> = (0..500)
+        .map(|number| {
+            let length = [20 * KIB, 200 * KIB, 8 * MIB][number % 3];
+            let head = TestRequest::new(&format!("slow-{number}"), "licence-issue", Vec::new()).head();
+            let mut stream = TcpStream::connect(&node.address).expect("the node accepts");
+            let head = head.replace("Length: 0", &format!("Length: {length}"));
+            stream.write_all((head + "x").as_bytes()).expect("the node reads");
+            stream
+        })
+        .collect();
+    let mut served = 0;
+    while begun.elapsed() < Duration::from_millis(1_800) {
+        let body = sample_bytes(2 * KIB, served);
+        let response = TestRequest::new(&format!("q-{served}"), "fee-charge", body.clone())
+            .send(&node.address)
+            .expect("the request is answered");
+        assert_eq!((response.status, response.body), (200, job_result(&body)), "request {served}");
+        assert!(response.elapsed < Duration::from_millis(300), "{:?}", response.elapsed);
+        served += 1;
+        if served % 8 == 0 {
+            slow_clients.iter_mut().for_each(|client| _ = client.write_all(b"x"));
+            assert!(
+                node.counter("memory_bytes") <= MIB as u64 && node.counter("file_bytes") <= 4 * MIB as u64
+            );
+        }
+    }
+    assert!(served > 50, "{served} other requests");
+    for (number, stream) in slow_clients.iter_mut().enumerate() {
+        stream.set_read_timeout(Some(Duration::from_secs(3))).expect("the socket takes a time limit");
+        let mut received = Vec::new();
+        let _ = stream.read_to_end(&mut received);
+        assert!(
+            received.is_empty() || received.starts_with(b"HTTP/1.1 408 "),
+            "{number}: {}",
+            String::from_utf8_lossy(&received)
+        );
+    }
+    assert!(begun.elapsed() < Duration::from_secs(5), "{:?}", begun.elapsed());
+    assert_eq!((node.counter("memory_bytes"), node.counter("file_bytes")), (0, 0));
+    assert_eq!(
+        installation.workers.executed_requests().len(),
+        served as usize,
+        "no request of a slow client ran"
+    );
+}
--- /dev/null
+++ b/crates/node/tests/bodies/installation.rs
@@ -0,0 +1,85 @@
+//! A node with its workers, its spool directory and the operators' file.
+
+use sorrelhaven_test_support::{FakeWorkers, Program, ScratchDir, checksum, workers_config};
+use std::process::Command;
+use std::sync::{Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+
+pub const KIB: usize = 1024;
+pub const MIB: usize = 1024 * KIB;
+/// Time limits on sockets are exceeded by at most so much; the whole set of tests may have one core's time between them.
+pub const SOCKET_TIMEOUT_SLACK: Duration = Duration::from_millis(50);
+
+/// The limits on stored bodies, in bytes.
+#[derive(Clone, Copy)]
+pub struct BodyLimits {
+    /// One body in memory.
+    pub memory_each: usize,
+    /// All bodies in memory.
+    pub memory_total: usize,
+    /// One body in a file.
+    pub file_each: usize,
+    /// All bodies in files.
+    pub file_total: usize,
+}
+
+impl BodyLimits {
+    pub const DEFAULT: BodyLimits = BodyLimits::new([16 * KIB, 8 * MIB, 256 * KIB, 64 * MIB]);
+
+    /// The limits in the order of the fields.
+    pub const fn new([memory_each, memory_total, file_each, file_total]: [usize; 4]) -> BodyLimits {
+        BodyLimits { memory_each, memory_total, file_each, file_total }
+    }
+}
+
+/// The files and workers of a node under test.
+pub struct Installation {
+    pub scratch: ScratchDir,
+    pub workers: FakeWorkers,
+}
+
+impl Installation {
+    pub fn new(name: &str, worker_count: usize) -> Installation {
+        let installation =
+            Installation { scratch: ScratchDir::new(name), workers: FakeWorkers::new(worker_count) };
+        std::fs::create_dir(installation.scratch.path("spool")).expect("the directory can be created");
+        installation.scratch.write("node.json", &workers_config(&installation.workers.addresses));
+        installation
+    }
+
+    /// Writes the operators' file: the limits, the largest body that is accepted, and what becomes of a body that can't be
+    /// stored, `stream` or `refuse`.
+    pub fn write_operator_file(&self, limits: BodyLimits, largest: usize, not_stored: &str) {
+        let BodyLimits { memory_each, memory_total, file_each, file_total } = limits;
+        let spool = self.scratch.path("spool").display().to_string();
+        self.scratch.write(
+            "operator.json",
+            &format!(
+                r#"{{"bodies":{{"largest_bytes":{largest},"unkept":"{not_stored}",
+                    "memory":{{"each_bytes":{memory_each},"total_bytes":{memory_total}}},
+                    "files":{{"directory":"{spool}","each_bytes":{file_each},"total_bytes":{file_total},
+                        "leave_free_bytes":0}}}}}}"#
+            ),
+        );
+    }
+
+    pub fn start(&self) -> Program {
+        self.start_with(Command::new(env!("CARGO_BIN_EXE_sorrelhaven")))
+    }
+
+    /// Starts the node with a command that runs the program.
+    pub fn start_with(&self, command: Command) -> Program {
+        Program::start(command, &self.scratch.path("node.json"), Some(&self.scratch.path("operator.json")))
+    }
+}
+
+/// These tests measure times: they run one at a time, so that none measures another's load.
+pub fn run_alone() -> MutexGuard<'static, ()> {
+    static RUNNING: Mutex<()> = Mutex::new(());
+    RUNNING.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+/// The result that a fake worker gives for this body.
+pub fn job_result(body: &[u8]) -> String {
+    format!("{} {:x}", body.len(), checksum(body))
+}
--- /dev/null
+++ b/crates/node/tests/bodies/retries.rs
@@ -0,0 +1,124 @@
+//! Which attempts follow the first, by where the body is stored and how the attempt ended.
+
+use crate::installation::{BodyLimits, Installation, KIB, MIB, SOCKET_TIMEOUT_SLACK, job_result, run_alone};
+use sorrelhaven_test_support::{TestRequest, WorkerBehavior, sample_bytes, workers_config};
+use std::net::TcpListener;
+use std::time::Duration;
+
+/// A `licence-issue` of 8 MB is stored in a file. Its first worker resets the connection after the last byte; the retry
+/// sends it again byte for byte.
+#[test]
+fn a_long_body_is_retried_from_its_file() {
+    let _running_alone = run_alone();
+    let installation = Installation::new("again", 2);
+    installation.write_operator_file(
+        BodyLimits::new([64 * KIB, 8 * MIB, 16 * MIB, 64 * MIB]),
+        16 * MIB,
+        "stream",
+    );
+    let mut node = installation.start();
+    installation.workers.script(&[WorkerBehavior::ResetAfterBody]);
+    let body = sample_bytes(8 * MIB, 3);
+    for chunked in [false, true] {
+        let mut request =
+            TestRequest::new(if chunked { "q-2" } else { "q-1" }, "licence-issue", body.clone());
+        request.chunked = chunked;
+        let response = request.send(&node.address).expect("the request is answered");
+        assert_eq!((response.status, response.body), (200, job_result(&body)));
+    }
+    let runs = installation.workers.executions_of("q-1");
+    assert!(
+        runs.len() == 2 && runs[0].worker != runs[1].worker && runs[0].body_checksum == runs[1].body_checksum,
+        "{runs:?}"
+    );
+    assert_eq!(
+        (node.counter("body_in_file"), node.counter("file_bytes")),
+        (2, 0),
+        "the file is freed with its request"
+    );
+    assert_eq!(installation.scratch.file_names("spool"), [""; 0], "a file has no name");
+}
+
+/// A `fee-charge` whose body is not stored, with every way in which a worker can end an attempt: at most one run, one
+/// answer, at once, and a rejection only if it never ran.
+#[test]
+fn an_at_most_once_request_without_a_stored_body_runs_at_most_once() {
+    let _running_alone = run_alone();
+    let cases = [
+        (WorkerBehavior::Done, "ok", 200),
+        (WorkerBehavior::Failed, "error", 502),
+        (WorkerBehavior::Malformed, "error", 502),
+        (WorkerBehavior::WrongRequestId, "error", 502),
+        (WorkerBehavior::ResponseTooLarge, "error", 502),
+        (WorkerBehavior::Rejected, "worker_rejected", 503),
+        (WorkerBehavior::RejectedBeforeBody, "worker_rejected", 503),
+        (WorkerBehavior::InvalidRequest, "invalid_request", 502),
+        (WorkerBehavior::Killed, "reset", 502),
+        (WorkerBehavior::ResetAfterBody, "reset", 502),
+        (WorkerBehavior::Truncated, "reset", 502),
+        (WorkerBehavior::ResetDuringBody, "connect_failed", 503),
+        (WorkerBehavior::StopsReading, "connect_failed", 503),
+        (WorkerBehavior::Silent, "timeout", 502),
+    ];
+    // More than the system's buffers take, so that the node notices a reset in the middle.
+    let body = sample_bytes(12 * MIB, 7);
+    for (behavior, outcome, status) in cases {
+        let installation = Installation::new("payment", 2);
+        installation.write_operator_file(
+            BodyLimits::new([16 * KIB, 8 * MIB, 16 * KIB, 8 * MIB]),
+            40 * MIB,
+            "stream",
+        );
+        let mut node = installation.start();
+        installation.workers.script(&[behavior]);
+        let mut request = TestRequest::new("q-1", "fee-charge", body.clone());
+        let is_silent = matches!(behavior, WorkerBehavior::Silent | WorkerBehavior::StopsReading);
+        request.timeout = Duration::from_millis(if is_silent { 1_500 } else { 8_000 });
+        let response = request.send(&node.address).expect("the request is answered");
+        assert_eq!(response.status, status, "{behavior:?}");
+        assert!(
+            response.elapsed < request.timeout + SOCKET_TIMEOUT_SLACK
+                && (is_silent || response.elapsed < Duration::from_secs(2)),
+            "{behavior:?}"
+        );
+        assert_eq!((node.counter("attempts"), node.counter(outcome)), (1, 1), "{behavior:?}: {outcome}");
+        let runs = installation.workers.executions_of("q-1").len();
+        assert!(runs <= 1 && (status != 503 || runs == 0), "{behavior:?}: {runs} runs");
+    }
+}
+
+/// The rejection of a worker that has read only the head arrives, and a stored body is sent to another worker.
+#[test]
+fn a_worker_that_rejects_before_the_body_is_retried_elsewhere() {
+    let _running_alone = run_alone();
+    let installation = Installation::new("early", 2);
+    installation.write_operator_file(BodyLimits::new([MIB, 8 * MIB, 16 * MIB, 64 * MIB]), 16 * MIB, "stream");
+    let mut node = installation.start();
+    installation.workers.script(&[WorkerBehavior::RejectedBeforeBody]);
+    let body = sample_bytes(12 * MIB, 1);
+    let response = TestRequest::new("q-1", "fee-charge", body.clone())
+        .send(&node.address)
+        .expect("the request is answered");
+    assert_eq!((response.status, response.body), (200, job_result(&body)));
+    assert_eq!((node.counter("worker_rejected"), node.counter("connect_failed")), (1, 0));
+    assert_eq!(installation.workers.executions_of("q-1").len(), 1);
+}
+
+/// A refused connection consumes nothing of the body: another worker is tried also if the body is not stored.
+#[test]
+fn a_body_that_is_not_stored_is_retried_until_a_byte_is_consumed() {
+    let _running_alone = run_alone();
+    let installation = Installation::new("elsewhere", 1);
+    let closed =
+        TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a port is free");
+    installation.scratch.write("node.json", &workers_config(&[closed, installation.workers.addresses[0]]));
+    installation.write_operator_file(BodyLimits::DEFAULT, MIB, "stream");
+    let node = installation.start();
+    for number in 0..12 {
+        let body = sample_bytes(400 * KIB, number);
+        let mut request = TestRequest::new(&format!("q-{number}"), "fee-charge", body.clone());
+        request.chunked = number % 2 == 1;
+        let response = request.send(&node.address).expect("the request is answered");
+        assert_eq!((response.status, response.body), (200, job_result(&body)), "request {number}");
+    }
+}
