--- a/crates/node/tests/crash.rs
+++ b/crates/node/tests/crash.rs
@@ -1,91 +1,125 @@
-//! The node killed with bodies half written, at random points: the next start finds nothing that looks whole, and no
-//! payment runs twice.
+//! A node that is killed at random points with bodies half written: the next start finds no file that looks complete, and
+//! no at-most-once request runs twice.
 //!
-//! `SORRELHAVEN_KILLS` sets how often it is killed (12 where it is not set); the points come from a fixed seed.
+//! `SORRELHAVEN_KILLS` sets how often it is killed (12 by default); the points come from a fixed seed.
 
 use sorrelhaven_test_support::{
     AT_MOST_ONCE_CLASS, Checker, CheckerTotals, FakeWorkers, Program, ScratchDir, TestRequest, workers_config,
 };
+use std::path::PathBuf;
 use std::process::Command;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::thread;
+use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-const KILLS: u64 = 12;
-const CLIENTS: u64 = 8;
+const DEFAULT_KILLS: u64 = 12;
+const CLIENT_COUNT: u64 = 8;
+const SEED: u64 = 0x2545_f491_4f6c_dd1d;
+/// A file of another node, which every start must leave alone.
+const OTHER_NODES_FILE: &str = "sorrelhaven-body.n01.1.0.part";
+/// A file of this node, as a kill leaves it between the creation and the unlink.
+const OWN_LEFTOVER: &str = "sorrelhaven-body.n0.1.7.part";
 
+/// A body of one of four sizes: in memory, in a file, and two that grow too long for either.
 fn body(seed: u64) -> Vec<u8> {
     let length = [2_000, 90_000, 300_000, 900_000][seed as usize % 4] + seed as usize % 977;
-    (0..length as u64).map(|i| (i.wrapping_mul(seed | 1) >> 7) as u8).collect()
+    (0..length as u64).map(|index| (index.wrapping_mul(seed | 1) >> 7) as u8).collect()
 }
 
-#[test]
-fn a_killed_node_leaves_nothing_that_looks_whole_and_runs_nothing_twice() {
-    let kills = std::env::var("SORRELHAVEN_KILLS").ok().and_then(|k| k.parse().ok()).unwrap_or(KILLS);
-    let scratch = ScratchDir::new("crash");
-    let boxes = FakeWorkers::new(4);
-    std::fs::create_dir(scratch.path("spool")).expect("a directory");
-    let config = scratch.write("node.json", &workers_config(&boxes.addresses));
-    let operator = scratch.write(
+/// When the node is killed, after its start (xorshift).
+struct KillTimes {
+    state: u64,
+}
+
+impl KillTimes {
+    fn next(&mut self) -> Duration {
+        self.state ^= self.state << 13;
+        self.state ^= self.state >> 7;
+        self.state ^= self.state << 17;
+        Duration::from_micros(2_000 + self.state % 120_000)
+    }
+}
+
+/// What the clients of all incarnations of the node share.
+#[derive(Default)]
+struct Clients {
+    next_number: AtomicU64,
+    checker: Checker,
+}
+
+impl Clients {
+    /// Starts clients that send requests until `stop` is set or their connections fail.
+    fn spawn(self: &Arc<Clients>, address: &str, stop: &Arc<AtomicBool>) -> Vec<JoinHandle<()>> {
+        let spawn_client = |_| {
+            let (clients, address, stop) = (self.clone(), address.to_string(), stop.clone());
+            thread::spawn(move || clients.run(&address, &stop))
+        };
+        (0..CLIENT_COUNT).map(spawn_client).collect()
+    }
+
+    fn run(&self, address: &str, stop: &AtomicBool) {
+        while !stop.load(Ordering::Relaxed) {
+            let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+            let request = TestRequest::new(&format!("pay-{number}"), AT_MOST_ONCE_CLASS, body(number));
+            self.checker.record_request(&request);
+            match request.send(address) {
+                Ok(response) => self.checker.record_response(&request.id, response.status),
+                Err(_) => return,
+            }
+        }
+    }
+}
+
+/// Writes the operators' file with limits that have bodies stored in every way.
+fn write_operator_file(scratch: &ScratchDir) -> PathBuf {
+    let spool = scratch.path("spool").display().to_string();
+    scratch.write(
         "operator.json",
         &format!(
             r#"{{"bodies":{{"largest_bytes":1048576,"memory":{{"each_bytes":16384,"total_bytes":1048576}},
-                "files":{{"directory":"{}","each_bytes":524288,"leave_free_bytes":0}}}}}}"#,
-            scratch.path("spool").display()
+                "files":{{"directory":"{spool}","each_bytes":524288,"leave_free_bytes":0}}}}}}"#
         ),
-    );
-    // Another node's, which must live through all of it.
-    scratch.write("spool/sorrelhaven-body.n01.1.0.part", "another's");
-    let next = Arc::new(AtomicU64::new(0));
-    let checker = Arc::<Checker>::default();
-    let (mut random, mut left, mut swept) = (0x2545_f491_4f6c_dd1d_u64, 0, 0);
+    )
+}
+
+#[test]
+fn a_killed_node_leaves_no_complete_file_and_runs_no_request_twice() {
+    let kills = std::env::var("SORRELHAVEN_KILLS").ok().and_then(|count| count.parse().ok());
+    let kills = kills.unwrap_or(DEFAULT_KILLS);
+    let scratch = ScratchDir::new("crash");
+    let workers = FakeWorkers::new(4);
+    std::fs::create_dir(scratch.path("spool")).expect("the directory can be created");
+    let config = scratch.write("node.json", &workers_config(&workers.addresses));
+    let operator = write_operator_file(&scratch);
+    scratch.write(&format!("spool/{OTHER_NODES_FILE}"), "another's");
+    let clients = Arc::<Clients>::default();
+    let mut kill_times = KillTimes { state: SEED };
+    let mut files_left = 0;
+    let mut files_removed = 0;
     for _ in 0..kills {
-        let mut node =
-            Program::start(Command::new(env!("CARGO_BIN_EXE_sorrelhaven")), &config, Some(&operator));
-        assert_eq!(
-            scratch.file_names("spool"),
-            ["sorrelhaven-body.n01.1.0.part"],
-            "a start sweeps its own and no other"
-        );
-        swept += node.leftovers_removed();
+        let command = Command::new(env!("CARGO_BIN_EXE_sorrelhaven"));
+        let mut node = Program::start(command, &config, Some(&operator));
+        let files = scratch.file_names("spool");
+        assert_eq!(files, [OTHER_NODES_FILE], "a start removes the node's own files and no others");
+        files_removed += node.leftovers_removed();
         let stop = Arc::new(AtomicBool::new(false));
-        let clients: Vec<_> = (0..CLIENTS)
-            .map(|_| {
-                let (address, next, checker, stop) =
-                    (node.address.clone(), next.clone(), checker.clone(), stop.clone());
-                thread::spawn(move || {
-                    while !stop.load(Ordering::Relaxed) {
-                        let n = next.fetch_add(1, Ordering::Relaxed);
-                        let ask = TestRequest::new(&format!("pay-{n}"), AT_MOST_ONCE_CLASS, body(n));
-                        checker.record_request(&ask);
-                        match ask.send(&address) {
-                            Ok(reply) => checker.record_response(&ask.id, reply.status),
-                            Err(_) => return,
-                        }
-                    }
-                })
-            })
-            .collect();
-        random ^= random << 13;
-        random ^= random >> 7;
-        random ^= random << 17;
-        thread::sleep(Duration::from_micros(2_000 + random % 120_000));
-        node.child.kill().expect("it runs");
-        node.child.wait().expect("it has ended");
+        let running = clients.spawn(&node.address, &stop);
+        thread::sleep(kill_times.next());
+        node.child.kill().expect("the program runs");
+        node.child.wait().expect("the program has ended");
         stop.store(true, Ordering::Relaxed);
-        clients.into_iter().for_each(|c| c.join().expect("a client"));
-        left += scratch.file_names("spool").len() - 1;
-        // A file that was made and not yet unlinked, half written: what a kill between the two steps leaves.
-        scratch.write("spool/sorrelhaven-body.n0.1.7.part", "half a bo");
+        running.into_iter().for_each(|client| client.join().expect("the client ends"));
+        files_left += scratch.file_names("spool").len() - 1;
+        scratch.write(&format!("spool/{OWN_LEFTOVER}"), "half a bo");
     }
-    let runs = boxes.executed_requests();
-    assert_eq!(checker.violations(&runs), [""; 0]);
-    let CheckerTotals { requested: sent, served } = checker.totals();
+    let runs = workers.executed_requests();
+    assert_eq!(clients.checker.violations(&runs), [""; 0]);
+    let CheckerTotals { requested, served } = clients.checker.totals();
     assert!(served as u64 > kills && runs.len() >= served);
     println!(
-        "{kills} kills: {sent} payments sent, {} run, {} served, none twice; {left} names left by kills, {swept} swept",
-        runs.len(),
-        served
+        "{kills} kills: {requested} requests sent, {} run, {served} served, none twice; \
+         {files_left} files left by kills, {files_removed} removed",
+        runs.len()
     );
 }
--- a/crates/node/tests/faults.rs
+++ b/crates/node/tests/faults.rs
@@ -1,4 +1,4 @@
-//! System calls that fail as Linux documents, and wall clocks that are wrong: no request is lost for either.
+//! System calls that fail as Linux documents, and wrong wall clocks: neither loses a request.
 
 use sorrelhaven_test_support::{
     AT_MOST_ONCE_CLASS, Checker, FakeWorkers, FaultPlan, Program, ScratchDir, TestRequest, WorkerBehavior,
@@ -11,155 +11,170 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A node under the shim, before two or more executors.
+const CLIENT_COUNT: usize = 8;
+
+/// The outcome of a load.
+struct LoadResult {
+    checker: Arc<Checker>,
+    /// How each request ended that was not served, a line each.
+    unserved: Vec<String>,
+}
+
+/// A node under the fault shim, with its workers.
 struct Node {
     program: Program,
-    executors: FakeWorkers,
+    workers: FakeWorkers,
     scratch: ScratchDir,
 }
 
 impl Node {
-    fn start(name: &str, plan: &FaultPlan, executors: FakeWorkers, config: &str) -> Node {
+    fn start(name: &str, plan: &FaultPlan, workers: FakeWorkers, config: &str) -> Node {
         let scratch = ScratchDir::new(name);
         let mut command = Command::new(env!("CARGO_BIN_EXE_sorrelhaven"));
         plan.preload(&mut command, &scratch);
         let program = Program::start(command, &scratch.write("node.json", config), None);
-        Node { program, executors, scratch }
+        Node { program, workers, scratch }
     }
 
-    fn healthy(name: &str, plan: &FaultPlan) -> Node {
-        let executors = FakeWorkers::new(2);
-        let config = workers_config(&executors.addresses);
-        Node::start(name, plan, executors, &config)
+    fn with_two_workers(name: &str, plan: &FaultPlan) -> Node {
+        let workers = FakeWorkers::new(2);
+        let config = workers_config(&workers.addresses);
+        Node::start(name, plan, workers, &config)
     }
 
-    /// Sends so many payments, each on a new connection and `pause` after it was opened, from eight clients; how each
-    /// one ended that was not served.
-    fn pay(&self, requests: u64, pause: Duration) -> (Arc<Checker>, Vec<String>) {
-        let (next, checker) = (Arc::new(AtomicU64::new(0)), Arc::<Checker>::default());
+    /// Sends `count` at-most-once requests from several clients, each on a new connection and `pause` after it was opened.
+    fn send_requests(&self, count: u64, pause: Duration) -> LoadResult {
+        let next = Arc::new(AtomicU64::new(0));
+        let checker = Arc::<Checker>::default();
         let client = |_| {
             let (next, checker, address) = (next.clone(), checker.clone(), self.program.address.clone());
             thread::spawn(move || {
                 let mut unserved = Vec::new();
                 loop {
                     let number = next.fetch_add(1, Ordering::Relaxed);
-                    if number >= requests {
+                    if number >= count {
                         return unserved;
                     }
-                    let ask = TestRequest::new(&format!("pay-{number}"), AT_MOST_ONCE_CLASS, vec![b'x'; 300]);
-                    checker.record_request(&ask);
-                    let paid = TcpStream::connect(&address).and_then(|mut connection| {
+                    let request =
+                        TestRequest::new(&format!("pay-{number}"), AT_MOST_ONCE_CLASS, vec![b'x'; 300]);
+                    checker.record_request(&request);
+                    let sent = TcpStream::connect(&address).and_then(|mut connection| {
                         thread::sleep(pause);
-                        ask.send_on(&mut connection)
+                        request.send_on(&mut connection)
                     });
-                    match paid {
-                        Ok(reply) => {
-                            checker.record_response(&ask.id, reply.status);
-                            if reply.status != 200 {
-                                unserved.push(format!("{} {}", ask.id, reply.status));
+                    match sent {
+                        Ok(response) => {
+                            checker.record_response(&request.id, response.status);
+                            if response.status != 200 {
+                                unserved.push(format!("{} {}", request.id, response.status));
                             }
                         }
-                        Err(error) => unserved.push(format!("{} {error}", ask.id)),
+                        Err(error) => unserved.push(format!("{} {error}", request.id)),
                     }
                 }
             })
         };
-        let clients: Vec<_> = (0..8).map(client).collect();
-        let unserved = clients.into_iter().flat_map(|c| c.join().expect("a client")).collect();
-        (checker, unserved)
+        let clients: Vec<_> = (0..CLIENT_COUNT).map(client).collect();
+        let unserved =
+            clients.into_iter().flat_map(|client| client.join().expect("the client ends")).collect();
+        LoadResult { checker, unserved }
     }
 
-    /// Ends the node; every fault of the plan must have been injected, and no rule broken.
-    fn end(self, checker: &Checker) {
+    /// Ends the node. Every fault of the plan must have been injected, and no delivery rule violated.
+    fn terminate(self, checker: &Checker) {
         self.program.terminate();
         let injected_faults = injected_faults(&self.scratch);
         assert!(
             injected_faults.values().all(|&count| count > 0),
             "not all calls were reached: {injected_faults:?}"
         );
-        assert_eq!(checker.violations(&self.executors.executed_requests()), [""; 0]);
+        assert_eq!(checker.violations(&self.workers.executed_requests()), [""; 0]);
     }
 }
 
-/// Interrupted reads and writes are begun again: the connection and the request on it are as before.
+/// Interrupted reads and writes are repeated; the connection and its request go on.
 #[test]
 fn interrupted_reads_and_writes_cost_no_request() {
     let plan =
         FaultPlan::failing_calls("read:EINTR:10;recv:EINTR:10;send:EINTR:10;write:EINTR:10;poll:EINTR:10");
-    let node = Node::healthy("interrupted", &plan);
-    let (checker, unserved) = node.pay(400, Duration::ZERO);
+    let node = Node::with_two_workers("interrupted", &plan);
+    let LoadResult { checker, unserved } = node.send_requests(400, Duration::ZERO);
     assert_eq!(unserved, [""; 0]);
-    node.end(&checker);
+    node.terminate(&checker);
 }
 
-/// An accept that fails for a moment costs nobody a connection: neither the one that waits nor another.
+/// An accept that fails once costs neither the connection that waits nor another.
 #[test]
-fn accepts_that_fail_for_a_moment_cost_no_request() {
+fn transient_accept_failures_cost_no_request() {
     let plan = FaultPlan::failing_calls(
         "accept:ECONNABORTED:40;accept:ENFILE:40;accept:ENOBUFS:40;accept:EINTR:40;accept:EPROTO:40",
     );
-    let node = Node::healthy("accepts", &plan);
-    let (checker, unserved) = node.pay(400, Duration::from_millis(3));
+    let node = Node::with_two_workers("accepts", &plan);
+    let LoadResult { checker, unserved } = node.send_requests(400, Duration::from_millis(3));
     assert_eq!(unserved, [""; 0]);
-    node.end(&checker);
+    node.terminate(&checker);
 }
 
-/// A wait for events that is interrupted is begun again.
+/// An interrupted wait for events is repeated.
 #[test]
 fn interrupted_waits_for_events_cost_no_request() {
-    let node = Node::healthy("waits", &FaultPlan::failing_calls("epoll_wait:EINTR:5"));
-    let (checker, unserved) = node.pay(400, Duration::ZERO);
+    let node = Node::with_two_workers("waits", &FaultPlan::failing_calls("epoll_wait:EINTR:5"));
+    let LoadResult { checker, unserved } = node.send_requests(400, Duration::ZERO);
     assert_eq!(unserved, [""; 0]);
-    node.end(&checker);
+    node.terminate(&checker);
 }
 
-/// What four executors were sent, of which the last has just started, by a node whose wall clock is off.
-fn sent_to_the_cold_one(off_ms: i64) -> usize {
-    let executors = FakeWorkers::new(4);
-    executors.set_default_behavior(WorkerBehavior::DoneAfterMillis(10));
+/// How many requests a newly started worker, the last of four, gets from a node whose wall clock is off.
+fn requests_to_new_worker(clock_offset_ms: i64) -> usize {
+    let workers = FakeWorkers::new(4);
+    workers.set_default_behavior(WorkerBehavior::DoneAfterMillis(10));
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time").as_millis();
-    let config = workers_config(&executors.addresses);
-    let young = format!("{}\",\"health\"", executors.addresses[3]);
-    let config =
-        config.replace(&young, &format!("{}\",\"born_ms\":{now},\"health\"", executors.addresses[3]));
+    let config = workers_config(&workers.addresses);
+    let entry = format!("{}\",\"health\"", workers.addresses[3]);
+    let config = config.replace(&entry, &format!("{}\",\"born_ms\":{now},\"health\"", workers.addresses[3]));
     let slow_start =
         r#""invariants":{"cold":20000000,"startCapacity":0.15,"fall":1000000,"overloadFactor":3.0}"#;
     let config = config.replace(r#""invariants":{}"#, slow_start);
-    let node = Node::start("clock", &FaultPlan::with_clock_offset(off_ms), executors, &config);
-    let (checker, unserved) = node.pay(160, Duration::ZERO);
+    let node = Node::start("clock", &FaultPlan::with_clock_offset(clock_offset_ms), workers, &config);
+    let LoadResult { checker, unserved } = node.send_requests(160, Duration::ZERO);
     assert_eq!(unserved, [""; 0]);
-    let cold = node.executors.executed_requests().iter().filter(|run| run.worker == 3).count();
-    node.end(&checker);
-    cold
+    let executed = node.workers.executed_requests().iter().filter(|run| run.worker == 3).count();
+    node.terminate(&checker);
+    executed
 }
 
-/// Slow start counts from what the list tells and from the monotonic clock, never from the wall clock's word.
+/// Slow start follows from the worker list and the monotonic clock, never from the wall clock alone.
 #[test]
 fn a_wrong_wall_clock_skips_no_slow_start() {
     const HOUR_MS: i64 = 3_600_000;
-    let sent = [0, HOUR_MS, -HOUR_MS, 10_000, -10_000].map(|off| (off, sent_to_the_cold_one(off)));
-    let right = sent[0].1;
-    for (off, cold) in sent {
-        assert!(cold <= right + 6, "clock off by {off} ms: {sent:?}");
+    let sent = [0, HOUR_MS, -HOUR_MS, 10_000, -10_000]
+        .map(|offset_ms| (offset_ms, requests_to_new_worker(offset_ms)));
+    let with_right_clock = sent[0].1;
+    for (offset_ms, executed) in sent {
+        assert!(executed <= with_right_clock + 6, "clock off by {offset_ms} ms: {sent:?}");
     }
 }
 
-/// Signals come in series while transfers are short, those of the node to itself too: none is lost, and it ends.
+/// With short transfers, also on the node's own wake-up channel, no signal of a series is lost, and the node ends.
 #[test]
 fn short_transfers_lose_no_signal() {
     let plan = FaultPlan::failing_calls("send:SHORT:2;recv:SHORT:2");
-    let node = Node::healthy("signals", &plan);
-    let (checker, unserved) = node.pay(60, Duration::ZERO);
+    let node = Node::with_two_workers("signals", &plan);
+    let LoadResult { checker, unserved } = node.send_requests(60, Duration::ZERO);
     assert_eq!(unserved, [""; 0]);
-    assert_eq!(checker.violations(&node.executors.executed_requests()), [""; 0]);
+    assert_eq!(checker.violations(&node.workers.executed_requests()), [""; 0]);
     for _ in 0..3 {
         node.program.signal("HUP");
         node.program.signal("USR1");
         thread::sleep(Duration::from_millis(50));
     }
-    let told = Instant::now();
+    let signalled_at = Instant::now();
     let log = node.program.terminate();
-    assert!(told.elapsed() < Duration::from_secs(5), "it ended {:?} after SIGTERM", told.elapsed());
+    assert!(
+        signalled_at.elapsed() < Duration::from_secs(5),
+        "the node ended {:?} after SIGTERM",
+        signalled_at.elapsed()
+    );
     assert_eq!(log.matches("configuration reloaded").count(), 3, "{log}");
-    assert_eq!(log.matches(" admitted=").count(), 4, "three times as asked, and the last line: {log}");
+    assert_eq!(log.matches(" admitted=").count(), 4, "three times on SIGUSR1, and once at the end: {log}");
 }
--- a/crates/node/tests/members.rs
+++ b/crates/node/tests/members.rs
@@ -1,4 +1,4 @@
-//! Five processes of the program that know each other, and what lies between them.
+//! Membership of five processes of the program, with a proxy that disturbs their datagrams.
 
 use sorrelhaven_test_support::{DatagramFaults, FaultProxy, Program, ScratchDir};
 use std::cell::RefCell;
@@ -8,212 +8,259 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const COUNT: usize = 5;
+const NODE_COUNT: usize = 5;
+/// A state that is not reached within this time fails the test.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(25);
+const ALL_ALIVE: [&str; NODE_COUNT] = ["alive"; NODE_COUNT];
 
-/// The processes, each behind its address of the stand-in.
+/// The processes, each behind its address of the proxy.
 struct Group {
-    between: FaultProxy,
+    proxy: FaultProxy,
     scratch: ScratchDir,
     nodes: Vec<Option<Program>>,
-    listens: RefCell<BTreeMap<usize, SocketAddr>>,
+    /// Where each process listens, behind the proxy.
+    listeners: RefCell<BTreeMap<usize, SocketAddr>>,
 }
 
 impl Group {
     fn new(name: &str, seed: u64) -> Group {
-        let between = FaultProxy::with_one_address_each(COUNT, seed).expect("addresses");
+        let proxy = FaultProxy::with_one_address_each(NODE_COUNT, seed).expect("the proxy has its sockets");
         let mut group =
-            Group { between, scratch: ScratchDir::new(name), nodes: Vec::new(), listens: RefCell::default() };
+            Group { proxy, scratch: ScratchDir::new(name), nodes: Vec::new(), listeners: RefCell::default() };
         group.scratch.write("key", "a key of the tests alone\n");
-        for n in 0..COUNT {
-            let node = group.start(n);
+        for number in 0..NODE_COUNT {
+            let node = group.start(number);
             group.nodes.push(Some(node));
         }
-        group.until("all know all", |g| (0..COUNT).all(|n| g.holds(n) == ["alive"; COUNT]));
+        group.wait_until("all are alive at all", |group| {
+            (0..NODE_COUNT).all(|observer| group.states(observer) == ALL_ALIVE)
+        });
         group
     }
 
-    /// Suspects have longer than by default: a machine that is busy with other tests must not be taken for dead.
-    fn start(&self, n: usize) -> Program {
-        let address = |n| self.between.address(0, n).expect("an address");
+    /// Starts one node. Its suspicion timeout is longer than the default, so that a busy machine does not declare nodes dead.
+    fn start(&self, number: usize) -> Program {
+        let address = |to| self.proxy.address(0, to).expect("the text is an address");
         let operator = format!(
             r#"{{"membership":{{"listen":"127.0.0.1:0","advertise":"{}","seeds":["{}","{}"],"key_file":"{}","suspicion_ms":2500}}}}"#,
-            address(n),
+            address(number),
             address(0),
             address(1),
             self.scratch.path("key").display()
         );
         let platform = format!(
-            r#"{{"name":"n{n}","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"{n}","known":{{"hosts":[]}},
-                "settings":{{"balancers":{COUNT},"me":{n},"ceilings":{{"maxAttempts":1}},"invariants":{{}},
+            r#"{{"name":"n{number}","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"{number}","known":{{"hosts":[]}},
+                "settings":{{"balancers":{NODE_COUNT},"me":{number},"ceilings":{{"maxAttempts":1}},"invariants":{{}},
                     "grades":[{{"name":"fee","aim":1,"deadline":5000000,"effect":"at_most_once"}}]}}}}"#
         );
-        let operator = self.scratch.write(&format!("operator{n}.json"), &operator);
-        let platform = self.scratch.write(&format!("node{n}.json"), &platform);
+        let operator = self.scratch.write(&format!("operator{number}.json"), &operator);
+        let platform = self.scratch.write(&format!("node{number}.json"), &platform);
         let mut command = Command::new(env!("CARGO_BIN_EXE_sorrelhaven"));
         command.env("RELAY_OPS", "127.0.0.1:0");
         command.env("RUST_LOG", "info,sorrelhaven_engine::discovery_watch=error");
         let node = Program::start(command, &platform, Some(&operator));
-        // What it has sent until here came from nobody that the stand-in knows, and is lost.
-        let line =
-            node.startup_log().iter().find(|l| l.contains(" membership ")).expect("it says where it listens");
-        let field = |f: &str| f.strip_prefix("listen=").and_then(|at| at.parse().ok());
-        let listen: SocketAddr = line.split_whitespace().find_map(field).expect("an address");
-        self.between.register_listener(n, listen);
-        self.listens.borrow_mut().insert(n, listen);
+        // What it has sent before this registration came from an address that the proxy does not know, and is lost.
+        let line = node
+            .startup_log()
+            .iter()
+            .find(|line| line.contains(" membership "))
+            .expect("the node logs where it listens");
+        let parse_field =
+            |field: &str| field.strip_prefix("listen=").and_then(|address| address.parse().ok());
+        let listen: SocketAddr =
+            line.split_whitespace().find_map(parse_field).expect("the text is an address");
+        self.proxy.register_listener(number, listen);
+        self.listeners.borrow_mut().insert(number, listen);
         node
     }
 
-    fn node(&self, n: usize) -> &Program {
-        self.nodes[n].as_ref().expect("it runs")
+    fn node(&self, number: usize) -> &Program {
+        self.nodes[number].as_ref().expect("the program runs")
     }
 
-    /// What one holds of each: its latest life under each name.
-    fn holds(&self, n: usize) -> Vec<String> {
-        let table = self.node(n).admin_call("members");
-        (0..COUNT).map(|of| last(&table, of).map_or(String::new(), |row| row[3].clone())).collect()
+    /// The state of each node in the member table of `observer`, empty if it has none.
+    fn states(&self, observer: usize) -> Vec<String> {
+        let table = self.node(observer).admin_call("members");
+        let state_of = |member| latest_row(&table, member).map_or(String::new(), |row| row.state);
+        (0..NODE_COUNT).map(state_of).collect()
     }
 
-    /// The life that one holds another to be in.
-    fn life(&self, n: usize, of: usize) -> u64 {
-        last(&self.node(n).admin_call("members"), of).and_then(|row| row[1].parse().ok()).expect("a life")
+    /// The incarnation of `member` in the member table of `observer`.
+    fn incarnation(&self, observer: usize, member: usize) -> u64 {
+        let table = self.node(observer).admin_call("members");
+        latest_row(&table, member).expect("the member is known").incarnation
     }
 
-    fn until(&self, what: &str, holds: impl Fn(&Group) -> bool) -> Duration {
+    /// Waits until `condition` holds, and returns how long it took.
+    fn wait_until(&self, what: &str, condition: impl Fn(&Group) -> bool) -> Duration {
         let begun = Instant::now();
-        while !holds(self) {
-            assert!(begun.elapsed() < Duration::from_secs(25), "not so after 25 s: {what}");
+        while !condition(self) {
+            assert!(begun.elapsed() < WAIT_TIMEOUT, "not so after {WAIT_TIMEOUT:?}: {what}");
             thread::yield_now();
         }
         begun.elapsed()
     }
 
-    fn all_hold(&self, by: &[usize], of: usize, standing: &str) -> bool {
-        by.iter().all(|&n| self.holds(n)[of] == standing)
+    /// Whether all of `observers` see `member` in this state.
+    fn all_see(&self, observers: &[usize], member: usize, state: &str) -> bool {
+        observers.iter().all(|&observer| self.states(observer)[member] == state)
     }
 
-    fn declared_dead(&self, n: usize) -> u64 {
-        self.node(n).metric("node_member_declared_dead")
+    /// How many members a node has declared dead.
+    fn declared_dead(&self, number: usize) -> u64 {
+        self.node(number).metric("node_member_declared_dead")
     }
 }
 
-/// The row of a node's latest life: name, life, address, standing.
-fn last(table: &str, of: usize) -> Option<Vec<String>> {
-    let rows = table.lines().map(|l| l.split(' ').map(String::from).collect::<Vec<_>>());
-    let own = rows.filter(|row| row.len() == 4 && row[0] == format!("n{of}"));
-    own.max_by_key(|row| row[1].parse::<u64>().unwrap_or(0))
+/// A row of a member table.
+struct MemberRow {
+    incarnation: u64,
+    state: String,
 }
 
-/// One is killed: all others mark it dead, and its ghost stays away; it starts again and is another.
+/// The row of a member's latest incarnation.
+fn latest_row(table: &str, member: usize) -> Option<MemberRow> {
+    let name = format!("n{member}");
+    let rows = table.lines().filter_map(|line| {
+        let columns: Vec<&str> = line.split(' ').collect();
+        let [row_name, incarnation, _address, state] = columns[..] else { return None };
+        (row_name == name).then(|| MemberRow {
+            incarnation: incarnation.parse().expect("an incarnation is a number"),
+            state: state.to_string(),
+        })
+    });
+    rows.max_by_key(|row| row.incarnation)
+}
+
+/// A killed node is dead at all others, and its stale incarnation does not return; restarted, it is a new incarnation.
 #[test]
-fn a_killed_one_is_dead_at_all_others_and_a_restarted_one_is_another() {
+fn a_killed_node_is_dead_at_all_others_and_a_new_incarnation_after_a_restart() {
     let mut group = Group::new("killed", 1);
-    let life = group.life(0, 4);
+    let incarnation = group.incarnation(0, 4);
     drop(group.nodes[4].take());
-    let known = group.until("n4 is dead", |g| g.all_hold(&[0, 1, 2, 3], 4, "dead"));
-    println!("the death was known after {known:?}");
-    let again = group.start(4);
-    group.nodes[4] = Some(again);
-    group.until("n4 is alive", |g| g.all_hold(&[0, 1, 2, 3, 4], 4, "alive"));
-    assert!((0..4).all(|n| group.life(n, 4) > life), "it is another");
-    assert!((0..4).all(|n| group.declared_dead(n) == 0), "and no one else was taken for dead");
+    let detected = group.wait_until("n4 is dead", |group| group.all_see(&[0, 1, 2, 3], 4, "dead"));
+    println!("detected after {detected:?}");
+    let restarted = group.start(4);
+    group.nodes[4] = Some(restarted);
+    group.wait_until("n4 is alive", |group| group.all_see(&[0, 1, 2, 3, 4], 4, "alive"));
+    assert!((0..4).all(|observer| group.incarnation(observer, 4) > incarnation), "a new incarnation");
+    assert!((0..4).all(|observer| group.declared_dead(observer) == 0), "no other node was declared dead");
 }
 
-/// One that is asleep for a probe period or two is not taken for dead, and takes no one for dead.
+/// A node that is paused for a probe period or two is not declared dead, and declares no other dead.
 #[test]
-fn a_short_pause_kills_no_one() {
+fn a_short_pause_declares_no_node_dead() {
     let group = Group::new("nap", 7);
-    let probes = |g: &Group| g.node(0).metric("node_member_probes");
+    let probes = |group: &Group| group.node(0).metric("node_member_probes");
     for _ in 0..3 {
         let from = probes(&group);
         group.node(2).signal("STOP");
-        group.until("two more probes", |g| probes(g) >= from + 2);
+        group.wait_until("two more probes", |group| probes(group) >= from + 2);
         group.node(2).signal("CONT");
-        group.until("ten more probes", |g| probes(g) >= from + 12);
+        group.wait_until("ten more probes", |group| probes(group) >= from + 12);
     }
-    assert_eq!((0..COUNT).map(|n| group.declared_dead(n)).sum::<u64>(), 0);
-    group.until("all know all", |g| (0..COUNT).all(|n| g.holds(n) == ["alive"; COUNT]));
+    assert_eq!((0..NODE_COUNT).map(|number| group.declared_dead(number)).sum::<u64>(), 0);
+    group.wait_until("all are alive at all", |group| {
+        (0..NODE_COUNT).all(|observer| group.states(observer) == ALL_ALIVE)
+    });
 }
 
-/// One that is asleep for longer than its suspicion is dead at the others; it wakes, and does not hold them for dead.
+/// A node that is paused for longer than the suspicion timeout is dead at the others; it resumes, and does not declare
+/// them dead.
 #[test]
-fn a_sleeper_comes_back_as_another_life_and_accuses_no_one() {
+fn a_long_paused_node_returns_as_a_new_incarnation_and_declares_no_other_dead() {
     let group = Group::new("sleeper", 2);
     group.node(2).signal("STOP");
-    group.until("n2 is dead", |g| g.all_hold(&[0, 1, 3, 4], 2, "dead"));
+    group.wait_until("n2 is dead", |group| group.all_see(&[0, 1, 3, 4], 2, "dead"));
     group.node(2).signal("CONT");
-    group.until("all know all", |g| (0..COUNT).all(|n| g.holds(n) == ["alive"; COUNT]));
-    assert!([0, 1, 3, 4].iter().all(|&n| group.declared_dead(n) == 0));
+    group.wait_until("all are alive at all", |group| {
+        (0..NODE_COUNT).all(|observer| group.states(observer) == ALL_ALIVE)
+    });
+    assert!([0, 1, 3, 4].iter().all(|&observer| group.declared_dead(observer) == 0));
     assert!(group.node(2).metric("node_member_pauses") > 0);
 }
 
-/// Two against three, and then one again; with a fifth of all datagrams lost meanwhile, late and twice.
+/// A partition of two nodes from three heals, while datagrams are lost, delayed, duplicated and reordered.
 #[test]
-fn two_that_were_parted_from_three_become_one_again() {
+fn a_partition_of_two_from_three_heals_under_losses() {
     let group = Group::new("parted", 3);
-    group.between.partition(&[0, 1]);
-    group.until("each side holds the other for dead", |g| {
-        g.all_hold(&[0, 1], 3, "dead") && g.all_hold(&[2, 3, 4], 0, "dead")
+    group.proxy.partition(&[0, 1]);
+    group.wait_until("each side sees the other dead", |group| {
+        group.all_see(&[0, 1], 3, "dead") && group.all_see(&[2, 3, 4], 0, "dead")
     });
-    assert!(group.all_hold(&[0], 1, "alive") && group.all_hold(&[2, 3], 4, "alive"));
-    let ms = Duration::from_millis;
-    group.between.set_all_faults(DatagramFaults {
+    assert!(group.all_see(&[0], 1, "alive") && group.all_see(&[2, 3], 4, "alive"));
+    let millis = Duration::from_millis;
+    group.proxy.set_all_faults(DatagramFaults {
         loss: 0.05,
         duplication: 0.1,
-        delay: ms(2),
-        jitter: ms(20),
+        delay: millis(2),
+        jitter: millis(20),
         blocked: false,
     });
-    let healed = group.until("all know all", |g| (0..COUNT).all(|n| g.holds(n) == ["alive"; COUNT]));
-    println!("one again after {healed:?}");
-    group.until("what comes twice is dropped", |g| {
-        (0..COUNT).map(|n| g.node(n).metric("node_member_dropped")).sum::<u64>() > 0
+    let healed = group.wait_until("all are alive at all", |group| {
+        (0..NODE_COUNT).all(|observer| group.states(observer) == ALL_ALIVE)
+    });
+    println!("healed after {healed:?}");
+    group.wait_until("duplicates are dropped", |group| {
+        (0..NODE_COUNT).map(|number| group.node(number).metric("node_member_dropped")).sum::<u64>() > 0
     });
 }
 
-/// One that ends as it is told to has left, and is not dead.
+/// A node that ends with SIGTERM has left, and is not dead.
 #[test]
-fn one_that_is_told_to_end_says_goodbye() {
+fn a_terminated_node_has_left() {
     let mut group = Group::new("leaves", 4);
-    group.nodes[3].take().expect("it runs").terminate();
-    group.until("n3 has left", |g| g.all_hold(&[0, 1, 2, 4], 3, "left"));
+    group.nodes[3].take().expect("the program runs").terminate();
+    group.wait_until("n3 has left", |group| group.all_see(&[0, 1, 2, 4], 3, "left"));
 }
 
-/// A fifth of all datagrams is lost both ways, then two fifths of what one sends; then one does not hear another. The
-/// probes through others keep all alive.
+/// A fifth of all datagrams is lost, then two fifths of what one node sends, then one direction is blocked. Indirect
+/// probes keep all alive.
 #[test]
-fn losses_and_a_cut_in_one_direction_kill_no_one() {
+fn losses_and_a_blocked_direction_declare_no_node_dead() {
     let group = Group::new("losses", 5);
     let lossy = |loss| DatagramFaults { loss, ..DatagramFaults::default() };
-    let cut = DatagramFaults { blocked: true, ..DatagramFaults::default() };
-    let still = |g: &Group| (0..COUNT).map(|n| g.node(n).metric("node_member_probes")).sum::<u64>();
+    let blocked = DatagramFaults { blocked: true, ..DatagramFaults::default() };
+    let probes = |group: &Group| {
+        (0..NODE_COUNT).map(|number| group.node(number).metric("node_member_probes")).sum::<u64>()
+    };
     for stage in 0..3 {
-        group.between.set_all_faults(DatagramFaults::default());
+        group.proxy.set_all_faults(DatagramFaults::default());
         match stage {
-            0 => group.between.set_all_faults(lossy(0.2)),
-            1 => (0..COUNT).for_each(|to| group.between.set_faults(2, to, lossy(0.4))),
-            _ => group.between.set_faults(0, 1, cut),
+            0 => group.proxy.set_all_faults(lossy(0.2)),
+            1 => (0..NODE_COUNT).for_each(|to| group.proxy.set_faults(2, to, lossy(0.4))),
+            _ => group.proxy.set_faults(0, 1, blocked),
         }
-        // Each probes ten others and more.
-        let from = still(&group);
-        group.until("probes go on", |g| still(g) > from + 12 * COUNT as u64);
-        assert_eq!((0..COUNT).map(|n| group.declared_dead(n)).sum::<u64>(), 0, "stage {stage}");
+        // More than ten probes by each node.
+        let from = probes(&group);
+        group.wait_until("probes go on", |group| probes(group) > from + 12 * NODE_COUNT as u64);
+        assert_eq!(
+            (0..NODE_COUNT).map(|number| group.declared_dead(number)).sum::<u64>(),
+            0,
+            "stage {stage}"
+        );
     }
-    group.between.set_all_faults(DatagramFaults::default());
-    group.until("all know all", |g| (0..COUNT).all(|n| g.holds(n) == ["alive"; COUNT]));
+    group.proxy.set_all_faults(DatagramFaults::default());
+    group.wait_until("all are alive at all", |group| {
+        (0..NODE_COUNT).all(|observer| group.states(observer) == ALL_ALIVE)
+    });
 }
 
-/// What is not sealed with the key, cut, or too long is counted and dropped, and the node goes on.
+/// Datagrams that are unauthenticated, truncated or too long are counted and dropped, and the node goes on.
 #[test]
-fn forged_cut_and_oversized_datagrams_are_counted_and_dropped() {
+fn unauthenticated_truncated_and_oversized_datagrams_are_counted_and_dropped() {
     let group = Group::new("forged", 6);
-    let stranger = UdpSocket::bind("127.0.0.1:0").expect("a port");
+    let stranger = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
     let before = group.node(0).metric("node_member_dropped");
-    let to = *group.listens.borrow().get(&0).expect("it listens");
+    let to = *group.listeners.borrow().get(&0).expect("the node accepts");
     let sizes = [0, 1, 32, 33, 34, 100, 1_392, 1_393, 9_000];
     for size in sizes {
-        stranger.send_to(&vec![1; size], to).expect("sent");
+        stranger.send_to(&vec![1; size], to).expect("the datagram is sent");
     }
-    group
-        .until("all are dropped", |g| g.node(0).metric("node_member_dropped") >= before + sizes.len() as u64);
-    group.until("all know all", |g| (0..COUNT).all(|n| g.holds(n) == ["alive"; COUNT]));
+    group.wait_until("all are dropped", |group| {
+        group.node(0).metric("node_member_dropped") >= before + sizes.len() as u64
+    });
+    group.wait_until("all are alive at all", |group| {
+        (0..NODE_COUNT).all(|observer| group.states(observer) == ALL_ALIVE)
+    });
 }
--- a/crates/node/tests/program.rs
+++ b/crates/node/tests/program.rs
@@ -1,16 +1,17 @@
-//! The program as it is started: its configuration, its answers, its signals and its exit.
+//! The program as an operator starts it: its configuration, its answers, its signals and its exit.
 
-use sorrelhaven_test_support::{Program, ScratchDir};
+use sorrelhaven_test_support::{CHUNKED_RESPONSE_HEAD, Program, ScratchDir, chunk};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::ops::{Deref, DerefMut};
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-fn config(dial: &str, effect: &str) -> String {
+/// The file of a node with one known worker and the classes `issue` (idempotent) and `fee`, with this effect.
+fn config(worker: &str, effect: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","more":[1],
-            "known":{{"seq":1,"hosts":[{{"host":"s-1","dial":"{dial}","health":"in_service"}}]}},
+            "known":{{"seq":1,"hosts":[{{"host":"s-1","dial":"{worker}","health":"in_service"}}]}},
             "settings":{{"balancers":1,"ceilings":{{"maxAttempts":3,"retryAfter":true,"maxRetryAfter":2000000}},
                 "invariants":{{}},"familyInfo":{{"tellsStart":true}},
                 "grades":[{{"name":"issue","aim":200000,"deadline":5000000,"effect":"idempotent"}},
@@ -18,34 +19,35 @@
     )
 }
 
-/// A program of the test's own, with its file where a reload finds it.
-struct Running {
+/// A running program, with its file where a reload finds it.
+struct Node {
     program: Program,
     scratch: ScratchDir,
 }
 
-impl Running {
-    fn new(config: &str, name: &str) -> Running {
-        Running::begin(Command::new(env!("CARGO_BIN_EXE_sorrelhaven")), config, name)
+impl Node {
+    fn start(config: &str, name: &str) -> Node {
+        Node::start_with(Command::new(env!("CARGO_BIN_EXE_sorrelhaven")), config, name)
     }
 
-    fn begin(command: Command, config: &str, name: &str) -> Running {
+    fn start_with(command: Command, config: &str, name: &str) -> Node {
         let scratch = ScratchDir::new(name);
         let program = Program::start(command, &scratch.write("node.json", config), None);
-        Running { program, scratch }
+        Node { program, scratch }
     }
 
-    fn ask(&self, class: &str, timeout: &str) -> TcpStream {
-        let mut stream = TcpStream::connect(&self.address).expect("it listens");
+    /// A client connection on which a request has been sent, always with the id `q-1`.
+    fn send_request(&self, class: &str, timeout: &str) -> TcpStream {
+        let mut stream = TcpStream::connect(&self.address).expect("the node accepts");
         let head = format!("POST /api?a=b HTTP/1.1\r\nRequest-Id: q-1\r\nRequest-Class: {class}\r\n");
         let rest =
             format!("Request-Timeout: {timeout}\r\nIdempotency-Key: k\r\nContent-Length: 4\r\n\r\nbody");
-        stream.write_all((head + &rest).as_bytes()).expect("it reads");
+        stream.write_all((head + &rest).as_bytes()).expect("the node reads");
         stream
     }
 }
 
-impl Deref for Running {
+impl Deref for Node {
     type Target = Program;
 
     fn deref(&self) -> &Program {
@@ -53,50 +55,51 @@
     }
 }
 
-impl DerefMut for Running {
+impl DerefMut for Node {
     fn deref_mut(&mut self) -> &mut Program {
         &mut self.program
     }
 }
 
-/// Everything up to the blank line after a head and `body` bytes more.
-fn read(stream: &mut TcpStream, ends: &str) -> String {
-    let mut got = String::new();
+/// Reads up to and with the text `end`, or to the end of the connection.
+fn read_until(stream: &mut TcpStream, end: &str) -> String {
+    let mut received = String::new();
     let mut byte = [0];
-    while !got.ends_with(ends) && stream.read(&mut byte).expect("an answer") > 0 {
-        got.push(byte[0] as char);
+    while !received.ends_with(end) && stream.read(&mut byte).expect("the connection can be read") > 0 {
+        received.push(byte[0] as char);
     }
-    got
+    received
 }
 
-fn executor() -> (TcpListener, String) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("its address").to_string();
+/// A listener in place of a worker, and its address.
+fn open_worker() -> (TcpListener, String) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    let address = listener.local_addr().expect("the listener has an address").to_string();
     (listener, address)
 }
 
-const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-
-fn chunk(line: &str) -> String {
-    format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
+/// One line of a worker's response, as a chunk.
+fn line_chunk(line: &str) -> String {
+    chunk(&format!("{line}\n"))
 }
 
 #[test]
-fn bad_configuration_ends_it_with_one_line_that_names_the_key() {
-    let good = config("127.0.0.1:1", "at_most_once");
+fn invalid_configuration_ends_the_program_with_one_line_that_names_the_key() {
+    let valid = config("127.0.0.1:1", "at_most_once");
     let cases = [
         (config("127.0.0.1:1", "often"), "settings.grades[1].effect: unknown effect"),
         (config("nowhere", "at_most_once"), "known.hosts[0].dial: "),
-        (good.replace("\"seed\":\"1f\"", "\"seed\":\"xyz\""), "seed: "),
-        (good.replace("127.0.0.1:0", "here"), "listen: "),
-        (good.replace("\"maxAttempts\":3", "\"maxAttempts\":\"many\""), "settings.ceilings.maxAttempts: "),
-        (good.replace("\"balancers\":1,", ""), "settings: missing field `balancers`"),
+        (valid.replace("\"seed\":\"1f\"", "\"seed\":\"xyz\""), "seed: "),
+        (valid.replace("127.0.0.1:0", "here"), "listen: "),
+        (valid.replace("\"maxAttempts\":3", "\"maxAttempts\":\"many\""), "settings.ceilings.maxAttempts: "),
+        (valid.replace("\"balancers\":1,", ""), "settings: missing field `balancers`"),
         ("no json".to_string(), "RELAY_CONFIG: "),
     ];
-    for (i, (text, message)) in cases.iter().enumerate() {
-        let scratch = ScratchDir::new(&format!("bad{i}"));
+    for (number, (text, message)) in cases.iter().enumerate() {
+        let scratch = ScratchDir::new(&format!("bad{number}"));
         let mut command = Command::new(env!("CARGO_BIN_EXE_sorrelhaven"));
-        let output = command.env("RELAY_CONFIG", scratch.write("node.json", text)).output().expect("it ends");
+        let output =
+            command.env("RELAY_CONFIG", scratch.write("node.json", text)).output().expect("the program ends");
         let log = String::from_utf8_lossy(&output.stderr).to_string();
         assert!(!output.status.success());
         assert_eq!(log.lines().count(), 1, "{log}");
@@ -104,54 +107,59 @@
     }
 }
 
-/// A planned restart: what was taken is answered, clients may come for a while, and the exit is clean.
+/// A planned restart: admitted requests are answered, clients may connect for a while, and the exit is clean.
 #[test]
-fn a_term_signal_lets_all_that_was_taken_finish() {
-    let (listener, address) = executor();
-    let mut node = Running::new(&config(&address, "at_most_once"), "term");
-    let mut client = node.ask("fee", "5000m");
-    let (mut job, _) = listener.accept().expect("the job comes");
-    let got = read(&mut job, "body");
-    assert!(got.starts_with("POST /api?a=b HTTP/1.1\r\n"), "{got}");
-    // The client counts from its sending, on a new connection from its first packet: the answer must be on its
-    // way before that time is up, or the client hears nothing at all.
-    let left = got.split("Request-Timeout: ").nth(1).and_then(|l| l.split("u\r\n").next()).expect("a time");
-    assert!(left.parse::<u64>().expect("a number") <= 4_997_000, "{got}");
-    assert!(got.contains("Request-Id: q-1\r\n") && got.contains("Idempotency-Key: k\r\n"), "{got}");
-    let started = chunk(r#"{"id":"q-1","state":"started"}"#);
-    job.write_all((HEAD.to_string() + &started).as_bytes()).expect("the node reads");
+fn sigterm_lets_admitted_requests_finish() {
+    let (listener, address) = open_worker();
+    let mut node = Node::start(&config(&address, "at_most_once"), "term");
+    let mut client = node.send_request("fee", "5000m");
+    let (mut job, _) = listener.accept().expect("the job is sent");
+    let request = read_until(&mut job, "body");
+    assert!(request.starts_with("POST /api?a=b HTTP/1.1\r\n"), "{request}");
+    // The client's timeout starts when it sends, on a new connection with the first packet: an answer that is sent
+    // after it is lost, so the worker gets less time.
+    let timeout = request.split("Request-Timeout: ").nth(1).and_then(|rest| rest.split("u\r\n").next());
+    let timeout_micros: u64 =
+        timeout.expect("the request has a timeout").parse().expect("the timeout is a number");
+    assert!(timeout_micros <= 4_997_000, "{request}");
+    assert!(
+        request.contains("Request-Id: q-1\r\n") && request.contains("Idempotency-Key: k\r\n"),
+        "{request}"
+    );
+    let started = line_chunk(r#"{"id":"q-1","state":"started"}"#);
+    job.write_all((CHUNKED_RESPONSE_HEAD.to_string() + &started).as_bytes()).expect("the node reads");
     node.signal("USR1");
     let counters = node.wait_for_log_line("admitted=");
     assert!(counters.contains("admitted=1 served=0") && counters.contains("attempts=1 ok=0"), "{counters}");
 
-    let mut idle = TcpStream::connect(&node.address).expect("it listens");
+    let mut idle = TcpStream::connect(&node.address).expect("the node accepts");
     node.signal("TERM");
     node.wait_for_log_line("shutdown requested");
-    idle.write_all(b"GET /nowhere HTTP/1.1\r\n\r\n").expect("an idle link still serves");
-    assert!(read(&mut idle, "\r\n\r\n").starts_with("HTTP/1.1 404 "));
-    assert_eq!(read(&mut idle, "never"), "", "the idle link ends");
-    let done = chunk(r#"{"id":"q-1","state":"done","result":"fine"}"#);
+    idle.write_all(b"GET /nowhere HTTP/1.1\r\n\r\n").expect("an idle connection still serves");
+    assert!(read_until(&mut idle, "\r\n\r\n").starts_with("HTTP/1.1 404 "));
+    assert_eq!(read_until(&mut idle, "never"), "", "the idle connection ends");
+    let done = line_chunk(r#"{"id":"q-1","state":"done","result":"fine"}"#);
     job.write_all((done + "0\r\n\r\n").as_bytes()).expect("the node reads");
-    let answer = read(&mut client, "\r\n\r\nfine");
+    let answer = read_until(&mut client, "\r\n\r\nfine");
     assert!(answer.starts_with("HTTP/1.1 200 OK\r\n") && answer.contains("Connection: close"), "{answer}");
     let counters = node.wait_for_log_line("admitted=");
     assert!(counters.contains("admitted=1 served=1") && counters.contains("attempts=1 ok=1"), "{counters}");
-    assert!(node.child.wait().expect("it ends").success());
+    assert!(node.child.wait().expect("the program ends").success());
 }
 
-/// SIGHUP ends nothing: a faulty file is named by its key and changes nothing, a good one moves the watch at
-/// once, the executors known before stay known, and what was taken is finished, also by a SIGTERM behind it.
+/// SIGHUP ends nothing: an invalid file is logged by its key and changes nothing, a valid one moves the watch at once,
+/// known workers stay known, and admitted requests are finished, also with a SIGTERM right behind it.
 #[test]
-fn a_reload_moves_the_watch_and_loses_nothing() {
-    let (listener, address) = executor();
-    let [(old, old_address), (new, new_address)] = [executor(), executor()];
+fn a_reload_moves_the_watch_and_loses_no_request() {
+    let (listener, address) = open_worker();
+    let [(old_discovery, old_address), (new_discovery, new_address)] = [open_worker(), open_worker()];
     let text = config(&address, "at_most_once").replace("127.0.0.1:1\"", &format!("{old_address}\""));
-    let mut node = Running::new(&text, "reload");
-    let (mut watch, _) = old.accept().expect("the node asks");
-    assert!(read(&mut watch, "\r\n\r\n").starts_with("GET /registry/instances?watch=1&after=1 "));
-    let mut client = node.ask("fee", "5000m");
-    let (mut job, _) = listener.accept().expect("the job comes");
-    read(&mut job, "body");
+    let mut node = Node::start(&text, "reload");
+    let (mut watch, _) = old_discovery.accept().expect("the node polls discovery");
+    assert!(read_until(&mut watch, "\r\n\r\n").starts_with("GET /registry/instances?watch=1&after=1 "));
+    let mut client = node.send_request("fee", "5000m");
+    let (mut job, _) = listener.accept().expect("the job is sent");
+    read_until(&mut job, "body");
 
     node.scratch.write("node.json", &text.replace("at_most_once", "often"));
     node.signal("HUP");
@@ -161,163 +169,167 @@
     node.scratch.write("node.json", &moved);
     node.signal("HUP");
     assert!(node.wait_for_log_line("restart required").contains("seed"));
-    // Another agent may count its versions in another way, so it is asked for all that it has.
-    let (mut moved, _) = new.accept().expect("the node asks the new agent");
-    assert!(read(&mut moved, "\r\n\r\n").starts_with("GET /registry/instances HTTP/1.1\r\n"));
-    assert_eq!(read(&mut watch, "never"), "", "the old agent's watch ends");
+    // Another discovery may count versions in another way, so it is polled for the full list.
+    let (mut moved, _) = new_discovery.accept().expect("the node polls the new discovery");
+    assert!(read_until(&mut moved, "\r\n\r\n").starts_with("GET /registry/instances HTTP/1.1\r\n"));
+    assert_eq!(read_until(&mut watch, "never"), "", "the old watch ends");
 
-    let head = HEAD.replace("OK", "OK\r\nConnection: close");
-    let done = head + &chunk(r#"{"id":"q-1","state":"done","result":"fine"}"#) + "0\r\n\r\n";
+    let head = CHUNKED_RESPONSE_HEAD.replace("OK", "OK\r\nConnection: close");
+    let done = head + &line_chunk(r#"{"id":"q-1","state":"done","result":"fine"}"#) + "0\r\n\r\n";
     job.write_all(done.as_bytes()).expect("the node reads");
-    assert!(read(&mut client, "\r\n\r\nfine").starts_with("HTTP/1.1 200 OK\r\n"));
-    let mut client = node.ask("fee", "5000m");
+    assert!(read_until(&mut client, "\r\n\r\nfine").starts_with("HTTP/1.1 200 OK\r\n"));
+    let mut client = node.send_request("fee", "5000m");
     let (mut job, _) = listener.accept().expect("the old list is in force");
-    read(&mut job, "body");
+    read_until(&mut job, "body");
     node.signal("HUP");
     node.signal("TERM");
     node.wait_for_log_line("shutdown requested");
     job.write_all(done.as_bytes()).expect("the node reads");
-    assert!(read(&mut client, "\r\n\r\nfine").starts_with("HTTP/1.1 200 OK\r\n"));
-    assert!(node.child.wait().expect("it ends").success());
+    assert!(read_until(&mut client, "\r\n\r\nfine").starts_with("HTTP/1.1 200 OK\r\n"));
+    assert!(node.child.wait().expect("the program ends").success());
 }
 
-/// A job that must not run twice and may have run: one execution, and a failure that says nothing of "again".
+/// An at-most-once job that may have run: one attempt, and a failure without `Retry-After`.
 #[test]
-fn a_job_that_may_have_run_is_not_sent_again() {
-    let (listener, address) = executor();
-    let node = Running::new(&config(&address, "at_most_once"), "once");
-    let mut client = node.ask("fee", "1500m");
-    let (mut job, _) = listener.accept().expect("the job comes");
-    read(&mut job, "body");
+fn an_at_most_once_job_that_may_have_run_is_not_retried() {
+    let (listener, address) = open_worker();
+    let node = Node::start(&config(&address, "at_most_once"), "once");
+    let mut client = node.send_request("fee", "1500m");
+    let (mut job, _) = listener.accept().expect("the job is sent");
+    read_until(&mut job, "body");
     drop(job);
-    let answer = read(&mut client, "\r\n\r\n");
+    let answer = read_until(&mut client, "\r\n\r\n");
     assert!(answer.starts_with("HTTP/1.1 502 "), "{answer}");
     assert!(!answer.contains("Retry-After"), "{answer}");
-    listener.set_nonblocking(true).expect("a listener");
-    assert!(listener.accept().is_err(), "no second execution");
+    listener.set_nonblocking(true).expect("the listener can be set up");
+    assert!(listener.accept().is_err(), "no second attempt");
 }
 
-/// A request that the module gives up on is told so at once and when to come back, not held to its end.
+/// A request that can't be served in time is rejected at once, with `Retry-After`, and not at its deadline.
 #[test]
-fn a_throttle_comes_at_once_and_says_when_to_come_back() {
-    let (listener, address) = executor();
+fn a_rejection_is_sent_at_once_with_retry_after() {
+    let (listener, address) = open_worker();
     drop(listener);
-    let node = Running::new(&config(&address, "at_most_once"), "throttle");
+    let node = Node::start(&config(&address, "at_most_once"), "throttle");
     let begun = Instant::now();
-    let mut client = node.ask("issue", "0m");
-    let answer = read(&mut client, "\r\n\r\n");
+    let mut client = node.send_request("issue", "0m");
+    let answer = read_until(&mut client, "\r\n\r\n");
     assert!(answer.starts_with("HTTP/1.1 503 ") && answer.contains("Retry-After: 2.000\r\n"), "{answer}");
     assert!(begun.elapsed() < Duration::from_secs(2));
 }
 
-/// A client that goes away frees its executor: the link to it is closed.
+/// A client that disconnects frees its worker: the connection to it is closed.
 #[test]
-fn a_client_that_leaves_withdraws_its_execution() {
-    let (listener, address) = executor();
+fn a_client_disconnect_cancels_the_attempt() {
+    let (listener, address) = open_worker();
     let text = config(&address, "at_most_once").replace("\"maxAttempts\"", "\"cancel\":true,\"maxAttempts\"");
-    let mut node = Running::new(&text, "leave");
-    let client = node.ask("issue", "60000m");
-    let (mut job, _) = listener.accept().expect("the job comes");
-    read(&mut job, "body");
+    let mut node = Node::start(&text, "leave");
+    let client = node.send_request("issue", "60000m");
+    let (mut job, _) = listener.accept().expect("the job is sent");
+    read_until(&mut job, "body");
     drop(client);
-    assert_eq!(read(&mut job, "never"), "", "the node ends the link");
+    assert_eq!(read_until(&mut job, "never"), "", "the node ends the connection");
     node.signal("USR1");
     let counters = node.wait_for_log_line("admitted=");
     assert!(counters.contains("client_gone=1") && counters.contains("cancelled=1"), "{counters}");
 }
 
-/// An id that is open must not reach an executor twice: it would be turned away there, or mixed up.
+/// The id of a request in progress must not reach a worker twice: the second would be rejected there, or mixed up.
 #[test]
-fn an_open_id_that_comes_again_is_answered_and_the_first_goes_on() {
-    let (listener, address) = executor();
-    let node = Running::new(&config(&address, "at_most_once"), "again");
-    let mut client = node.ask("fee", "5000m");
-    let (mut job, _) = listener.accept().expect("the job comes");
-    read(&mut job, "body");
+fn a_duplicate_of_an_id_in_progress_is_answered_with_409_and_the_first_goes_on() {
+    let (listener, address) = open_worker();
+    let node = Node::start(&config(&address, "at_most_once"), "again");
+    let mut client = node.send_request("fee", "5000m");
+    let (mut job, _) = listener.accept().expect("the job is sent");
+    read_until(&mut job, "body");
     for _ in 0..3 {
-        let mut again = node.ask("fee", "5000m");
-        assert!(read(&mut again, "\r\n\r\n").starts_with("HTTP/1.1 409 "));
+        let mut duplicate = node.send_request("fee", "5000m");
+        assert!(read_until(&mut duplicate, "\r\n\r\n").starts_with("HTTP/1.1 409 "));
     }
-    let done = HEAD.to_string() + &chunk(r#"{"id":"q-1","state":"done","result":"fine"}"#) + "0\r\n\r\n";
+    let done = CHUNKED_RESPONSE_HEAD.to_string()
+        + &line_chunk(r#"{"id":"q-1","state":"done","result":"fine"}"#)
+        + "0\r\n\r\n";
     job.write_all(done.as_bytes()).expect("the node reads");
-    assert!(read(&mut client, "\r\n\r\nfine").starts_with("HTTP/1.1 200 OK\r\n"));
-    listener.set_nonblocking(true).expect("a listener");
-    assert!(listener.accept().is_err(), "no second execution");
-    // Once the first is over its id is free.
-    let mut client = node.ask("issue", "0m");
-    assert!(read(&mut client, "\r\n\r\n").starts_with("HTTP/1.1 503 "));
+    assert!(read_until(&mut client, "\r\n\r\nfine").starts_with("HTTP/1.1 200 OK\r\n"));
+    listener.set_nonblocking(true).expect("the listener can be set up");
+    assert!(listener.accept().is_err(), "no second attempt");
+    // Once the first request is concluded its id is free.
+    let mut client = node.send_request("issue", "0m");
+    assert!(read_until(&mut client, "\r\n\r\n").starts_with("HTTP/1.1 503 "));
 }
 
-/// Whoever sends nothing, half of something or far too much hears of it within 3 s of connecting, and a link
-/// that has served stays.
+/// A client that sends nothing, half a request or far too much gets an error or a close within 3 s of connecting, and a
+/// connection that has served requests stays.
 #[test]
-fn a_bad_client_has_an_error_or_a_close_within_three_seconds() {
-    let node = Running::new(&config("127.0.0.1:1", "at_most_once"), "bad-client");
-    let mut usual = node.ask("issue", "0m");
-    assert!(read(&mut usual, "\r\n\r\n").starts_with("HTTP/1.1 503 "));
+fn an_incomplete_or_too_long_request_gets_an_error_or_a_close_within_three_seconds() {
+    let node = Node::start(&config("127.0.0.1:1", "at_most_once"), "bad-client");
+    let mut served = node.send_request("issue", "0m");
+    assert!(read_until(&mut served, "\r\n\r\n").starts_with("HTTP/1.1 503 "));
     let head = "POST /api HTTP/1.1\r\nRequest-Id: r\r\nContent-Length: ";
     let long = format!("{head}60000000\r\nExpect: 100-continue\r\n\r\n");
     let half = format!("{head}9\r\n\r\nhalf");
     let cases = [("", ""), ("POST /ap", "HTTP/1.1 408 "), (&half, "HTTP/1.1 408 "), (&long, "HTTP/1.1 413 ")];
     let begun = Instant::now();
-    let mut links: Vec<TcpStream> = cases.iter().map(|_| crowd(&node, 1).remove(0)).collect();
-    for (link, (text, _)) in links.iter_mut().zip(cases) {
-        link.write_all(text.as_bytes()).expect("it is written");
+    let mut connections = open_silent_connections(&node, cases.len());
+    for (connection, (text, _)) in connections.iter_mut().zip(cases) {
+        connection.write_all(text.as_bytes()).expect("the bytes are written");
     }
-    for (link, (text, answer)) in links.iter_mut().zip(cases) {
-        let got = read(link, "never");
-        assert!(got.starts_with(answer) && got.is_empty() == answer.is_empty(), "{text:?}: {got:?}");
+    for (connection, (text, answer)) in connections.iter_mut().zip(cases) {
+        let received = read_until(connection, "never");
+        let is_expected = received.starts_with(answer) && received.is_empty() == answer.is_empty();
+        assert!(is_expected, "{text:?}: {received:?}");
     }
     assert!(begun.elapsed() < Duration::from_secs(3));
-    usual.write_all(b"GET /nowhere HTTP/1.1\r\n\r\n").expect("a kept link");
-    assert!(read(&mut usual, "\r\n\r\n").starts_with("HTTP/1.1 404 "));
+    served.write_all(b"GET /nowhere HTTP/1.1\r\n\r\n").expect("the connection stays");
+    assert!(read_until(&mut served, "\r\n\r\n").starts_with("HTTP/1.1 404 "));
 }
 
-/// A flood of silent links is turned out first: a usual client's kept link goes on.
+/// Of many idle connections, those that have sent nothing are evicted first: one that has served requests stays.
 #[test]
-fn silent_links_give_way_before_those_that_have_served() {
+fn silent_connections_are_evicted_before_those_that_have_served() {
     let text =
         config("127.0.0.1:1", "at_most_once").replace("\"seed\"", "\"limits\":{\"sockets\":64},\"seed\"");
-    let node = Running::new(&text, "silent");
-    let mut usual = node.ask("issue", "0m");
-    assert!(read(&mut usual, "\r\n\r\n").starts_with("HTTP/1.1 503 "));
+    let node = Node::start(&text, "silent");
+    let mut served = node.send_request("issue", "0m");
+    assert!(read_until(&mut served, "\r\n\r\n").starts_with("HTTP/1.1 503 "));
     let begun = Instant::now();
-    let _crowd = crowd(&node, 300);
-    assert!(ready(&node).starts_with("HTTP/1.1 200 "));
-    assert!(begun.elapsed() < Duration::from_secs(2), "a new client has its turn at once");
-    usual.write_all(b"GET /nowhere HTTP/1.1\r\n\r\n").expect("a kept link");
-    assert!(read(&mut usual, "\r\n\r\n").starts_with("HTTP/1.1 404 "));
+    let _silent = open_silent_connections(&node, 300);
+    assert!(probe_ready(&node).starts_with("HTTP/1.1 200 "));
+    assert!(begun.elapsed() < Duration::from_secs(2), "a new client is served at once");
+    served.write_all(b"GET /nowhere HTTP/1.1\r\n\r\n").expect("the connection stays");
+    assert!(read_until(&mut served, "\r\n\r\n").starts_with("HTTP/1.1 404 "));
 }
 
-/// Opens `n` client links that send nothing.
-fn crowd(node: &Running, n: usize) -> Vec<TcpStream> {
-    (0..n).map(|_| TcpStream::connect(&node.address).expect("the system accepts")).collect()
+/// Opens client connections that send nothing.
+fn open_silent_connections(node: &Node, count: usize) -> Vec<TcpStream> {
+    (0..count).map(|_| TcpStream::connect(&node.address).expect("the node accepts")).collect()
 }
 
-fn ready(node: &Running) -> String {
-    let mut stream = TcpStream::connect(&node.address).expect("the system accepts");
-    stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a socket");
-    stream.write_all(b"GET /health/ready HTTP/1.1\r\n\r\n").expect("it is written");
-    read(&mut stream, "\r\n\r\n")
+/// The head of the answer to a readiness probe.
+fn probe_ready(node: &Node) -> String {
+    let mut stream = TcpStream::connect(&node.address).expect("the node accepts");
+    stream.set_read_timeout(Some(Duration::from_secs(20))).expect("the socket can be set up");
+    stream.write_all(b"GET /health/ready HTTP/1.1\r\n\r\n").expect("the bytes are written");
+    read_until(&mut stream, "\r\n\r\n")
 }
 
-/// Idle client links must not keep others out once the budget of descriptors is used up.
+/// Idle client connections must not keep new ones out once the descriptors are used up.
 #[test]
-fn idle_client_links_give_way_to_new_ones() {
+fn idle_client_connections_are_evicted_for_new_ones() {
     let text =
         config("127.0.0.1:1", "at_most_once").replace("\"seed\"", "\"limits\":{\"sockets\":64},\"seed\"");
-    let node = Running::new(&text, "crowd");
-    let _crowd = crowd(&node, 80);
-    assert!(ready(&node).starts_with("HTTP/1.1 200 "));
+    let node = Node::start(&text, "crowd");
+    let _silent = open_silent_connections(&node, 80);
+    assert!(probe_ready(&node).starts_with("HTTP/1.1 200 "));
 }
 
-/// The system's limit may be tighter than the one that the node was told: accepting goes on all the same.
+/// The system's limit on descriptors may be lower than the configured one: the node goes on accepting.
 #[test]
-fn running_out_of_descriptors_does_not_end_the_accepting() {
+fn a_node_out_of_descriptors_goes_on_accepting() {
     let mut shell = Command::new("sh");
     shell.args(["-c", "ulimit -n 40; exec \"$0\"", env!("CARGO_BIN_EXE_sorrelhaven")]);
-    let mut node = Running::begin(shell, &config("127.0.0.1:1", "at_most_once"), "emfile");
-    let _crowd = crowd(&node, 80);
+    let mut node = Node::start_with(shell, &config("127.0.0.1:1", "at_most_once"), "emfile");
+    let _silent = open_silent_connections(&node, 80);
     node.wait_for_log_line("accept failed");
-    assert!(ready(&node).starts_with("HTTP/1.1 200 "));
+    assert!(probe_ready(&node).starts_with("HTTP/1.1 200 "));
 }
--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! Two processes of the program on one listening socket that neither of them owns.
+//! Upgrades: two processes of the program on one inherited listening socket.
 
 use sorrelhaven_test_support::{
     AT_MOST_ONCE_CLASS, Checker, FakeWorkers, Program, ScratchDir, TestRequest, WorkerBehavior,
@@ -12,23 +12,23 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::thread::{self, JoinHandle};
 
-const CLIENTS: usize = 12;
+const CLIENT_COUNT: usize = 12;
 
-/// What the platform holds: the listening socket, the file and the one directory for passing files.
+/// What outlives the processes: the listening socket, the workers, the configuration and the temporary files.
 struct Platform {
     listener: TcpListener,
-    boxes: FakeWorkers,
+    workers: FakeWorkers,
     scratch: ScratchDir,
     config: PathBuf,
 }
 
 impl Platform {
     fn new(name: &str) -> Platform {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let (boxes, scratch) = (FakeWorkers::new(3), ScratchDir::new(name));
-        boxes.set_default_behavior(WorkerBehavior::DoneAfterMillis(3));
-        let config = scratch.write("node.json", &workers_config(&boxes.addresses));
-        Platform { listener, boxes, scratch, config }
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+        let (workers, scratch) = (FakeWorkers::new(3), ScratchDir::new(name));
+        workers.set_default_behavior(WorkerBehavior::DoneAfterMillis(3));
+        let config = scratch.write("node.json", &workers_config(&workers.addresses));
+        Platform { listener, workers, scratch, config }
     }
 
     /// The command of a process that inherits the socket as descriptor 5.
@@ -40,7 +40,7 @@
         command
     }
 
-    /// A process that has said yes.
+    /// Starts a process, and checks that it is ready.
     fn start(&self) -> Program {
         let program = Program::start(self.command(), &self.config, None);
         assert_eq!(program.admin_call("ready"), "SUCCESS serving\n");
@@ -48,182 +48,220 @@
     }
 }
 
-/// Clients that send payments without a pause, each on a link that it keeps.
+/// What a client does with a request whose connection ended without an answer.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum OnLostAnswer {
+    /// Sends it once more on a new connection, as clients do whose connection was closed between requests.
+    SendAgain,
+    GiveUp,
+}
+
+/// The outcome of a load.
+struct LoadTotals {
+    requested: usize,
+    served: usize,
+    /// Requests that were sent on a second connection.
+    sent_again: u64,
+}
+
+/// Clients that send at-most-once requests without a pause, each on a connection that it keeps.
 struct Load {
-    stop: Arc<AtomicBool>,
-    answered: Arc<AtomicU64>,
-    checker: Arc<Checker>,
+    shared: Arc<LoadState>,
     clients: Vec<JoinHandle<u64>>,
 }
 
-impl Load {
-    /// `again` says whether a request whose link ended without an answer is sent once more on a new link, as clients
-    /// do whose link was closed between requests.
-    fn begin(platform: &Platform, again: bool) -> Load {
-        let address = platform.listener.local_addr().expect("its address").to_string();
-        let (stop, answered, checker) =
-            (Arc::default(), Arc::<AtomicU64>::default(), Arc::<Checker>::default());
-        let client = |client: usize| {
-            let (stop, answered, checker) =
-                (Arc::<AtomicBool>::clone(&stop), answered.clone(), checker.clone());
-            let address = address.clone();
-            thread::spawn(move || {
-                let connect = || {
-                    let stream = TcpStream::connect(&address).expect("no connection is refused");
-                    stream.set_nodelay(true).expect("a socket");
-                    stream
-                };
-                let (mut stream, mut sent_again) = (connect(), 0);
-                for n in 0.. {
-                    if stop.load(Ordering::Relaxed) {
-                        break;
-                    }
-                    let ask =
-                        TestRequest::new(&format!("pay-{client}-{n}"), AT_MOST_ONCE_CLASS, b"body".to_vec());
-                    checker.record_request(&ask);
-                    let mut reply = ask.send_on(&mut stream);
-                    if reply.is_err() {
-                        stream = connect();
-                        if again {
-                            sent_again += 1;
-                            reply = ask.send_on(&mut stream);
-                        }
-                    }
-                    if let Ok(reply) = reply {
-                        if reply.connection_close {
-                            stream = connect();
-                        }
-                        checker.record_response(&ask.id, reply.status);
-                        answered.fetch_add(1, Ordering::Relaxed);
-                    } else {
-                        assert!(!again, "{} was left without an answer on two links", ask.id);
-                    }
+/// What the clients of a load share.
+struct LoadState {
+    address: String,
+    on_lost_answer: OnLostAnswer,
+    stop: AtomicBool,
+    answered: AtomicU64,
+    checker: Checker,
+}
+
+impl LoadState {
+    fn connect(&self) -> TcpStream {
+        let stream = TcpStream::connect(&self.address).expect("no connection is refused");
+        stream.set_nodelay(true).expect("the socket can be set up");
+        stream
+    }
+
+    /// Sends requests until the load ends, and returns how many were sent again.
+    fn run_client(&self, client: usize) -> u64 {
+        let mut stream = self.connect();
+        let mut sent_again = 0;
+        for number in 0.. {
+            if self.stop.load(Ordering::Relaxed) {
+                break;
+            }
+            let id = format!("pay-{client}-{number}");
+            let request = TestRequest::new(&id, AT_MOST_ONCE_CLASS, b"body".to_vec());
+            self.checker.record_request(&request);
+            let mut response = request.send_on(&mut stream);
+            if response.is_err() {
+                stream = self.connect();
+                if self.on_lost_answer == OnLostAnswer::SendAgain {
+                    sent_again += 1;
+                    response = request.send_on(&mut stream);
+                }
+            }
+            if let Ok(response) = response {
+                if response.connection_close {
+                    stream = self.connect();
                 }
-                sent_again
-            })
+                self.checker.record_response(&id, response.status);
+                self.answered.fetch_add(1, Ordering::Relaxed);
+            } else {
+                let gave_up = self.on_lost_answer == OnLostAnswer::GiveUp;
+                assert!(gave_up, "{id} was left without an answer on two connections");
+            }
+        }
+        sent_again
+    }
+}
+
+impl Load {
+    fn start(platform: &Platform, on_lost_answer: OnLostAnswer) -> Load {
+        let address = platform.listener.local_addr().expect("the listener has an address").to_string();
+        let shared = Arc::new(LoadState {
+            address,
+            on_lost_answer,
+            stop: AtomicBool::default(),
+            answered: AtomicU64::default(),
+            checker: Checker::default(),
+        });
+        let spawn_client = |client: usize| {
+            let shared = shared.clone();
+            thread::spawn(move || shared.run_client(client))
         };
-        let clients = (0..CLIENTS).map(client).collect();
-        Load { stop, answered, checker, clients }
+        let clients = (0..CLIENT_COUNT).map(spawn_client).collect();
+        Load { shared, clients }
     }
 
-    /// Waits for so many answers more.
-    fn more(&self, answers: u64) {
-        let until = self.answered.load(Ordering::Relaxed) + answers;
-        while self.answered.load(Ordering::Relaxed) < until {
-            assert!(self.clients.iter().all(|c| !c.is_finished()), "a client has ended");
+    /// Waits for this many more answers.
+    fn wait_for_answers(&self, count: u64) {
+        let answered = &self.shared.answered;
+        let target = answered.load(Ordering::Relaxed) + count;
+        while answered.load(Ordering::Relaxed) < target {
+            assert!(self.clients.iter().all(|client| !client.is_finished()), "a client has ended");
             thread::yield_now();
         }
     }
 
-    /// Ends it: payments asked, those served, and requests that were sent again. No rule may be broken.
-    fn end(self, boxes: &FakeWorkers) -> (usize, usize, u64) {
-        self.stop.store(true, Ordering::Relaxed);
-        let again = self.clients.into_iter().map(|c| c.join().expect("a client")).sum();
-        assert_eq!(self.checker.violations(&boxes.executed_requests()), [""; 0]);
-        let totals = self.checker.totals();
-        (totals.requested, totals.served, again)
+    /// Ends the load. No delivery rule may have been violated.
+    fn stop(self, workers: &FakeWorkers) -> LoadTotals {
+        self.shared.stop.store(true, Ordering::Relaxed);
+        let sent_again = self.clients.into_iter().map(|client| client.join().expect("the client ends")).sum();
+        assert_eq!(self.shared.checker.violations(&workers.executed_requests()), [""; 0]);
+        let totals = self.shared.checker.totals();
+        LoadTotals { requested: totals.requested, served: totals.served, sent_again }
     }
 }
 
-/// Requests go on through the overlaps, each has one answer and runs once, and no connection is refused.
+/// Requests go on while processes overlap, each is answered once and runs once, and no connection is refused.
 #[test]
-fn three_upgrades_in_a_row_lose_nothing() {
+fn three_upgrades_in_a_row_lose_no_request() {
     let platform = Platform::new("upgrades");
     let mut old = platform.start();
-    let load = Load::begin(&platform, true);
-    load.more(200);
+    let load = Load::start(&platform, OnLostAnswer::SendAgain);
+    load.wait_for_answers(200);
     for _ in 0..3 {
         let new = platform.start();
-        load.more(200);
+        load.wait_for_answers(200);
         let log = old.terminate();
-        assert!(log.contains("in_progress=0"), "it ends once all that it took is answered: {log}");
+        assert!(
+            log.contains("in_progress=0"),
+            "the process ends once all admitted requests are answered: {log}"
+        );
         old = new;
-        load.more(200);
+        load.wait_for_answers(200);
     }
     assert!(old.metric("node_passed") > 0);
-    let (asked, served, again) = load.end(&platform.boxes);
-    assert_eq!(asked, served, "each payment was served");
-    // A close crosses a request only where a link had stood idle until then, and these never do for long.
-    assert!(again <= 3, "{again} of {asked} were sent again");
+    let totals = load.stop(&platform.workers);
+    assert_eq!(totals.requested, totals.served, "each request was served");
+    // A close can cross a request only on an idle connection, and these are never idle for long.
+    let LoadTotals { requested, sent_again, .. } = totals;
+    assert!(sent_again <= 3, "{sent_again} of {requested} were sent again");
     old.terminate();
 }
 
-/// A new process that ends before it can serve, by its own fault or killed, takes nothing with it.
+/// A new process that fails or is killed before it is ready costs no request.
 #[test]
-fn a_new_process_that_dies_before_it_is_ready_costs_nothing() {
+fn a_new_process_that_ends_before_it_is_ready_costs_no_request() {
     let platform = Platform::new("stillborn");
     let old = platform.start();
-    let load = Load::begin(&platform, true);
-    load.more(100);
+    let load = Load::start(&platform, OnLostAnswer::SendAgain);
+    load.wait_for_answers(100);
     let mut command = platform.command();
-    let taken = command
+    let output = command
         .env("RELAY_OPS", &old.admin_address)
         .env("RELAY_CONFIG", &platform.config)
         .output()
-        .expect("it ends");
-    assert!(!taken.status.success());
-    assert!(String::from_utf8_lossy(&taken.stderr).contains("sorrelhaven: ops: "));
+        .expect("the program ends");
+    assert!(!output.status.success());
+    assert!(String::from_utf8_lossy(&output.stderr).contains("sorrelhaven: ops: "));
     for _ in 0..5 {
         let mut command = platform.command();
         command.env("RELAY_CONFIG", &platform.config).stderr(Stdio::null());
-        let mut new = command.spawn().expect("it starts");
-        new.kill().expect("it runs");
-        new.wait().expect("it has ended");
-        load.more(50);
+        let mut new = command.spawn().expect("the program starts");
+        new.kill().expect("the program runs");
+        new.wait().expect("the program has ended");
+        load.wait_for_answers(50);
     }
-    let (asked, served, again) = load.end(&platform.boxes);
-    assert_eq!((asked, again), (served, 0));
+    let totals = load.stop(&platform.workers);
+    assert_eq!((totals.requested, totals.sent_again), (totals.served, 0));
     old.terminate();
 }
 
-/// The old one killed outright: its open requests end with their links, the new one serves all that comes.
+/// The old process is killed: its requests in progress end with their connections, and the new process serves the rest.
 #[test]
-fn an_old_process_that_is_killed_leaves_the_queue_to_the_new_one() {
+fn after_the_old_process_is_killed_the_new_one_serves_the_accept_queue() {
     let platform = Platform::new("killed");
     let mut old = platform.start();
-    let load = Load::begin(&platform, false);
-    load.more(200);
+    let load = Load::start(&platform, OnLostAnswer::GiveUp);
+    load.wait_for_answers(200);
     let new = platform.start();
-    load.more(200);
-    old.child.kill().expect("it runs");
-    old.child.wait().expect("it has ended");
-    load.more(400);
-    let (asked, served, _) = load.end(&platform.boxes);
-    assert!(served + 2 * CLIENTS >= asked, "{served} of {asked}");
+    load.wait_for_answers(200);
+    old.child.kill().expect("the program runs");
+    old.child.wait().expect("the program has ended");
+    load.wait_for_answers(400);
+    let totals = load.stop(&platform.workers);
+    let LoadTotals { requested, served, .. } = totals;
+    assert!(served + 2 * CLIENT_COUNT >= requested, "{served} of {requested}");
     new.terminate();
 }
 
-/// The two are one node to the limit on descriptors, also where a crowd of silent clients would fill either.
+/// The limit on descriptors holds for both processes together, also under many silent clients.
 #[test]
 fn two_processes_together_keep_to_the_descriptors_of_one() {
     const LIMIT: usize = 160;
     let platform = Platform::new("descriptors");
-    let text = workers_config(&platform.boxes.addresses)
+    let text = workers_config(&platform.workers.addresses)
         .replace("\"sockets\":1024", &format!("\"sockets\":{LIMIT}"));
     platform.scratch.write("node.json", &text);
-    let held = |node: &Program| {
+    let descriptors = |node: &Program| {
         std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).map_or(0, |entries| entries.count())
     };
     let mut old = platform.start();
-    let address = platform.listener.local_addr().expect("its address");
-    let crowd = |n: usize| -> Vec<TcpStream> {
-        (0..n).map(|_| TcpStream::connect(address).expect("it is queued")).collect()
+    let address = platform.listener.local_addr().expect("the listener has an address");
+    let connect_silent = |count: usize| -> Vec<TcpStream> {
+        (0..count).map(|_| TcpStream::connect(address).expect("the connection is queued")).collect()
     };
-    let mut clients = crowd(200);
-    // One that has been served proves that the crowd before it was accepted, or gave way.
+    let mut clients = connect_silent(200);
+    // An answer proves that the connections before this one were accepted, or evicted.
     let served = TestRequest::new("after", AT_MOST_ONCE_CLASS, b"body".to_vec())
         .send(&address.to_string())
-        .expect("an answer");
+        .expect("the request is answered");
     assert_eq!(served.status, 200);
-    assert!(held(&old) > LIMIT / 2, "a node alone uses what it may: {}", held(&old));
+    assert!(descriptors(&old) > LIMIT / 2, "a single process uses the whole limit: {}", descriptors(&old));
     let new = platform.start();
     old.wait_for_log_line("process count changed");
     for round in 0..6 {
-        clients.extend(crowd(50));
-        let ask = TestRequest::new(&format!("beside-{round}"), AT_MOST_ONCE_CLASS, b"body".to_vec());
-        assert_eq!(ask.send(&address.to_string()).expect("an answer").status, 200);
-        let (a, b) = (held(&old), held(&new));
-        assert!(a + b <= LIMIT, "round {round}: {a} and {b} of {LIMIT}");
+        clients.extend(connect_silent(50));
+        let request = TestRequest::new(&format!("beside-{round}"), AT_MOST_ONCE_CLASS, b"body".to_vec());
+        assert_eq!(request.send(&address.to_string()).expect("the request is answered").status, 200);
+        let (of_old, of_new) = (descriptors(&old), descriptors(&new));
+        assert!(of_old + of_new <= LIMIT, "round {round}: {of_old} and {of_new} of {LIMIT}");
     }
     drop(clients);
     old.terminate();
