--- a/crates/body-store/tests/compatibility.rs
+++ b/crates/body-store/tests/compatibility.rs
@@ -146,8 +146,8 @@
 #[test]
 fn a_name_that_the_previous_version_left_is_swept() {
     let scratch = ScratchDir::new("compatibility");
-    std::fs::write(scratch.0.join(RECORDED_NAME), recorded_file()).expect("a file");
-    let directory = Directory::open(&scratch.0, "node-a").expect("a usable directory");
+    std::fs::write(scratch.path(RECORDED_NAME), recorded_file()).expect("a file");
+    let directory = Directory::open(scratch.root(), "node-a").expect("a usable directory");
     assert_eq!(directory.sweep().expect("a listing"), 1);
     assert!(scratch.file_names(".").is_empty());
 }
