--- a/crates/body-store/tests/directory.rs
+++ b/crates/body-store/tests/directory.rs
@@ -15,7 +15,7 @@
 #[test]
 fn an_unusable_directory_gives_an_error_of_one_line() {
     let scratch = ScratchDir::new("open-errors");
-    let at = |name: &str| scratch.0.join(name);
+    let at = |name: &str| scratch.path(name);
     assert!(open_error(&at("none")).ends_with("there is no such directory"));
     std::fs::write(at("file"), "").expect("a file");
     assert!(open_error(&at("file")).ends_with("it is not a directory"));
@@ -31,28 +31,28 @@
 #[test]
 fn a_link_on_the_path_is_accepted_only_from_the_same_user() {
     let scratch = ScratchDir::new("way");
-    std::fs::create_dir_all(scratch.0.join("real/in")).expect("a directory");
-    symlink(scratch.0.join("real"), scratch.0.join("way")).expect("a link");
-    let path = scratch.0.join("way/in");
+    std::fs::create_dir_all(scratch.path("real/in")).expect("a directory");
+    symlink(scratch.path("real"), scratch.path("way")).expect("a link");
+    let path = scratch.path("way/in");
     assert!(Directory::open(&path, "n0").is_ok());
     // Only root can change the owner of a link; other users can't run this half.
     let root = std::fs::metadata("/proc/self").expect("a process").uid() == 0;
-    if root && std::os::unix::fs::lchown(scratch.0.join("way"), Some(65_534), None).is_ok() {
+    if root && std::os::unix::fs::lchown(scratch.path("way"), Some(65_534), None).is_ok() {
         assert!(open_error(&path).ends_with("way is a symbolic link"), "{}", open_error(&path));
     }
 }
 
-/// What an earlier process of this node left is swept and counted; files of other nodes stay, whatever their names
-/// begin with.
+/// What an earlier process of this node left is swept and counted; files of other nodes stay, whatever their
+/// names begin with.
 #[test]
 fn leftovers_of_this_node_are_swept_and_no_others() {
     let scratch = ScratchDir::new("sweep");
     let others = ["sorrelhaven-body.n01.7.0.part", "sorrelhaven-body.n0%2e.7.0.part", "notes.txt"];
     let own = ["sorrelhaven-body.n0.7.0.part", "sorrelhaven-body.n0.7.1.part"];
     for name in others.iter().chain(&own) {
-        std::fs::write(scratch.0.join(name), "a partial bo").expect("a file");
+        std::fs::write(scratch.path(name), "a partial bo").expect("a file");
     }
-    let directory = Directory::open(&scratch.0, "n0").expect("a usable directory");
+    let directory = Directory::open(scratch.root(), "n0").expect("a usable directory");
     assert_eq!(scratch.file_names(".").len(), 5, "opening it deletes nothing");
     assert_eq!((directory.sweep().expect("a listing"), directory.is_full()), (2, false));
     assert_eq!(scratch.file_names("."), ["notes.txt", others[1], others[0]]);
@@ -64,6 +64,6 @@
     assert_eq!(&back, b"body");
     assert!(file.read_at(&mut back, 4).is_err(), "no more than was written");
     assert!(directory.free().expect("a file system") > 0);
-    let other = Directory::open(&scratch.0, "n0.").expect("a usable directory");
+    let other = Directory::open(scratch.root(), "n0.").expect("a usable directory");
     assert_eq!(other.sweep().expect("a listing"), 1);
 }
--- a/crates/body-store/tests/store.rs
+++ b/crates/body-store/tests/store.rs
@@ -7,7 +7,7 @@
     BLOCK_BYTES, BodyEnd, BodyReadError, BodyStore, BodyWriter, RequestBody, StorageTier, StorageUsage,
     StoredBodyReader,
 };
-use sorrelhaven_config::{BodyFiles, BodyMemory, BodySettings, Unkept};
+use sorrelhaven_config::{BodyFiles, BodyMemory, BodySettings, NotStoredPolicy};
 use sorrelhaven_test_support::{FakeDisk, check_cases, sample_bytes};
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -79,14 +79,15 @@
     store.metrics().iter().find(|metric| metric.0 == name).expect("a metric of that name").1
 }
 
-/// Whatever the length, the pieces, the tier and the readers: what is read is what was written, byte for byte.
+/// Whatever the length, the pieces, the tier and the readers: what is read is what was written, byte for
+/// byte.
 #[test]
 fn a_body_is_read_as_it_was_written() {
     let cases = (0usize..400_000, 1usize..200_000, any::<bool>(), 0u64..3, any::<u64>(), any::<bool>());
     check_cases(160, cases, |(length, piece, is_declared, room, seed, reject)| {
         let disk = FakeDisk::new([0, 150 * KIB, 10 * MIB][room as usize]);
         let mut settings = settings(tier(100 * KIB, MIB), tier(300 * KIB, MIB));
-        settings.unkept = if reject { Unkept::Refuse } else { Unkept::Stream };
+        settings.not_stored = if reject { NotStoredPolicy::Reject } else { NotStoredPolicy::Stream };
         let store = store(&settings, &disk);
         let sent = sample_bytes(length, seed);
         let begun = store.begin(0, is_declared.then_some(length as u64));
@@ -133,8 +134,8 @@
     });
 }
 
-/// The disk fills up during a burst of uploads: bodies in flight are streamed and none is corrupt, those in memory are
-/// not affected, and when there is room again files are used again.
+/// The disk fills up during a burst of uploads: bodies in flight are streamed and none is corrupt, those in
+/// memory are not affected, and when there is room again files are used again.
 #[test]
 fn a_disk_that_fills_up_corrupts_no_body() {
     let disk = FakeDisk::new(2 * MIB);
@@ -308,7 +309,8 @@
     });
 }
 
-/// A body for whose file there is no descriptor is not stored either, and waits for its reader as any such body does.
+/// A body for whose file there is no descriptor is not stored either, and waits for its reader as any such
+/// body does.
 #[test]
 fn a_body_without_a_descriptor_for_its_file_waits_for_its_reader() {
     let disk = FakeDisk::new(64 * MIB);
@@ -372,7 +374,8 @@
 #[test]
 fn every_end_is_counted_by_its_name() {
     let mut rejecting = settings(tier(64 * KIB, 64 * KIB), tier(MIB, MIB));
-    (rejecting.largest_bytes, rejecting.unkept) = (MIB, Unkept::Refuse);
+    rejecting.largest_bytes = MIB;
+    rejecting.not_stored = NotStoredPolicy::Reject;
     let store = BodyStore::new(&rejecting, 1, None, || None);
     for (length, end) in [(MIB + 1, BodyEnd::TooLong), (MIB, BodyEnd::BudgetGone)] {
         let (found, body) = store.begin(0, Some(length)).err().expect("it is rejected");
