--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -1,10 +1,19 @@
-//! All decisions of a dispatcher. Its interface, types, events and actions, is in [`crate::interface`].
+//! All decisions of a dispatcher. Its interface, the types of settings, events and actions, is in
+//! `interface`.
 //!
-//! The ordinary path is OXTHAS: workers rank by their Estimated Processing Capacity (EPC), thresholds in
-//! integer progression over S_max give each job a lane by its size, and the lane's worker is compared with
-//! one random rival. Each departure from it says what it guards against and when it acts. [`Dispatcher`]
-//! routes events; the modules below it hold the decisions, one concern each, and each owns its part of the
-//! state.
+//! The ordinary path is the paper's OXTHAS: workers rank by their Estimated Processing Capacity (EPC),
+//! thresholds in integer progression over S_max give each job a lane by its size, and the lane's worker is
+//! compared with one random rival. Each departure from it says what it guards against and when it acts.
+//!
+//! [`Dispatcher`] routes events; the modules below it hold the decisions, one concern each:
+//!
+//! - Workers: `worker_table`, `worker`, `machine_kind`, and what their answers show: `observations`,
+//!   `worker_evidence`, `capacity`, `health`, `slow_start`.
+//! - The choice of a worker: `subset` and `ranking` narrow the list, `affinity` adds the workers of a key,
+//!   `selection` chooses by `prediction` among those that `permission` allows. All read the state through
+//!   `context`.
+//! - Requests: `requests` is their life, `pending` and `pending_queue` hold those that wait,
+//!   `attempt_timers` and `attempt_timeout` look after those that were sent, `retry_budget` bounds retries.
 
 mod affinity;
 mod arrival_statistics;
@@ -32,6 +41,7 @@
 mod slow_start;
 mod subset;
 mod worker;
+mod worker_evidence;
 mod worker_list;
 mod worker_table;
 
--- a/crates/dispatcher/src/dispatcher/capacity.rs
+++ b/crates/dispatcher/src/dispatcher/capacity.rs
@@ -6,11 +6,13 @@
 
 /// The least capacity that is estimated.
 const MIN_CAPACITY: f64 = 1e-3;
-/// The least and the most that a worker's weight alone makes of the mean capacity.
-const WEIGHT_FACTOR_RANGE: (f64, f64) = (0.5, 2.0);
-/// How many times longer a kind of machine and all workers are averaged than one worker.
+/// The least that a worker's weight alone makes of the mean capacity.
+const MIN_WEIGHT_FACTOR: f64 = 0.5;
+/// The most that a worker's weight alone makes of the mean capacity.
+const MAX_WEIGHT_FACTOR: f64 = 2.0;
+/// How many times longer a kind of machine is averaged than one worker.
 const KIND_HISTORY_FACTOR: f64 = 2.0;
-/// See [`KIND_HISTORY_FACTOR`].
+/// How many times longer all workers together are averaged than one worker.
 const ALL_WORKERS_HISTORY_FACTOR: f64 = 4.0;
 
 /// The Estimated Processing Capacity (EPC) of one worker outside slow start: the running time of a job on a
@@ -72,10 +74,10 @@
     /// Estimates a worker's capacity anew.
     pub(super) fn estimate(&self, workers: &mut WorkerTable, id: WorkerId) {
         let worker = workers.get(id);
-        let (least, most) = WEIGHT_FACTOR_RANGE;
         let relative_weight =
             workers.rated_weight(worker) * workers.ready().len() as f64 / workers.total_weight();
-        let by_weight = self.all_workers.mean(1.0) * relative_weight.sqrt().clamp(least, most);
+        let weight_factor = relative_weight.sqrt().clamp(MIN_WEIGHT_FACTOR, MAX_WEIGHT_FACTOR);
+        let by_weight = self.all_workers.mean(1.0) * weight_factor;
         let by_kind = workers.kind(worker).capacity.mean(by_weight);
         workers.get_mut(id).capacity.update(by_kind);
     }
--- a/crates/dispatcher/src/dispatcher/machine_kind.rs
+++ b/crates/dispatcher/src/dispatcher/machine_kind.rs
@@ -17,7 +17,7 @@
     /// The slots that one of it has been seen to use.
     slots: f64,
     /// The largest weight of one of it, where weights fall with the load; else 0.
-    pub(super) largest_weight: f64,
+    largest_weight: f64,
     /// The share of its slots that other dispatchers leave to this one, as load reports say.
     available_share: DecayedMean,
     /// How long jobs of a class usually wait for their start, in microseconds.
@@ -25,6 +25,16 @@
 }
 
 impl MachineKind {
+    /// Takes note of the listed weight of one of its workers.
+    pub(super) fn record_weight(&mut self, weight: f64) {
+        self.largest_weight = self.largest_weight.max(weight);
+    }
+
+    /// The largest weight recorded; 0 where none is.
+    pub(super) fn largest_weight(&self) -> f64 {
+        self.largest_weight
+    }
+
     /// The slots of one of its workers, at least 1.
     pub(super) fn slots(&self) -> f64 {
         self.slots.max(1.0)
--- a/crates/dispatcher/src/dispatcher/observations.rs
+++ b/crates/dispatcher/src/dispatcher/observations.rs
@@ -2,7 +2,7 @@
 
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::attempt::{Attempt, AttemptId};
-use crate::dispatcher::health::WorkerEvidence;
+use crate::dispatcher::worker_evidence::WorkerEvidence;
 use crate::interface::{Idempotency, Micros, Outcome, WorkerId};
 
 /// How many times its estimate a worker's capacity is taken to be at most, after one job.
--- a/crates/dispatcher/src/dispatcher/ranking.rs
+++ b/crates/dispatcher/src/dispatcher/ranking.rs
@@ -2,8 +2,6 @@
 
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::context::DecisionContext;
-use crate::dispatcher::rendezvous::{Candidate, limit_choices};
-use crate::dispatcher::subset::NearestWorkers;
 use crate::interface::{Micros, WorkerId};
 
 /// The workers for each class, the fastest first.
@@ -52,50 +50,6 @@
         self.health.update_common_failures(failures.collect());
         self.ranking.by_class[class] = self.context().rank(class, now);
     }
-
-    /// Looks at all workers in the list: which are the nearest to this dispatcher, and how much they weigh.
-    /// It costs more the longer the list is, so it is not done for every request.
-    fn look_up_nearest_workers(&mut self, now: Micros) {
-        let context = self.context();
-        let candidate = |&id: &WorkerId| Candidate {
-            id,
-            name_hash: context.workers.get(id).entry.name_hash,
-            weight: context.present_weight(id, now),
-        };
-        let candidates: Vec<Candidate> = context.workers.ready().iter().map(candidate).collect();
-        let total_weight: f64 = candidates.iter().map(|candidate| candidate.weight).sum();
-        let workers = candidates.len();
-        self.affinity.set_candidates(candidates);
-        let limit = self.subset.lookup_size(workers);
-        let for_all = self.affinity.nearest_to_instance(limit, |_| true);
-        let limit_of_class = limit_choices(workers, workers).max(limit);
-        let classes = 0..self.settings.classes.len();
-        let by_class = classes.map(|class| self.nearest_of_class(class, limit_of_class)).collect();
-        let nearest = NearestWorkers { for_all, by_class, total_weight };
-        for &id in nearest.for_all.iter().chain(nearest.by_class.iter().flatten()) {
-            self.capacity.estimate(&mut self.workers, id);
-        }
-        self.subset.set_nearest(now, workers, nearest);
-    }
-
-    /// The nearest workers that run a class, if only one kind of machine does: the subset may have none of
-    /// them.
-    fn nearest_of_class(&self, class: usize, limit: usize) -> Vec<WorkerId> {
-        if self.settings.classes[class].worker_kind.is_none() {
-            return Vec::new();
-        }
-        let context = self.context();
-        self.affinity.nearest_to_instance(limit, |id| context.runs_class(id, class))
-    }
-
-    fn choose_subset(&mut self, now: Micros) {
-        let (workers, health) = (&self.workers, &self.health);
-        let is_ejected = |id| {
-            let worker = workers.get(id);
-            !health.is_healthy(worker) || worker.health.has_rejected(now)
-        };
-        self.subset.choose_members(workers.ready().len(), is_ejected);
-    }
 }
 
 impl DecisionContext<'_> {
--- a/crates/dispatcher/src/dispatcher/subset.rs
+++ b/crates/dispatcher/src/dispatcher/subset.rs
@@ -4,7 +4,9 @@
 //! This guards against estimates that are out of date, many connections, and all dispatchers at one worker
 //! in slow start.
 
+use crate::dispatcher::Dispatcher;
 use crate::dispatcher::arrival_statistics::ArrivalStatistics;
+use crate::dispatcher::rendezvous::{Candidate, limit_choices};
 use crate::interface::{Micros, WorkerId};
 
 /// The least size: below it one failed worker would be too large a share, and big and small jobs share lanes.
@@ -13,10 +15,10 @@
 const INITIAL_SIZE: usize = 2 * MIN_SIZE as usize;
 /// Workers for each job that runs: a longer queue would be known for so long that it has changed.
 const WORKERS_PER_RUNNING_JOB: f64 = 3.0;
-/// The size follows the load where it is off by more than these factors.
-const RESIZE_BELOW: f64 = 0.7;
-/// See [`RESIZE_BELOW`].
-const RESIZE_ABOVE: f64 = 1.3;
+/// The subset shrinks where the size that the load asks for is below this multiple of its size.
+const SHRINK_BELOW: f64 = 0.7;
+/// The subset grows where the size that the load asks for is above this multiple of its size.
+const GROW_ABOVE: f64 = 1.3;
 /// The nearest workers are looked up again after this time, since weights change in slow start.
 const REFRESH_INTERVAL: Micros = 1_000_000;
 /// How many times the size of the subset is looked up, so that ejected workers can be replaced.
@@ -24,6 +26,9 @@
 /// The nearest workers, in subset sizes, among which ejected ones are replaced by further ones.
 const REPLACED_RANGE: usize = 2;
 
+/// The least total that a weight is divided by.
+const MIN_TOTAL_WEIGHT: f64 = 1e-9;
+
 /// The nearest workers at one moment.
 pub(super) struct NearestWorkers {
     /// The nearest to this dispatcher, for all classes.
@@ -84,7 +89,7 @@
         let size =
             (WORKERS_PER_RUNNING_JOB * arrivals.mean_size() / arrivals.mean_gap()).max(MIN_SIZE).ceil();
         let current = self.target_size as f64;
-        if size > RESIZE_ABOVE * current || size < RESIZE_BELOW * current {
+        if size > GROW_ABOVE * current || size < SHRINK_BELOW * current {
             self.target_size = size as usize;
             self.nearest_stale = true;
         }
@@ -118,7 +123,7 @@
     /// Sets what was looked up in a list of so many workers.
     pub(super) fn set_nearest(&mut self, now: Micros, workers: usize, nearest: NearestWorkers) {
         let size = self.target_size.min(workers);
-        self.probability_per_weight = size as f64 / nearest.total_weight.max(1e-9);
+        self.probability_per_weight = size as f64 / nearest.total_weight.max(MIN_TOTAL_WEIGHT);
         self.nearest = nearest.for_all;
         self.nearest_by_class = nearest.by_class;
         self.refresh_at = now + REFRESH_INTERVAL;
@@ -131,3 +136,50 @@
         self.members = self.nearest.iter().take(size + ejected).copied().collect();
     }
 }
+
+impl Dispatcher {
+    /// Looks at all workers in the list: which are the nearest to this dispatcher, and how much they weigh.
+    /// It costs more the longer the list is, so it is not done for every request.
+    pub(super) fn look_up_nearest_workers(&mut self, now: Micros) {
+        let context = self.context();
+        let candidate = |&id: &WorkerId| Candidate {
+            id,
+            name_hash: context.workers.get(id).entry.name_hash,
+            weight: context.present_weight(id, now),
+        };
+        let candidates: Vec<Candidate> = context.workers.ready().iter().map(candidate).collect();
+        let total_weight: f64 = candidates.iter().map(|candidate| candidate.weight).sum();
+        let workers = candidates.len();
+        self.affinity.set_candidates(candidates);
+        let limit = self.subset.lookup_size(workers);
+        let for_all = self.affinity.nearest_to_instance(limit, |_| true);
+        let limit_of_class = limit_choices(workers, workers).max(limit);
+        let classes = 0..self.settings.classes.len();
+        let by_class = classes.map(|class| self.nearest_of_class(class, limit_of_class)).collect();
+        let nearest = NearestWorkers { for_all, by_class, total_weight };
+        for &id in nearest.for_all.iter().chain(nearest.by_class.iter().flatten()) {
+            self.capacity.estimate(&mut self.workers, id);
+        }
+        self.subset.set_nearest(now, workers, nearest);
+    }
+
+    /// The nearest workers that run a class, if only one kind of machine does: the subset may have none of
+    /// them.
+    fn nearest_of_class(&self, class: usize, limit: usize) -> Vec<WorkerId> {
+        if self.settings.classes[class].worker_kind.is_none() {
+            return Vec::new();
+        }
+        let context = self.context();
+        self.affinity.nearest_to_instance(limit, |id| context.runs_class(id, class))
+    }
+
+    /// Chooses the subset from the nearest workers.
+    pub(super) fn choose_subset(&mut self, now: Micros) {
+        let (workers, health) = (&self.workers, &self.health);
+        let is_ejected = |id| {
+            let worker = workers.get(id);
+            !health.is_healthy(worker) || worker.health.has_rejected(now)
+        };
+        self.subset.choose_members(workers.ready().len(), is_ejected);
+    }
+}
--- a/crates/dispatcher/src/dispatcher/worker_table.rs
+++ b/crates/dispatcher/src/dispatcher/worker_table.rs
@@ -89,8 +89,7 @@
             self.kinds.resize(kind + 1, MachineKind::default());
         }
         if self.weights_include_load {
-            let largest = &mut self.kinds[kind].largest_weight;
-            *largest = largest.max(weight);
+            self.kinds[kind].record_weight(weight);
         }
     }
 
@@ -116,7 +115,7 @@
     /// A worker's weight when idle: where listed weights include the load, the largest seen of its kind
     /// stands for it, since all dispatchers would move in step with weights that are late.
     pub(super) fn rated_weight(&self, worker: &Worker) -> f64 {
-        worker.entry.weight.max(self.kind(worker).largest_weight)
+        worker.entry.weight.max(self.kind(worker).largest_weight())
     }
 
     /// The sum of the rated weights of all ready workers, above 0.
--- a/crates/simulator/src/instance.rs
+++ b/crates/simulator/src/instance.rs
@@ -2,113 +2,27 @@
 
 use crate::error::BatchError;
 use crate::host::WorkerLists;
+use crate::names::{OpenRequests, WorkerNames};
 use crate::wire::{ArrivalMessage, AttemptEndMessage, Command, Message};
 use sorrelhaven_config::stable_hash;
 use sorrelhaven_dispatcher::{
-    Action, Arrival, Dispatcher, Event, Micros, Outcome, RequestId, Settings, WorkerEntry, WorkerId,
-    WorkerListUpdate,
+    Action, Arrival, Dispatcher, Event, Micros, Outcome, RequestId, Settings, WorkerEntry, WorkerListUpdate,
 };
-use std::collections::HashMap;
 
-/// The codes of a job's notices.
+/// The kind of a notice that a job has started.
 const NOTICE_STARTED: u8 = 1;
-/// See [`NOTICE_STARTED`].
+/// The kind of a notice of a job's progress.
 const NOTICE_PROGRESS: u8 = 2;
 
-/// The codes of a worker list's updates.
+/// The mode of an update with changed entries.
 const UPDATE_DELTA: u8 = 0;
-/// See [`UPDATE_DELTA`].
+/// The mode of an update with the complete list.
 const UPDATE_FULL: u8 = 1;
-/// See [`UPDATE_DELTA`].
+/// The mode of an update with a complete list that may be out of date.
 const UPDATE_CACHED: u8 = 2;
-/// See [`UPDATE_DELTA`].
+/// The mode of an update that failed.
 const UPDATE_FAILED: u8 = 3;
 
-/// The ids of workers, numbered in the order in which an instance hears of them.
-#[derive(Default)]
-struct WorkerNames {
-    ids: HashMap<String, WorkerId>,
-    names: Vec<String>,
-}
-
-impl WorkerNames {
-    /// The id of this name; a new one for an unknown name.
-    fn intern(&mut self, name: &str) -> WorkerId {
-        if let Some(&id) = self.ids.get(name) {
-            return id;
-        }
-        let id = WorkerId(self.names.len() as u32);
-        self.ids.insert(name.to_string(), id);
-        self.names.push(name.to_string());
-        id
-    }
-
-    fn name(&self, id: WorkerId) -> Option<String> {
-        self.names.get(id.0 as usize).cloned()
-    }
-}
-
-/// A request that has no final answer or an attempt without an outcome.
-struct OpenRequest {
-    name: String,
-    outstanding_attempts: u32,
-    concluded: bool,
-}
-
-/// The ids of requests.
-#[derive(Default)]
-struct OpenRequests {
-    ids: HashMap<String, RequestId>,
-    by_id: HashMap<RequestId, OpenRequest>,
-    next_id: u64,
-}
-
-impl OpenRequests {
-    fn open(&mut self, name: &str) -> RequestId {
-        let id = RequestId(self.next_id);
-        self.next_id += 1;
-        self.ids.insert(name.to_string(), id);
-        let request = OpenRequest { name: name.to_string(), outstanding_attempts: 0, concluded: false };
-        self.by_id.insert(id, request);
-        id
-    }
-
-    fn id(&self, name: &str) -> Option<RequestId> {
-        self.ids.get(name).copied()
-    }
-
-    fn name(&self, id: RequestId) -> Option<String> {
-        self.by_id.get(&id).map(|request| request.name.clone())
-    }
-
-    fn record_attempt_sent(&mut self, id: RequestId) {
-        if let Some(request) = self.by_id.get_mut(&id) {
-            request.outstanding_attempts += 1;
-        }
-    }
-
-    fn record_attempt_ended(&mut self, id: RequestId) {
-        if let Some(request) = self.by_id.get_mut(&id) {
-            request.outstanding_attempts = request.outstanding_attempts.saturating_sub(1);
-        }
-    }
-
-    fn conclude(&mut self, id: RequestId) {
-        if let Some(request) = self.by_id.get_mut(&id) {
-            request.concluded = true;
-        }
-    }
-
-    /// Forgets a request that has its final answer and no attempt outstanding.
-    fn forget_if_complete(&mut self, id: RequestId) {
-        let is_complete =
-            self.by_id.get(&id).is_some_and(|request| request.concluded && request.outstanding_attempts == 0);
-        if is_complete && let Some(request) = self.by_id.remove(&id) {
-            self.ids.remove(&request.name);
-        }
-    }
-}
-
 /// One dispatcher of this process. Ids are numbered per instance, so that what it does cannot depend on
 /// which others share the process.
 pub struct Instance {
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -4,6 +4,7 @@
 mod error;
 mod host;
 mod instance;
+mod names;
 mod wire;
 
 use error::SimulatorError;
