--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -1,5 +1,4 @@
-//! All decisions of a dispatcher. Its interface, the types of settings, events and actions, is in
-//! `interface`.
+//! All decisions of a dispatcher. The types of its settings, events and actions are in `interface`.
 //!
 //! The ordinary path is the paper's OXTHAS: workers rank by their Estimated Processing Capacity (EPC),
 //! thresholds in integer progression over S_max give each job a lane by its size, and the lane's worker is
@@ -64,12 +63,12 @@
 use subset::WorkerSubset;
 use worker_table::WorkerTable;
 
-/// The token of the timer for all times set for requests.
+/// The token of the timer for the checks of requests.
 const ATTEMPT_TIMER: u64 = 0;
-/// The token of the timer after which the worker list is asked for again.
+/// The token of the timer after which the worker list is requested again.
 const DISCOVERY_TIMER: u64 = 1;
 
-/// Decides for one dispatcher.
+/// The decisions of one dispatcher: takes events, and answers with actions.
 #[derive(Default)]
 pub struct Dispatcher {
     settings: Settings,
@@ -89,9 +88,10 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows its settings and nothing else; equal seeds and events give equal actions.
+    /// Creates a dispatcher that knows its settings and nothing else. Equal seeds and events give equal
+    /// actions.
     pub fn new(mut settings: Settings, seed: u64) -> Self {
-        // A class out of range is the host's error: the strictest one stands in, so that the rules hold.
+        // Requests of a class out of range, which is an error of the host, get the strictest class.
         settings.classes.push(Class { late_fraction: 1.0, ..Class::default() });
         let classes = settings.classes.len();
         Dispatcher {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Takes one event and appends what is to be done about it, in order.
+    /// Handles one event and appends the actions that follow, in order.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         if let Event::Timer(token) = event
             && token != DISCOVERY_TIMER
@@ -176,7 +176,7 @@
         }
     }
 
-    /// What decisions are made from.
+    /// Returns the state that decisions depend on.
     fn context(&self) -> DecisionContext<'_> {
         DecisionContext {
             settings: &self.settings,
@@ -187,7 +187,7 @@
         }
     }
 
-    /// How this dispatcher regards the workers in the list at this moment.
+    /// Counts the workers in the list by their present status.
     pub fn worker_counts(&self, now: Micros) -> WorkerCounts {
         self.workers
             .ids()
--- a/crates/dispatcher/src/dispatcher/affinity.rs
+++ b/crates/dispatcher/src/dispatcher/affinity.rs
@@ -1,5 +1,5 @@
-//! The affinity set of a key: the workers of a zone at which the jobs of one key meet, so that few of them
-//! fetch what it needs.
+//! The affinity set of a key: the few workers of a zone that run the jobs of one key, so that few of them
+//! have to fetch its data.
 
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::rendezvous::{AffinityOrder, Candidate, Snapshot, limit_choices};
@@ -8,40 +8,42 @@
 use crate::interface::{Micros, RequestId, WorkerId};
 use std::collections::VecDeque;
 
-/// The arrivals over which the share of a key is taken.
+/// The number of recent arrivals from which the share of a key is computed.
 const SHARE_HISTORY_ARRIVALS: usize = 100;
-/// The arrivals that a share is taken of at least: fewer say little.
+/// The least number of arrivals that a share is computed for: fewer are not significant.
 const MIN_SHARE_ARRIVALS: usize = SHARE_HISTORY_ARRIVALS / 5;
-/// The size of an affinity set in a large zone, relative to the workers that the key's jobs would fill there.
+/// The size of an affinity set in a large zone, relative to the number of workers that the key's jobs would
+/// fill.
 const SET_SIZE_FACTOR: f64 = 3.0;
 
-/// Finds the workers nearest to a key or to this dispatcher, and follows the share of each key.
+/// Finds the workers nearest to a key or to this dispatcher, and tracks the share of each key in recent
+/// arrivals.
 #[derive(Default)]
 pub(super) struct AffinityIndex {
     snapshot: Snapshot,
     recent_keys: VecDeque<u64>,
-    /// The key of this dispatcher, not 0.
+    /// The rendezvous key of this dispatcher; never 0.
     instance_key: u64,
 }
 
 impl AffinityIndex {
-    /// An index without workers, of the dispatcher of this number.
+    /// Creates an index without workers for the dispatcher of this number.
     pub(super) fn new(instance: u32) -> Self {
         AffinityIndex { instance_key: u64::from(instance) + 1, ..AffinityIndex::default() }
     }
 
-    /// Takes the key of an arriving request in, 0 for none.
+    /// Records the key of an arriving request; 0 for none.
     pub(super) fn record_arrival(&mut self, key: u64) {
         self.recent_keys.push_back(key);
         self.recent_keys.drain(..self.recent_keys.len().saturating_sub(SHARE_HISTORY_ARRIVALS));
     }
 
-    /// Replaces the workers that may be chosen.
+    /// Replaces the snapshot of workers that may be chosen.
     pub(super) fn set_candidates(&mut self, candidates: Vec<Candidate>) {
         self.snapshot = Snapshot::new(candidates);
     }
 
-    /// Up to `limit` workers that match, the nearest to this dispatcher first.
+    /// Returns up to `limit` matching workers, the nearest to this dispatcher first.
     pub(super) fn nearest_to_instance(
         &self,
         limit: usize,
@@ -50,7 +52,7 @@
         self.snapshot.nearest_matching(self.instance_key, limit, matches)
     }
 
-    /// The share of this key in the other recent requests.
+    /// Returns the share of this key in the recent arrivals, not counting the latest one.
     fn share_of(&self, key: u64) -> f64 {
         let others = self.recent_keys.iter().filter(|&&recent| recent == key).count().saturating_sub(1);
         others as f64 / self.recent_keys.len().max(MIN_SHARE_ARRIVALS) as f64
@@ -62,8 +64,8 @@
 }
 
 impl Dispatcher {
-    /// The affinity set of a request's key, the nearest worker first, of those that may get the request
-    /// now. All dispatchers of a zone look for the same workers, as few as the key's jobs fill.
+    /// Returns the members of the affinity set that may get the request now, the nearest first. All
+    /// dispatchers of a zone compute the same set, as small as the key's share of the load permits.
     pub(super) fn affinity_set(&mut self, request: RequestId, now: Micros) -> Vec<WorkerId> {
         let Some(request) = self.requests.get(&request).filter(|request| request.affinity_key != 0) else {
             return Vec::new();
@@ -93,7 +95,7 @@
     }
 }
 
-/// The workers that the jobs of this share of all should spread over; 0 in a small zone.
+/// Returns the number of workers over which a key with this share of the load is spread; 0 in a small zone.
 fn share_of_zone(share: f64, excess_zone_groups: f64) -> f64 {
     SET_SIZE_FACTOR * share * excess_zone_groups * ZONE_GROUP_WORKERS
 }
--- a/crates/dispatcher/src/dispatcher/attempt.rs
+++ b/crates/dispatcher/src/dispatcher/attempt.rs
@@ -2,14 +2,15 @@
 
 use crate::interface::{Micros, Outcome, RequestId, WorkerId};
 
-/// A start notice takes a connection, a handshake and two network delays; a later one indicates a queue.
+/// A start notice that takes longer than a connection, a handshake and two network delays indicates a
+/// queue.
 pub(super) const START_GRACE: Micros = 25_000;
 
-/// Which attempt of which request, and the worker it was sent to.
+/// Identifies an attempt, and the worker that it was sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct AttemptId {
     pub(super) request: RequestId,
-    /// Counts the attempts of the request, from 0.
+    /// The attempts of a request are numbered from 0.
     pub(super) number: u32,
     pub(super) worker: WorkerId,
 }
@@ -22,7 +23,7 @@
     pub(super) size: f64,
     /// The slots that it takes.
     pub(super) slots: f64,
-    /// When it was sent; for a long body, when the last byte was.
+    /// When it was sent; for a long body, when the last byte was sent.
     pub(super) sent_at: Micros,
     /// An answer after this time has no value.
     pub(super) useful_until: Micros,
@@ -30,13 +31,14 @@
 }
 
 impl Attempt {
-    /// How long it has waited for its start, or did until now.
+    /// Returns the time since it was sent, in microseconds: its wait if it has just started or has not
+    /// started.
     pub(super) fn waited(&self, now: Micros) -> f64 {
         (now - self.sent_at) as f64
     }
 }
 
-/// How the host reports that an attempt ended.
+/// The end of an attempt, as the host reports it.
 pub(super) struct AttemptResult {
     pub(super) outcome: Outcome,
     /// The time since it was sent.
--- a/crates/dispatcher/src/dispatcher/attempt_timeout.rs
+++ b/crates/dispatcher/src/dispatcher/attempt_timeout.rs
@@ -1,14 +1,14 @@
-//! What follows when the time set for a request has come and its attempt has not started.
+//! What the dispatcher does when the time that was set for a request has come.
 
 use crate::dispatcher::attempt::{AttemptId, START_GRACE};
 use crate::dispatcher::{ATTEMPT_TIMER, Dispatcher};
 use crate::interface::{Action, Idempotency, Micros, RequestId};
 
-/// The pause before a request whose attempt has not started is looked at again.
+/// How long an attempt that has not started is left alone before it is checked again.
 const RECHECK_INTERVAL: Micros = 3 * START_GRACE;
 
 impl Dispatcher {
-    /// Looks at a request at the time that was set for it.
+    /// Checks a request at the time that was set for it.
     pub(super) fn on_attempt_timer(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.is_streaming) else { return };
         match request.outstanding {
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Withdraws an attempt that has not started in time, if the request may be retried at another worker. A
-    /// worker that has shown life since the send is only behind, and keeps it.
+    /// Withdraws an attempt that has not started in time, if the request may be retried at another worker.
+    /// A worker that has shown life since the send is only slow, and the attempt stays there.
     fn check_attempt(&mut self, now: Micros, id: AttemptId, actions: &mut Vec<Action>) {
         if !self.may_withdraw(now, id) {
             return;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Whether an attempt may be withdrawn in order to send its request elsewhere.
+    /// Returns whether an attempt may be withdrawn so that its request can be sent elsewhere.
     fn may_withdraw(&self, now: Micros, id: AttemptId) -> bool {
         let Some(request) = self.requests.get(&id.request) else { return false };
         let context = self.context();
@@ -71,7 +71,7 @@
         actions.push(Action::Cancel { request: id.request, attempt: id.number });
     }
 
-    /// Keeps one host timer set for the earliest time.
+    /// Asks the host for a timer if the earliest time is not covered by the one that is set.
     pub(super) fn arm_next_timer(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if let Some(delay) = self.timers.arm(now, self.settings.tick) {
             actions.push(Action::SetTimer { delay, token: ATTEMPT_TIMER });
--- a/crates/dispatcher/src/dispatcher/attempt_timers.rs
+++ b/crates/dispatcher/src/dispatcher/attempt_timers.rs
@@ -1,16 +1,16 @@
-//! The time at which each request is looked at again, and the one host timer that serves them all.
+//! The time at which each request is checked next, and the single host timer that serves them all.
 
 use crate::interface::{Micros, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The longest delay that the host is asked for; a later time takes several timers.
+/// The longest delay that the host is asked for; a later time needs several timers.
 const MAX_TIMER_DELAY: Micros = 3_600_000_000;
 
-/// At most one pending time per request, ordered by time.
+/// The next check of each request, ordered by time; at most one per request.
 pub(super) struct AttemptTimers {
     by_time: BTreeSet<(Micros, RequestId)>,
     by_request: BTreeMap<RequestId, Micros>,
-    /// When the host's timer fires next; [`Micros::MAX`] while none is set.
+    /// When the host's timer fires; [`Micros::MAX`] while none is set.
     armed_for: Micros,
 }
 
@@ -21,22 +21,22 @@
 }
 
 impl AttemptTimers {
-    /// Sets the time for a request; it replaces an earlier one.
+    /// Sets the time of a request's next check, in place of an earlier one.
     pub(super) fn schedule(&mut self, request: RequestId, at: Micros) {
         self.cancel(request);
         self.by_time.insert((at, request));
         self.by_request.insert(request, at);
     }
 
-    /// Drops the time of a request, if one is set.
+    /// Removes the next check of a request, if one is set.
     pub(super) fn cancel(&mut self, request: RequestId) {
         if let Some(at) = self.by_request.remove(&request) {
             self.by_time.remove(&(at, request));
         }
     }
 
-    /// Records that the host's timer fired. False if an earlier timer has overtaken it: it must then set no
-    /// further timer, or timers would multiply.
+    /// Records that a host timer fired. Returns false if the timer was superseded by an earlier one: it
+    /// must not set a further timer then, or timers would multiply.
     pub(super) fn on_fired(&mut self, now: Micros) -> bool {
         if now < self.armed_for {
             return false;
@@ -45,14 +45,15 @@
         true
     }
 
-    /// Removes and returns the request whose time is the earliest and has come.
+    /// Removes and returns the request whose check is due first, if any is due.
     pub(super) fn pop_due(&mut self, now: Micros) -> Option<RequestId> {
         let &(_, request) = self.by_time.first().filter(|(at, _)| *at <= now)?;
         self.cancel(request);
         Some(request)
     }
 
-    /// The delay of the timer to ask the host for, at least `min_delay`; none if the earliest time has one.
+    /// Returns the delay of the host timer to set, at least `min_delay`; none if the one that is set
+    /// suffices.
     pub(super) fn arm(&mut self, now: Micros, min_delay: Micros) -> Option<Micros> {
         let &(at, _) = self.by_time.first().filter(|(at, _)| *at < self.armed_for)?;
         self.armed_for = at;
--- a/crates/dispatcher/src/dispatcher/cached_keys.rs
+++ b/crates/dispatcher/src/dispatcher/cached_keys.rs
@@ -7,12 +7,12 @@
 /// The keys that a worker is expected to cache for each of its slots.
 const KEYS_PER_SLOT: f64 = 1.3;
 
-/// The keys of the jobs that a worker was sent last, the most recent at the end.
+/// The keys of the latest jobs that a worker was sent, the most recent last.
 #[derive(Default)]
 pub(super) struct CachedKeys(VecDeque<u64>);
 
 impl CachedKeys {
-    /// Records that a job with this key, 0 for none, was sent to a worker of so many slots.
+    /// Records that a job with this key, 0 for none, was sent to a worker with this number of slots.
     pub(super) fn record_sent(&mut self, key: u64, slots: f64) {
         if key == 0 {
             return;
@@ -23,12 +23,12 @@
         self.0.drain(..self.0.len().saturating_sub(limit));
     }
 
-    /// Whether the worker is expected to have this key.
+    /// Returns whether the worker is expected to have this key.
     pub(super) fn contains(&self, key: u64) -> bool {
         self.0.contains(&key)
     }
 
-    /// Forgets all keys.
+    /// Removes all keys.
     pub(super) fn clear(&mut self) {
         self.0.clear();
     }
--- a/crates/dispatcher/src/dispatcher/capacity.rs
+++ b/crates/dispatcher/src/dispatcher/capacity.rs
@@ -1,42 +1,43 @@
-//! The estimates of what each worker can do.
+//! Estimates of the processing capacity of each worker.
 
 use crate::dispatcher::decayed_mean::{DecayedMean, HISTORY_OBSERVATIONS};
 use crate::dispatcher::worker_table::WorkerTable;
 use crate::interface::WorkerId;
 
-/// The least capacity that is estimated.
+/// Lower bound of an estimate.
 const MIN_CAPACITY: f64 = 1e-3;
-/// The least that a worker's weight alone makes of the mean capacity.
+/// Lower bound of the factor by which a worker's weight changes the mean capacity.
 const MIN_WEIGHT_FACTOR: f64 = 0.5;
-/// The most that a worker's weight alone makes of the mean capacity.
+/// Upper bound of the factor by which a worker's weight changes the mean capacity.
 const MAX_WEIGHT_FACTOR: f64 = 2.0;
-/// How many times longer a kind of machine is averaged than one worker.
+/// The history of a kind of machine, relative to that of one worker.
 const KIND_HISTORY_FACTOR: f64 = 2.0;
-/// How many times longer all workers together are averaged than one worker.
+/// The history of all workers together, relative to that of one worker.
 const ALL_WORKERS_HISTORY_FACTOR: f64 = 4.0;
 
 /// The Estimated Processing Capacity (EPC) of one worker outside slow start: the running time of a job on a
 /// standard core over the time that the worker needed for it, averaged. 1 is a standard core without a queue.
 #[derive(Default)]
 pub(super) struct EstimatedCapacity {
-    /// What was observed, by class.
+    /// Observations by class.
     observed: Vec<DecayedMean>,
-    /// The estimate, by class.
+    /// Estimates by class.
     estimates: Vec<f64>,
 }
 
 impl EstimatedCapacity {
-    /// Makes room for so many classes.
+    /// Sets the number of classes.
     pub(super) fn resize(&mut self, classes: usize) {
         self.observed.resize(classes, DecayedMean::default());
     }
 
-    /// The estimate for jobs of a class; 1 before any was made.
+    /// Returns the estimate for jobs of a class; 1 before there is any.
     pub(super) fn of_class(&self, class: usize) -> f64 {
         self.estimates.get(class).copied().unwrap_or(1.0)
     }
 
-    /// Estimates anew from the record in each class and in all of them; `prior` stands in for missing ones.
+    /// Recomputes the estimates from the observations of each class and of all classes; `prior` stands in
+    /// for missing observations.
     fn update(&mut self, prior: f64) {
         let overall = DecayedMean::combined(&self.observed).mean(prior);
         self.estimates.clear();
@@ -44,15 +45,16 @@
     }
 }
 
-/// Estimates the capacity of workers from their own record, that of their kind of machine, and their weight.
+/// Estimates the capacity of workers from their own history, that of their kind of machine, and their
+/// weight.
 #[derive(Default)]
 pub(super) struct CapacityEstimator {
     all_workers: DecayedMean,
 }
 
 impl CapacityEstimator {
-    /// Adds the capacity that a worker showed with a job. `is_full` is false in slow start, where it says
-    /// nothing of other workers.
+    /// Records the capacity that a worker showed with one job. `is_full` is false in slow start, when the
+    /// observation does not apply to other workers.
     pub(super) fn observe(
         &mut self,
         workers: &mut WorkerTable,
@@ -71,7 +73,7 @@
         self.estimate(workers, id);
     }
 
-    /// Estimates a worker's capacity anew.
+    /// Recomputes the estimates of a worker.
     pub(super) fn estimate(&self, workers: &mut WorkerTable, id: WorkerId) {
         let worker = workers.get(id);
         let relative_weight =
--- a/crates/dispatcher/src/dispatcher/context.rs
+++ b/crates/dispatcher/src/dispatcher/context.rs
@@ -1,4 +1,4 @@
-//! The read-only view of the dispatcher's state from which predictions and checks are made.
+//! A read-only view of the dispatcher's state for predictions and checks.
 
 use crate::dispatcher::arrival_statistics::ArrivalStatistics;
 use crate::dispatcher::health::HealthTracker;
@@ -9,11 +9,11 @@
 use crate::dispatcher::worker_table::WorkerTable;
 use crate::interface::{Class, Micros, Settings, WorkerId};
 
-/// The least weight that counts for a worker in the list.
+/// Lower bound of a worker's weight.
 const MIN_WEIGHT: f64 = 1e-3;
 
-/// What a decision depends on. Predictions, slow start and the rules of a send add methods in their own
-/// files.
+/// The state that decisions depend on. Predictions, slow start and the rules of a send add their methods in
+/// files of their own.
 #[derive(Clone, Copy)]
 pub(super) struct DecisionContext<'a> {
     pub(super) settings: &'a Settings,
@@ -24,23 +24,23 @@
 }
 
 impl<'a> DecisionContext<'a> {
-    /// The class of a request.
+    /// Returns the class of a request.
     pub(super) fn class(&self, request: &Request) -> &'a Class {
         &self.settings.classes[request.class]
     }
 
-    /// The share of the slots of all workers that is this dispatcher's, if all have the same load.
+    /// Returns this dispatcher's share of all slots, if all dispatchers have the same load.
     pub(super) fn fair_share(&self) -> f64 {
         1.0 / f64::from(self.settings.instances.max(1))
     }
 
-    /// The fraction of its capacity that a worker has at present; 1 outside slow start.
+    /// Returns the fraction of its capacity that a worker has at present; 1 outside slow start.
     pub(super) fn capacity_fraction(&self, worker: &Worker, now: Micros) -> f64 {
         capacity_fraction(&self.settings.slow_start, worker.entry.started_at, now)
     }
 
-    /// What a worker can do at present, relative to the others. One in another zone counts less the larger
-    /// the own zone is.
+    /// Returns a worker's weight at present. A worker in another zone counts less the larger the own zone
+    /// is.
     pub(super) fn present_weight(&self, id: WorkerId, now: Micros) -> f64 {
         let worker = self.workers.get(id);
         let same_zone = worker.entry.zone == self.settings.zone;
@@ -48,18 +48,18 @@
         self.workers.rated_weight(worker).max(MIN_WEIGHT) * self.capacity_fraction(worker, now) / divisor
     }
 
-    /// Whether a worker has failed no more than the others.
+    /// Returns whether a worker has failed no more often than the median worker.
     pub(super) fn is_healthy(&self, id: WorkerId) -> bool {
         self.health.is_healthy(self.workers.get(id))
     }
 
-    /// Whether a worker is of the kind that runs this class.
+    /// Returns whether a worker is of the kind that runs this class.
     pub(super) fn runs_class(&self, id: WorkerId, class: usize) -> bool {
         let kind = self.workers.get(id).entry.kind;
         self.settings.classes[class].worker_kind.is_none_or(|required| required == kind)
     }
 
-    /// Whether a worker runs this class and has not rejected it recently.
+    /// Returns whether a worker runs this class and has not rejected it recently.
     pub(super) fn accepts_class(&self, id: WorkerId, class: usize, now: Micros) -> bool {
         self.runs_class(id, class) && self.workers.get(id).health.accepts(class, now)
     }
--- a/crates/dispatcher/src/dispatcher/discovery_retry.rs
+++ b/crates/dispatcher/src/dispatcher/discovery_retry.rs
@@ -1,10 +1,10 @@
-//! The backoff with which the worker list is asked for again after a failure.
+//! The backoff after which the worker list is requested again when discovery has failed.
 
 use crate::interface::Micros;
 
-/// The first pause before the worker list is asked for again.
+/// The pause after the first failure.
 const INITIAL_PAUSE: Micros = 250_000;
-/// How many times the pause doubles at most.
+/// The pause doubles with each failure, up to this number of times.
 const MAX_DOUBLINGS: u32 = 4;
 
 /// Exponential backoff with jitter.
@@ -14,7 +14,7 @@
 }
 
 impl DiscoveryRetry {
-    /// Counts a failure; the pause before the next try.
+    /// Records a failure, and returns the pause before the next request.
     pub(super) fn next_pause(&mut self, rng: &mut fastrand::Rng) -> Micros {
         let pause = INITIAL_PAUSE << self.failures.min(MAX_DOUBLINGS);
         let jitter = rng.i64(0..pause / 2 + 1);
@@ -22,7 +22,7 @@
         pause + jitter
     }
 
-    /// Forgets the failures.
+    /// Resets the backoff.
     pub(super) fn record_success(&mut self) {
         self.failures = 0;
     }
--- a/crates/dispatcher/src/dispatcher/health.rs
+++ b/crates/dispatcher/src/dispatcher/health.rs
@@ -3,18 +3,18 @@
 use crate::dispatcher::worker::Worker;
 use crate::interface::Micros;
 
-/// The most failures that count against a worker: a long outage must not take as long to forgive.
+/// Upper bound of the failures that count against a worker, so that it recovers quickly from a long outage.
 pub(super) const MAX_FAILURES: u32 = 4;
-/// The pause before a failed worker is probed with a job; it doubles with each further failure.
+/// The pause before a failed worker gets a half-open probe; it doubles with each further failure.
 const PROBE_INTERVAL: Micros = 250_000;
-/// Further doublings of that pause where a rejection costs the job, since it may have run.
+/// Further doublings of that pause after a rejection that loses the job, since it may have run.
 const LOSSY_REJECTION_DOUBLINGS: u32 = 3;
 
 /// The recent rejections of one class by one worker.
 #[derive(Clone, Copy, Default)]
 struct RejectionBackoff {
     rejections: u32,
-    /// The class is not sent there before this time.
+    /// The class is not sent to the worker before this time.
     until: Micros,
 }
 
@@ -23,7 +23,7 @@
 pub(super) struct WorkerHealth {
     /// The paper's R: recent failures, up to [`MAX_FAILURES`].
     failures: u32,
-    /// When a failed worker may be probed.
+    /// When a failed worker may get a half-open probe.
     probe_at: Micros,
     last_sign_of_life: Micros,
     /// By class.
@@ -31,49 +31,49 @@
 }
 
 impl WorkerHealth {
-    /// Makes room for so many classes.
+    /// Sets the number of classes.
     pub(super) fn resize(&mut self, classes: usize) {
         self.rejections.resize(classes, RejectionBackoff::default());
     }
 
-    /// Forgets failures and rejections: a new process has started.
+    /// Clears failures and rejections, since a new process has started.
     pub(super) fn reset(&mut self) {
         self.failures = 0;
         self.rejections.fill(RejectionBackoff::default());
     }
 
-    /// Recent failures.
+    /// Returns the number of recent failures.
     pub(super) fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Whether the pause after the last failure is over.
+    /// Returns whether the pause after the last failure is over.
     pub(super) fn probe_pause_is_over(&self, now: Micros) -> bool {
         now >= self.probe_at
     }
 
-    /// Whether the worker has shown after this time that it runs.
+    /// Returns whether the worker has shown a sign of life after this time.
     pub(super) fn has_shown_life_since(&self, time: Micros) -> bool {
         self.last_sign_of_life > time
     }
 
-    /// The worker has shown that it runs.
+    /// Records a sign of life.
     pub(super) fn record_sign_of_life(&mut self, now: Micros) {
         self.last_sign_of_life = now;
     }
 
-    /// Whether the worker has not rejected this class recently.
+    /// Returns whether the worker has not rejected this class recently.
     pub(super) fn accepts(&self, class: usize, now: Micros) -> bool {
         self.rejections.get(class).is_none_or(|backoff| backoff.until <= now)
     }
 
-    /// Whether the worker has rejected any class recently.
+    /// Returns whether the worker has rejected any class recently.
     pub(super) fn has_rejected(&self, now: Micros) -> bool {
         self.rejections.iter().any(|backoff| backoff.until > now)
     }
 
-    /// A job of this class was served. True if it clears the worker of failures, which a late answer does
-    /// not.
+    /// Records that a job was served. Returns true if that clears earlier failures, which a late answer
+    /// does not.
     pub(super) fn record_success(&mut self, class: usize, now: Micros, in_time: bool) -> bool {
         self.record_sign_of_life(now);
         if let Some(backoff) = self.rejections.get_mut(class) {
@@ -82,7 +82,7 @@
         in_time && std::mem::take(&mut self.failures) > 0
     }
 
-    /// A job of this class was rejected; other classes may still be accepted.
+    /// Records a rejection of this class; other classes may still be accepted.
     pub(super) fn record_rejection(&mut self, class: usize, now: Micros, lost_the_job: bool) {
         if let Some(backoff) = self.rejections.get_mut(class) {
             let rejections = backoff.rejections + 1;
@@ -98,31 +98,32 @@
     }
 }
 
-/// Judges the failures of a worker by those of the others: a fault that all share is no one's in particular.
+/// Compares the failures of a worker with those of the others: an outage that all share ejects none of
+/// them.
 #[derive(Default)]
 pub(super) struct HealthTracker {
-    /// The failures of the median worker.
+    /// The number of failures of the median worker.
     common_failures: u32,
 }
 
 impl HealthTracker {
-    /// Sets the failures that are common from those of each worker in use.
+    /// Recomputes the failures of the median worker from those of each worker in use.
     pub(super) fn update_common_failures(&mut self, mut failures: Vec<u32>) {
         failures.sort_unstable();
         self.common_failures = failures.get(failures.len() / 2).copied().unwrap_or(0);
     }
 
-    /// The failures of a worker beyond the common ones.
+    /// Returns the failures of a worker beyond those of the median worker.
     pub(super) fn excess_failures(&self, worker: &Worker) -> u32 {
         worker.health.failures().saturating_sub(self.common_failures)
     }
 
-    /// Whether a worker has failed no more than the median one.
+    /// Returns whether a worker has failed no more often than the median worker.
     pub(super) fn is_healthy(&self, worker: &Worker) -> bool {
         self.excess_failures(worker) == 0
     }
 
-    /// Counts a failure of a worker.
+    /// Records a failure of a worker.
     pub(super) fn record_failure(&self, worker: &mut Worker, now: Micros) {
         worker.health.record_failure(now, self.common_failures);
     }
--- a/crates/dispatcher/src/dispatcher/observations.rs
+++ b/crates/dispatcher/src/dispatcher/observations.rs
@@ -1,17 +1,17 @@
-//! What start notices, attempt ends and load reports say of a worker.
+//! What start notices, ends of attempts and load reports show about a worker.
 
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::attempt::{Attempt, AttemptId};
 use crate::dispatcher::worker_evidence::WorkerEvidence;
 use crate::interface::{Idempotency, Micros, Outcome, WorkerId};
 
-/// How many times its estimate a worker's capacity is taken to be at most, after one job.
+/// Upper bound of the capacity that one job can show, relative to the present estimate.
 const MAX_CAPACITY_JUMP: f64 = 4.0;
-/// The most free slots that a load report is believed.
+/// Load reports with more free slots than this are ignored.
 const MAX_REPORTED_SLOTS: f64 = 1024.0;
 
 impl Dispatcher {
-    /// A worker has started a job.
+    /// Handles the notice that a worker has started a job.
     pub(super) fn on_attempt_started(&mut self, now: Micros, id: AttemptId) {
         let worker = self.workers.get_mut(id.worker);
         worker.health.record_sign_of_life(now);
@@ -25,7 +25,7 @@
         self.workers.kind_mut(id.worker).record_running(running);
     }
 
-    /// An answer carried a load report: how many slots were free at some earlier time.
+    /// Handles a load report, which says how many slots were free at some earlier time.
     pub(super) fn on_load_report(&mut self, id: WorkerId, report: &[f64]) {
         let field = self.settings.report_fields.free_slots;
         let Some(&free) = field.and_then(|index| report.get(index)) else { return };
@@ -37,7 +37,7 @@
         self.workers.kind_mut(id).record_free_slots(free, used, fair_share);
     }
 
-    /// Counts what the end of an attempt says of its worker.
+    /// Records what the end of an attempt shows about its worker.
     pub(super) fn record_attempt_end(
         &mut self,
         now: Micros,
@@ -57,8 +57,8 @@
         }
     }
 
-    /// A worker in slow start that is slower than this explains is slow, and its record says so; one that is
-    /// faster shows nothing.
+    /// In slow start, an answer that is slower than the slow start explains lowers the estimate, and a
+    /// faster one does not raise it.
     fn record_served(&mut self, now: Micros, attempt: &Attempt, elapsed: Micros) {
         let id = attempt.id.worker;
         let worker = self.workers.get(id);
@@ -74,7 +74,7 @@
         self.ranking.invalidate();
     }
 
-    /// A full queue is taken to be longer than the job could have waited, however fast the rejection was.
+    /// A full queue is assumed to be longer than the job could have waited, however fast the rejection was.
     fn record_rejection(&mut self, now: Micros, attempt: &Attempt) {
         let idempotency = self.settings.classes[attempt.class].idempotency;
         let lost_the_job =
@@ -88,7 +88,8 @@
 
     fn record_failure(&mut self, now: Micros, attempt: &Attempt, outcome: Outcome) {
         let id = attempt.id.worker;
-        // Where many dispatchers share a worker, each sees few starts, and only of jobs that did start.
+        // Where many dispatchers share a worker, each sees few starts, and none of the jobs that did not
+        // start.
         let timed_out_in_queue = outcome == Outcome::Timeout && attempt.started_at.is_none();
         if timed_out_in_queue && self.workers.excess_zone_groups() > 0.0 {
             self.record_wait(now, id, attempt.class, attempt.waited(now));
@@ -97,7 +98,7 @@
         self.health.record_failure(self.workers.get_mut(id), now);
     }
 
-    /// A job of this class has waited so long at a worker, for its start or in vain.
+    /// Records how long a job waited at a worker, whether or not it started then.
     fn record_wait(&mut self, now: Micros, id: WorkerId, class: usize, waited: f64) {
         let in_slow_start = self.context().capacity_fraction(self.workers.get(id), now) < 1.0;
         self.workers.get_mut(id).record_wait(class, now, waited);
--- a/crates/dispatcher/src/dispatcher/pending.rs
+++ b/crates/dispatcher/src/dispatcher/pending.rs
@@ -1,14 +1,14 @@
-//! When requests are queued, and when they leave the queue for a worker.
+//! When requests are queued, and when they are taken from the queue and sent.
 
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::request::MAX_HINT_ERROR;
 use crate::interface::{Action, Micros, RequestId};
 
-/// Pending requests that may find no room before the search stops: the next would mostly find none either.
+/// The search stops after this number of requests that find no worker, since the next ones rarely find one.
 const MAX_FAILED_PLACEMENTS: usize = 3;
 
 impl Dispatcher {
-    /// Queues a request; its times may err by what a hint may.
+    /// Queues a request, with a margin for the error of its work hint.
     pub(super) fn enqueue(&mut self, now: Micros, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let start_by = self.latest_start(id);
@@ -17,7 +17,7 @@
         self.pending.enqueue(now, id, start_by, margin);
     }
 
-    /// The last moment at which the fastest worker could start a request and finish it in time.
+    /// Returns the last moment at which the fastest worker could start a request and complete it in time.
     pub(super) fn latest_start(&self, id: RequestId) -> Micros {
         let Some(request) = self.requests.get(&id) else { return 0 };
         let fastest = self.ranking.of_class(request.class).first();
@@ -26,7 +26,7 @@
         (request.useful_until - (request.size / capacity) as Micros).min(request.deadline)
     }
 
-    /// Sends pending requests to workers that have room, the most urgent first, until some find none.
+    /// Sends pending requests to workers that have room, the most urgent first.
     pub(super) fn place_pending(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let context = self.context();
         if !self.subset.members().iter().any(|&worker| context.has_room(worker, now)) {
--- a/crates/dispatcher/src/dispatcher/pending_queue.rs
+++ b/crates/dispatcher/src/dispatcher/pending_queue.rs
@@ -2,13 +2,13 @@
 
 use crate::interface::{Micros, RequestId};
 
-/// Added to the start time of a request that can hardly be in time: it sorts behind all that can.
+/// Added to the start time of a request that is unlikely to be in time, so that it sorts after all others.
 const LATE_OFFSET: Micros = 1 << 60;
 
 /// A request in the queue.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PendingRequest {
-    /// The latest useful start, plus [`LATE_OFFSET`] if that can hardly be met.
+    /// The latest useful start, plus [`LATE_OFFSET`] if the request is unlikely to be in time.
     start_by: Micros,
     request: RequestId,
 }
@@ -20,9 +20,9 @@
 }
 
 impl PendingQueue {
-    /// Queues a request that must start by `start_by` to be in time. `margin` is what its times may err by: a
-    /// request that is late by then goes behind all others, so that a backlog does not make every request
-    /// wait until it is late.
+    /// Queues a request that must start by `start_by` to be in time, within an error of `margin`. A request
+    /// that is likely late already goes after all others: in a backlog, every request would otherwise wait
+    /// until it is late.
     pub(super) fn enqueue(&mut self, now: Micros, request: RequestId, start_by: Micros, margin: Micros) {
         let cautious = start_by - margin;
         let start_by = if cautious > now { cautious } else { start_by.saturating_add(LATE_OFFSET) };
@@ -37,12 +37,12 @@
         Some(self.by_urgency.remove(0).request)
     }
 
-    /// The request at a position, 0 the most urgent.
+    /// Returns the request at a position; 0 is the most urgent.
     pub(super) fn get(&self, position: usize) -> Option<RequestId> {
         self.by_urgency.get(position).map(|pending| pending.request)
     }
 
-    /// Removes the request at a position that is in the queue.
+    /// Removes the request at a position, which must be in the queue.
     pub(super) fn remove_at(&mut self, position: usize) {
         self.by_urgency.remove(position);
     }
@@ -52,7 +52,7 @@
         self.by_urgency.retain(|pending| pending.request != request);
     }
 
-    /// Whether no request other than this one is more urgent.
+    /// Returns whether no other request is more urgent than this one.
     pub(super) fn is_next(&self, request: RequestId) -> bool {
         self.get(0).is_none_or(|first| first == request)
     }
--- a/crates/dispatcher/src/dispatcher/permission.rs
+++ b/crates/dispatcher/src/dispatcher/permission.rs
@@ -1,18 +1,18 @@
-//! The rules that every send keeps: the number of attempts, idempotency windows and scopes, draining workers.
+//! The rules that every send obeys: number of attempts, idempotency window and scope, draining, slow start.
 
 use crate::dispatcher::context::DecisionContext;
 use crate::dispatcher::request::Request;
 use crate::interface::{Idempotency, Micros, Outcome, Scope, WorkerId};
 
 impl DecisionContext<'_> {
-    /// Whether a request may have a further attempt at all.
+    /// Returns whether a request may have a further attempt at any worker.
     pub(super) fn may_retry(&self, request: &Request, now: Micros) -> bool {
         request.attempts < self.settings.limits.max_attempts.max(1)
             && !request.body_consumed
             && now < self.send_by(request)
     }
 
-    /// Until when a request may be sent; a connection that is made later must not carry it.
+    /// Returns until when a request may be sent; it must not be sent on a connection that is made later.
     pub(super) fn send_by(&self, request: &Request) -> Micros {
         match (self.class(request).idempotency, request.first_execution) {
             (Idempotency::NotIdempotent, Some(_)) => Micros::MIN,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Whether an attempt that ended so may have been executed by its worker.
+    /// Returns whether an attempt with this outcome may have been executed by its worker.
     pub(super) fn may_have_run(&self, outcome: Outcome) -> bool {
         match outcome {
             Outcome::ConnectFailed | Outcome::NotSent => false,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Whether a send to this worker keeps the rules. The request may still have one outstanding attempt,
+    /// Returns whether a request may be sent to this worker. It may still have one outstanding attempt,
     /// which is withdrawn first.
     pub(super) fn may_send(&self, request: &Request, id: WorkerId, now: Micros) -> bool {
         self.workers.get(id).is_ready()
@@ -39,7 +39,8 @@
             && self.has_slow_start_budget(id, self.slow_start_cost(request), now)
     }
 
-    /// Whether a worker drops a repeat of a keyed request, going by the one that had it first.
+    /// Returns whether the request may be repeated at this worker: it must be in the scope of the
+    /// idempotency key, which is that of the worker that received the request first.
     fn is_within_scope(&self, request: &Request, id: WorkerId) -> bool {
         let Idempotency::Keyed { scope, .. } = self.class(request).idempotency else { return true };
         let executed = request.first_execution.map(|first| first.worker);
--- a/crates/dispatcher/src/dispatcher/prediction.rs
+++ b/crates/dispatcher/src/dispatcher/prediction.rs
@@ -1,4 +1,4 @@
-//! How long a job would take at a worker: the work ahead of it there, and its own running time.
+//! Predictions of how long a job would take at a worker: the work ahead of it, and its own running time.
 
 use crate::dispatcher::attempt::{Attempt, START_GRACE};
 use crate::dispatcher::cached_keys::KEY_FETCH_COST;
@@ -7,30 +7,30 @@
 use crate::dispatcher::worker::Worker;
 use crate::interface::{Micros, WorkerId};
 
-/// The paper's α: one failure halves a worker's capacity.
+/// The paper's α: with 1, one failure halves a worker's capacity.
 const FAILURE_PENALTY: f64 = 1.0;
 /// A job that runs for more than this multiple of its expected time counts as a failure.
 const OVERDUE_FACTOR: f64 = 3.0;
-/// What a zone crossing counts as, in mean jobs for a penalty of 1.
+/// The cost of a zone crossing for a penalty of 1, in mean job sizes.
 const ZONE_CROSSING_COST: f64 = 2.0;
-/// The share of its size that a running job has left at least.
+/// Lower bound of the remaining work of a running job, relative to its size.
 const MIN_REMAINING_SHARE: f64 = 0.1;
-/// The least weight that a rated weight is divided by.
+/// Lower bound of a weight that is divided by.
 const MIN_WEIGHT: f64 = 1e-6;
 
-/// How long a job sent now would take, in microseconds.
+/// The predicted duration of a job that is sent now, in microseconds.
 pub(super) struct Prediction {
-    /// With the expected wait and the work ahead of it.
+    /// Includes the expected wait and the work ahead of the job.
     expected: f64,
-    /// With the known wait only, and without the work that free slots can take.
+    /// Includes measured waits only, and no work ahead of the job where a slot is free.
     least: f64,
-    /// The worker has a free slot for it.
+    /// The worker has free slots for the job.
     has_free_slot: bool,
 }
 
 impl DecisionContext<'_> {
-    /// c' = c/(1+α·R): the estimated capacity at present, lowered for failures beyond the common ones. Jobs
-    /// far over their time count as failures until the worker shows life.
+    /// Returns c' = c/(1+α·R): the estimated capacity at present, reduced for failures beyond those of the
+    /// median worker. Overdue jobs count as failures until the worker shows a sign of life.
     pub(super) fn penalised_capacity(&self, worker: &Worker, class: usize, now: Micros) -> f64 {
         let capacity = worker.capacity.of_class(class) * self.capacity_fraction(worker, now);
         let overdue = worker.in_flight.iter().filter(|attempt| is_overdue(worker, attempt, capacity, now));
@@ -38,8 +38,8 @@
         capacity / (1.0 + FAILURE_PENALTY * failures)
     }
 
-    /// Predicts how long a job sent now would take: the work ahead of it and its own, over the worker's
-    /// capacity, after the wait that start notices show.
+    /// Predicts the duration of a job that is sent now: the wait for its start, and the work ahead of it
+    /// and its own, over the worker's capacity.
     pub(super) fn predict(&self, request: &Request, id: WorkerId, now: Micros) -> Prediction {
         let worker = self.workers.get(id);
         let class = request.class;
@@ -59,7 +59,8 @@
         }
     }
 
-    /// The wait that a worker's kind usually has, in microseconds. One in slow start has nothing queued yet.
+    /// Returns the usual wait at workers of this kind, in microseconds; 0 in slow start, when nothing is
+    /// queued yet.
     pub(super) fn expected_wait(&self, worker: &Worker, class: usize, now: Micros) -> f64 {
         if self.capacity_fraction(worker, now) < 1.0 {
             return 0.0;
@@ -67,16 +68,16 @@
         self.workers.kind(worker).expected_wait(class)
     }
 
-    /// Whether a job sent now would start at once, as far as is known, where `expected` stands in for a
-    /// wait that was not measured recently.
+    /// Returns whether a job that is sent now would start at once, with `expected` in place of a wait that
+    /// was not measured recently.
     pub(super) fn starts_at_once(&self, request: &Request, id: WorkerId, now: Micros, expected: f64) -> bool {
         self.predict(request, id, now).has_free_slot
             && self.has_room(id, now)
             && self.workers.get(id).current_wait(request.class, now, expected) < START_GRACE as f64
     }
 
-    /// Whether a job sent now would be in time. Where `accepts_late`, one that starts at once may be late
-    /// by as much as a hint errs.
+    /// Returns whether a job that is sent now would be in time. With `accepts_late`, a job that starts at
+    /// once may be late by the error of its hint.
     pub(super) fn would_be_useful(
         &self,
         request: &Request,
@@ -92,8 +93,8 @@
                 && self.starts_at_once(request, id, now, 0.0)
     }
 
-    /// Whether a job sent now would likely start at once. A sent job that has not started indicates a queue
-    /// or a hang.
+    /// Returns whether a worker has room for a further job. A job that has not started indicates a queue or
+    /// a hang.
     pub(super) fn has_room(&self, id: WorkerId, now: Micros) -> bool {
         let worker = self.workers.get(id);
         if !worker.health.probe_pause_is_over(now) {
@@ -107,8 +108,8 @@
             && worker.unstarted().all(|attempt| now - attempt.sent_at < START_GRACE)
     }
 
-    /// Whether the slots that load reports leave to this dispatcher have room for a job: no queue is begun
-    /// where reports name the free slots.
+    /// Returns whether this dispatcher's share of the slots, according to load reports, has room for a
+    /// further job.
     fn has_reported_room(&self, worker: &Worker) -> bool {
         if self.settings.report_fields.free_slots.is_none() {
             return true;
@@ -119,9 +120,9 @@
         worker.outstanding_slots() + 1.0 <= limit
     }
 
-    /// The wait for jobs of other dispatchers, inferred from a weight that includes the load, in
-    /// microseconds. It counts as far as the one job that may always be sent is more than this dispatcher's
-    /// part of the slots.
+    /// Returns the wait for jobs of other dispatchers, in microseconds, inferred from a weight that
+    /// includes the load. It counts only where one job, which may always be sent, is more than this
+    /// dispatcher's share of the slots.
     pub(super) fn hidden_wait(&self, request: &Request, id: WorkerId, now: Micros) -> f64 {
         let worker = self.workers.get(id);
         let slots_per_instance =
@@ -133,7 +134,8 @@
             / self.penalised_capacity(worker, request.class, now)
     }
 
-    /// The expected duration of a job sent now, where a zone crossing that has a penalty counts as more time.
+    /// Returns the expected duration of a job that is sent now, in microseconds, plus the penalty for a
+    /// zone crossing.
     pub(super) fn cost_of_send(&self, request: &Request, id: WorkerId, now: Micros) -> f64 {
         let crosses_zones = self.workers.get(id).entry.zone != self.settings.zone;
         let penalty = if crosses_zones {
@@ -145,15 +147,16 @@
     }
 }
 
-/// Whether an attempt has run far longer than a worker of this capacity should need, and the worker has
-/// shown no life since.
+/// Returns whether an attempt has run far longer than expected, and the worker has shown no sign of life
+/// since it should have ended.
 fn is_overdue(worker: &Worker, attempt: &Attempt, capacity: f64, now: Micros) -> bool {
     let Some(started_at) = attempt.started_at else { return false };
     let latest_end = started_at + (OVERDUE_FACTOR * attempt.size / capacity) as Micros + START_GRACE;
     now > latest_end && !worker.health.has_shown_life_since(latest_end)
 }
 
-/// The work of a worker's outstanding attempts that is left, over all slots.
+/// Returns the remaining work of all outstanding attempts of a worker, in slots times microseconds on a
+/// standard core.
 fn remaining_work(worker: &Worker, capacity: f64, now: Micros) -> f64 {
     let mut work = 0.0;
     for attempt in &worker.in_flight {
--- a/crates/dispatcher/src/dispatcher/rendezvous.rs
+++ b/crates/dispatcher/src/dispatcher/rendezvous.rs
@@ -1,21 +1,20 @@
 //! The workers nearest to a key: weighted rendezvous hashing over a snapshot of the worker list.
 //!
-//! Looking at every worker for every request costs more the longer the list is, so the order is worked out
-//! once for a key and snapshot, and cached. A new snapshot is taken when the list changes, and at
-//! intervals, since weights change while workers are in slow start.
+//! Looking at every worker for every request is expensive in long lists, so the order is computed once for
+//! each key and snapshot, and cached. A new snapshot is taken when the list changes, and at intervals,
+//! since weights change during slow start.
 
 use crate::interface::WorkerId;
 use std::collections::HashMap;
 
-/// Workers that are cached for a key beyond those asked for: some of them may not fit a request.
+/// Workers that are cached for a key in addition to its affinity set, since some may not fit a request.
 const SPARE_WORKERS: usize = 8;
-/// The most workers that one dispatcher looks at for a key. The affinity set of a key that many jobs share
-/// has more workers than one dispatcher's jobs can make use of; each dispatcher keeps to its own part of
-/// them.
+/// The most workers that one dispatcher considers for a key. The affinity set of a popular key may have
+/// more workers than one dispatcher can make use of; each dispatcher then uses its own part of the set.
 const MAX_WORKERS_PER_KEY: usize = 32;
 /// Up to this many workers, the complete order of a key is cached.
 const SHORT_LIST: usize = 256;
-/// The least weight that a distance is divided by.
+/// Lower bound of a weight that is divided by.
 const MIN_WEIGHT: f64 = 1e-6;
 
 /// A worker that may be chosen.
@@ -25,7 +24,7 @@
     pub(super) id: WorkerId,
     /// The hash of the worker's name, the same at every dispatcher.
     pub(super) name_hash: u64,
-    /// What it can do, relative to the others.
+    /// Its capacity, relative to the others.
     pub(super) weight: f64,
 }
 
@@ -38,16 +37,16 @@
 
 /// The workers nearest to one key.
 struct CachedOrder {
-    /// The largest affinity set that this order is long enough for.
+    /// The size of the largest affinity set for which the order is long enough.
     max_set_size: usize,
     order: Vec<WorkerId>,
 }
 
-/// The workers in which to look for the affinity set of a key.
+/// The workers from which the affinity set of a key is taken.
 pub(super) struct AffinityOrder<'a> {
-    /// The nearest first, with spare ones for those that do not fit a request.
+    /// The nearest first, with spare ones in place of those that do not fit a request.
     pub(super) workers: &'a [WorkerId],
-    /// The order was worked out for this call.
+    /// The order was not cached.
     pub(super) is_new: bool,
 }
 
@@ -64,18 +63,18 @@
 }
 
 impl Snapshot {
-    /// A snapshot of these workers.
+    /// Creates a snapshot of these workers.
     pub(super) fn new(candidates: Vec<Candidate>) -> Snapshot {
         Snapshot { candidates, cache: HashMap::new() }
     }
 
-    /// Up to `limit` workers, the nearest to a key first: each worker is the nearest to a share of all keys
-    /// that is in proportion to its weight, the same at every dispatcher.
+    /// Returns up to `limit` workers, the nearest to a key first. Each worker is the nearest to a share of
+    /// all keys in proportion to its weight, and to the same keys at every dispatcher.
     pub(super) fn nearest(&self, key: u64, limit: usize) -> Vec<WorkerId> {
         self.nearest_matching(key, limit, |_| true)
     }
 
-    /// As [`Snapshot::nearest`], of the workers that match.
+    /// Like [`Snapshot::nearest`], for matching workers only.
     pub(super) fn nearest_matching(
         &self,
         key: u64,
@@ -91,7 +90,7 @@
         for candidate in self.candidates.iter().filter(|candidate| matches(candidate.id)) {
             let draw = uniform_hash(key, candidate.name_hash);
             let weight = candidate.weight.max(MIN_WEIGHT);
-            // -ln(x) is at least 1 - x: most candidates are too far by that alone.
+            // -ln(x) is at least 1 - x, which excludes most candidates without a logarithm.
             if 1.0 - draw > max_distance * weight {
                 continue;
             }
@@ -105,8 +104,8 @@
         into_nearest(nearest, limit)
     }
 
-    /// The order in which to look for a key's affinity set of `set_size` workers. Where a set has more than
-    /// [`MAX_WORKERS_PER_KEY`] workers, each dispatcher `instance` gets its own part of them.
+    /// Returns the workers from which to take a key's affinity set of `set_size` workers. If the set is
+    /// larger than [`MAX_WORKERS_PER_KEY`], each dispatcher `instance` gets its own part of it.
     pub(super) fn affinity_order(&mut self, key: u64, set_size: usize, instance: u64) -> AffinityOrder<'_> {
         let is_cached = self.cache.get(&key).is_some_and(|cached| set_size <= cached.max_set_size);
         if !is_cached {
@@ -121,7 +120,7 @@
         if self.candidates.len() <= SHORT_LIST {
             return CachedOrder { max_set_size: usize::MAX, order: self.nearest(key, self.candidates.len()) };
         }
-        // More than asked for, as the share of a popular key goes up and down a little all the time.
+        // More than requested, since the share of a popular key varies a little all the time.
         let max_set_size = set_size + set_size / 4;
         let nearest = self.nearest(key, max_set_size + SPARE_WORKERS);
         if set_size <= MAX_WORKERS_PER_KEY {
@@ -135,19 +134,20 @@
     }
 }
 
-/// The workers of the smallest distances, the nearest first.
+/// Returns the workers with the smallest distances, the nearest first.
 fn into_nearest(mut distances: Vec<Distance>, limit: usize) -> Vec<WorkerId> {
     distances.sort_unstable_by(Distance::compare);
     distances.truncate(limit);
     distances.into_iter().map(|distance| distance.worker).collect()
 }
 
-/// How many of `choices` one dispatcher looks at in a list of `workers`: all of them in a short list.
+/// Returns how many of `choices` one dispatcher considers in a list of `workers`: all of them in a short
+/// list.
 pub(super) fn limit_choices(choices: usize, workers: usize) -> usize {
     if workers <= SHORT_LIST { choices } else { choices.min(MAX_WORKERS_PER_KEY) }
 }
 
-/// A number above 0 and up to 1 that every dispatcher computes alike for a key and a worker.
+/// Returns a number above 0 and up to 1, the same at every dispatcher for a key and a worker.
 fn uniform_hash(key: u64, worker: u64) -> f64 {
     let mut hash = key ^ worker.rotate_left(32).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     for _ in 0..2 {
--- a/crates/dispatcher/src/dispatcher/request.rs
+++ b/crates/dispatcher/src/dispatcher/request.rs
@@ -3,10 +3,10 @@
 use crate::dispatcher::attempt::AttemptId;
 use crate::interface::{Micros, WorkerId};
 
-/// How many times too long a job's expected running time may be.
+/// The factor by which a work hint may exceed the actual running time.
 pub(super) const MAX_HINT_ERROR: f64 = 2.0;
 
-/// The first attempt of a request that its worker may have executed.
+/// The first attempt of a request that may have been executed.
 #[derive(Clone, Copy)]
 pub(super) struct FirstExecution {
     pub(super) worker: WorkerId,
@@ -19,20 +19,20 @@
     pub(super) class: usize,
     /// The expected running time on a standard core, in microseconds.
     pub(super) size: f64,
-    /// The size was given with the request, rather than assumed.
+    /// The size was given with the request rather than assumed.
     pub(super) has_work_hint: bool,
     /// The slots that it takes.
     pub(super) slots: f64,
-    /// 0 for none.
+    /// 0 if it has none.
     pub(super) affinity_key: u64,
     /// When the client stops waiting.
     pub(super) deadline: Micros,
-    /// When the latency objective ends.
+    /// The end of its latency objective.
     pub(super) objective_until: Micros,
     /// An answer after this time has no value: the objective's end or, where late answers count, the
     /// deadline.
     pub(super) useful_until: Micros,
-    /// The attempts that were sent.
+    /// The number of attempts sent.
     pub(super) attempts: u32,
     /// The attempt without an outcome.
     pub(super) outstanding: Option<AttemptId>,
@@ -43,6 +43,6 @@
     /// Its body can't be sent again.
     pub(super) body_consumed: bool,
     pub(super) first_execution: Option<FirstExecution>,
-    /// The workers it was sent to.
+    /// The workers that it was sent to.
     pub(super) tried: Vec<WorkerId>,
 }
--- a/crates/dispatcher/src/dispatcher/requests.rs
+++ b/crates/dispatcher/src/dispatcher/requests.rs
@@ -6,20 +6,20 @@
 use crate::dispatcher::request::{FirstExecution, Request};
 use crate::interface::{Action, Arrival, Idempotency, Micros, Outcome, RequestId, Scope, WorkerId};
 
-/// The paper's β, relative to T_init. With [`MAX_FAILURES`] it leaves half of T_init at least.
+/// The paper's β, relative to T_init. At least half of T_init remains with [`MAX_FAILURES`].
 const FAILURE_TIMEOUT_REDUCTION: f64 = 0.125;
 const _: () = assert!(FAILURE_TIMEOUT_REDUCTION * MAX_FAILURES as f64 <= 0.5);
-/// The share of the slack after which an attempt that has not started is looked at.
+/// The share of a request's slack after which an attempt that has not started is checked.
 const SLACK_SHARE: f64 = 0.5;
-/// The least time before an attempt that has not started is looked at.
+/// The least time after which an attempt that has not started is checked.
 const MIN_START_TIMEOUT: Micros = 3 * START_GRACE;
-/// The largest size of a job that is believed, in microseconds on a standard core.
+/// Larger job sizes count as this, in microseconds on a standard core.
 const MAX_SIZE: f64 = 1e12;
-/// The most slots that a job is believed to take.
+/// Larger numbers of slots count as this.
 const MAX_SLOTS: f64 = 1024.0;
 
 impl Dispatcher {
-    /// Takes a request in, and sends or queues it.
+    /// Handles an arriving request: sends it, queues it, or answers it.
     pub(super) fn on_arrival(&mut self, now: Micros, arrival: &Arrival, actions: &mut Vec<Action>) {
         let request = self.admit(now, arrival);
         let size = request.size;
@@ -31,7 +31,7 @@
         self.place(now, arrival.request, actions);
     }
 
-    /// A request from its arrival, with defaults for what it does not state.
+    /// Returns the state of an arriving request, with defaults for missing values.
     fn admit(&mut self, now: Micros, arrival: &Arrival) -> Request {
         let class = arrival.class.min(self.settings.classes.len() - 1);
         let hint = arrival.work_hint.filter(|&hint| hint > 0).map(|hint| hint as f64);
@@ -57,8 +57,9 @@
         }
     }
 
-    /// When the client sent the request first, for a client's retries count from there. Where it may be a
-    /// retry, it is inferred from the deadline and the longest patience of its class.
+    /// Returns when the client sent the request for the first time, from which the latency objective
+    /// counts. If the request may be a retry, that is inferred from its deadline and the longest patience
+    /// of its class.
     fn first_client_send(&mut self, now: Micros, arrival: &Arrival, class: usize) -> Micros {
         let patience = self.arrivals.record_patience(class, arrival.deadline.saturating_sub(now));
         let is_first = self.settings.marks_retry && !arrival.is_retry;
@@ -102,8 +103,8 @@
         self.timers.schedule(id, check_at);
     }
 
-    /// When an attempt that has not started is looked at: T = T_init − β·R, where T_init is half of the
-    /// slack that the job has, so that another worker can still be in time.
+    /// Returns when an attempt that has not started is checked, after T = T_init − β·R. T_init is half of
+    /// the request's slack, so that another worker can still be in time.
     fn start_timeout_at(&self, now: Micros, request: &Request, worker_id: WorkerId) -> Micros {
         let context = self.context();
         let worker = self.workers.get(worker_id);
@@ -114,7 +115,8 @@
         (now + timeout.max(MIN_START_TIMEOUT)).min(request.deadline)
     }
 
-    /// An attempt has ended: its worker is judged by it, and its request answered, retried or given up.
+    /// Handles the end of an attempt: updates what is known of its worker, then retries the request or
+    /// gives it up, unless it is concluded.
     pub(super) fn on_attempt_ended(
         &mut self,
         now: Micros,
@@ -146,8 +148,8 @@
         }
     }
 
-    /// Ends a request without an answer from a worker: a rejection where a repeat is harmless, else a
-    /// failure.
+    /// Answers a request without an answer from a worker: rejects it if a repeat is harmless, otherwise
+    /// fails it.
     pub(super) fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let repeat_is_harmless = matches!(
@@ -155,7 +157,7 @@
             Idempotency::Idempotent | Idempotency::Keyed { scope: Scope::All, .. }
         );
         let never_ran = request.outstanding.is_none() && request.first_execution.is_none();
-        // What can't be sent again is rejected only where it never ran, so that a failure is reported as one.
+        // A request that can't be repeated is rejected only if it never ran.
         let answer = if repeat_is_harmless && !request.body_consumed || never_ran {
             Action::Reject { request: id, retry_after: self.settings.limits.max_retry_after }
         } else {
@@ -165,7 +167,7 @@
         self.forget(id, actions);
     }
 
-    /// Drops a request that has its final answer, and stops the work still outstanding for it.
+    /// Removes a request that has its final answer, and cancels its outstanding attempt.
     pub(super) fn forget(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(&id) else { return };
         self.timers.cancel(id);
@@ -177,7 +179,7 @@
     }
 }
 
-/// The next attempt of a request, which is recorded in it.
+/// Records the next attempt of a request, and returns it.
 fn begin_attempt(now: Micros, id: RequestId, request: &mut Request, worker: WorkerId) -> Attempt {
     let attempt_id = AttemptId { request: id, number: request.attempts, worker };
     request.attempts += 1;
--- a/crates/dispatcher/src/dispatcher/retry_budget.rs
+++ b/crates/dispatcher/src/dispatcher/retry_budget.rs
@@ -1,13 +1,15 @@
-//! The budget for withdrawing an attempt in order to retry its request at another worker.
+//! The budget for retries after withdrawn attempts.
 
-/// Retries that each arriving request adds to the budget, less the penalty for wasted work.
+/// The retries that each arriving request adds to the budget, before the penalty for wasted work is
+/// subtracted.
 const RETRIES_PER_REQUEST: f64 = 0.1;
-/// The retries that can be saved up.
+/// Upper bound of the budget.
 const MAX_SAVED_RETRIES: f64 = 10.0;
-/// A new dispatcher starts with the budget of this many requests.
+/// The budget starts with the share of this number of requests.
 const INITIAL_REQUESTS: f64 = 10.0;
 
-/// Bounds the retries that follow a withdrawn attempt: each of them adds load when workers are slow already.
+/// Limits the retries that follow a withdrawn attempt, since each of them adds load when workers are
+/// already slow.
 #[derive(Default)]
 pub(super) struct RetryBudget {
     earned_per_request: f64,
@@ -15,7 +17,7 @@
 }
 
 impl RetryBudget {
-    /// A budget that is smaller the higher the penalty for wasted work is, and may be empty for good.
+    /// Creates a budget that is smaller the higher the penalty for wasted work is. It may stay empty.
     pub(super) fn new(wasted_work_penalty: f64) -> Self {
         let earned_per_request = (RETRIES_PER_REQUEST - wasted_work_penalty).max(0.0);
         RetryBudget { earned_per_request, available: INITIAL_REQUESTS * earned_per_request }
@@ -26,7 +28,7 @@
         self.available = (self.available + self.earned_per_request).min(MAX_SAVED_RETRIES);
     }
 
-    /// Takes one retry from the budget; false if there is none.
+    /// Takes one retry from the budget. Returns false if there is none.
     pub(super) fn try_spend(&mut self) -> bool {
         if self.available < 1.0 {
             return false;
--- a/crates/dispatcher/src/dispatcher/selection.rs
+++ b/crates/dispatcher/src/dispatcher/selection.rs
@@ -1,5 +1,5 @@
-//! The choice of a worker for a request: by the size of the job, one random rival, and the affinity set of
-//! its key.
+//! Chooses a worker for a request: by the size of the job, compared with one random rival and the affinity
+//! set of its key.
 
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::cached_keys::KEY_FETCH_COST;
@@ -7,12 +7,12 @@
 use crate::dispatcher::request::Request;
 use crate::interface::{Idempotency, Micros, RequestId, WorkerId};
 
-/// The share of a fetch that a worker of the affinity set is spared, since jobs of other dispatchers, which
-/// are not seen here, have likely brought the key there.
+/// The part of a fetch's cost that is not counted for a worker of the affinity set, since jobs of other
+/// dispatchers, unknown here, have likely fetched the key.
 const AFFINITY_FETCH_DISCOUNT: f64 = 0.9;
 
 impl Dispatcher {
-    /// The worker that a request is sent to now, or none if it had better wait.
+    /// Chooses the worker for a request; none if it should wait.
     pub(super) fn choose_worker(&mut self, id: RequestId, now: Micros) -> Option<WorkerId> {
         let class = self.requests.get(&id)?.class;
         let draw = self.rng.f64();
@@ -29,7 +29,7 @@
     }
 }
 
-/// One choice of a worker.
+/// The inputs of one choice.
 struct Selection<'a> {
     context: DecisionContext<'a>,
     request: &'a Request,
@@ -40,7 +40,8 @@
 }
 
 impl Selection<'_> {
-    /// Chooses among the ranked workers, the fastest first. `draw` is uniform in 0..1.
+    /// Chooses among the ranked workers, the fastest first. `draw` is uniformly distributed in 0..1 and
+    /// selects the random rival.
     fn choose(&self, ranked: &[WorkerId], draw: f64) -> Option<WorkerId> {
         let permitted = self.permitted(ranked);
         if let Some(probed) = self.worker_to_probe(&permitted) {
@@ -56,7 +57,8 @@
         self.best_with_room(candidates)
     }
 
-    /// The workers that the rules permit, without those that had the request if there are others.
+    /// Returns the workers to which the request may be sent, without those that it was sent to before if
+    /// there are others.
     fn permitted(&self, ranked: &[WorkerId]) -> Vec<WorkerId> {
         let permitted: Vec<WorkerId> = ranked
             .iter()
@@ -68,7 +70,8 @@
         if untried.is_empty() { permitted } else { untried }
     }
 
-    /// A failed worker that is due for a half-open probe, where the loss of the attempt would be harmless.
+    /// Returns a failed worker that is due for a half-open probe, if the loss of the attempt would be
+    /// harmless.
     fn worker_to_probe(&self, permitted: &[WorkerId]) -> Option<WorkerId> {
         let may_repeat = self.context.class(self.request).idempotency != Idempotency::NotIdempotent;
         if !may_repeat || self.request.attempts > 0 {
@@ -77,7 +80,8 @@
         permitted.iter().copied().find(|&worker| self.is_probe_due(worker))
     }
 
-    /// Whether one job may probe a worker that has failed: nothing else would show that it is back.
+    /// Returns whether the request may serve as a half-open probe of a failed worker: nothing else would
+    /// show that the worker has recovered.
     fn is_probe_due(&self, id: WorkerId) -> bool {
         let worker = self.context.workers.get(id);
         let class = self.request.class;
@@ -89,8 +93,8 @@
             && worker.current_wait(class, self.now, 0.0) <= time_left.max(0.0)
     }
 
-    /// The workers that are healthy and accept the class. If there are none, those that may be probed: that
-    /// is better than to send the request nowhere.
+    /// Returns the workers that are healthy and accept the class; if there are none, those that may be
+    /// probed.
     fn candidates(&self, permitted: Vec<WorkerId>) -> Vec<WorkerId> {
         let candidates: Vec<WorkerId> = permitted
             .iter()
@@ -104,8 +108,8 @@
         permitted.into_iter().filter(|&worker| self.is_probe_due(worker)).collect()
     }
 
-    /// The lane of the job by its size among `lanes`, 0 for the smallest jobs: the paper's thresholds
-    /// w_r = (1+…+r)/(1+…+n)·S_max. Larger jobs go to faster workers.
+    /// Returns the lane of the job among `lanes`, 0 for the smallest jobs, by the paper's thresholds w_r =
+    /// (1+…+r)/(1+…+n)·S_max. Larger jobs go to faster workers.
     fn size_lane(&self, lanes: usize) -> usize {
         if !self.request.has_work_hint {
             return lanes / 2;
@@ -116,7 +120,7 @@
         (1..lanes).find(|&lane| self.request.size <= threshold(lane)).map_or(lanes - 1, |lane| lane - 1)
     }
 
-    /// The best of the lane worker, its random rival and the affinity set.
+    /// Returns the cheapest of the lane worker, its random rival and the affinity set.
     fn best_of_drawn(&self, lane_worker: WorkerId, rival: WorkerId) -> WorkerId {
         let mut best = self.cheaper(lane_worker, rival);
         for &worker in self.affinity_set {
@@ -125,18 +129,20 @@
         best
     }
 
-    /// The one of lower cost, with the load of other dispatchers; the first of equals.
+    /// Returns the cheaper of two workers, including the load of other dispatchers; the first if they are
+    /// equal.
     fn cheaper(&self, first: WorkerId, second: WorkerId) -> WorkerId {
         if self.cost_with_hidden_wait(second) < self.cost_with_hidden_wait(first) { second } else { first }
     }
 
-    /// Late knowledge of the others' load counts only between workers that were drawn: it is the same at all
-    /// dispatchers, which would otherwise follow it together.
+    /// The load of other dispatchers, known late, counts only between workers that were drawn at random: it
+    /// is the same at all dispatchers, which would otherwise all move to the same workers.
     fn cost_with_hidden_wait(&self, worker: WorkerId) -> f64 {
         self.cost(worker) + self.context.hidden_wait(self.request, worker, self.now)
     }
 
-    /// The cost of sending the request to a worker, in microseconds, less a fetch that it is likely spared.
+    /// Returns the cost of sending the request to a worker, in microseconds, without a fetch that is likely
+    /// unnecessary.
     fn cost(&self, worker: WorkerId) -> f64 {
         let cost = self.context.cost_of_send(self.request, worker, self.now);
         let cached = || self.context.workers.get(worker).cached_keys.contains(self.request.affinity_key);
@@ -151,7 +157,7 @@
             * self.context.arrivals.mean_size()
     }
 
-    /// Whether a worker would start the request at once and answer it in time.
+    /// Returns whether a worker would start the request at once and answer it in time.
     fn is_free_for(&self, id: WorkerId) -> bool {
         let worker = self.context.workers.get(id);
         let expected_wait = self.context.expected_wait(worker, self.request.class, self.now);
@@ -159,8 +165,8 @@
             && self.context.would_be_useful(self.request, id, self.now, false)
     }
 
-    /// The cheapest candidate or worker of the affinity set that has room. A request that would be late
-    /// anyway is sent only if nothing else waits.
+    /// Returns the cheapest candidate or member of the affinity set that has room. A request that would be
+    /// late is sent only if no other request waits.
     fn best_with_room(&self, mut candidates: Vec<WorkerId>) -> Option<WorkerId> {
         let members = self.context.subset.members();
         candidates.extend(self.affinity_set.iter().filter(|worker| !members.contains(worker)));
@@ -172,8 +178,8 @@
         self.context.would_be_useful(self.request, best, self.now, self.is_most_urgent).then_some(best)
     }
 
-    /// Whether a worker is likely to have the request's key: a fetch costs more than a wait. In a large
-    /// zone a worker that is free does as well.
+    /// Returns whether a worker is likely to have the request's key, since a fetch costs more than a wait.
+    /// In a large zone, any free worker will do.
     fn suits_key(&self, worker: WorkerId) -> bool {
         let key = self.request.affinity_key;
         key == 0
--- a/crates/dispatcher/src/dispatcher/subset.rs
+++ b/crates/dispatcher/src/dispatcher/subset.rs
@@ -1,41 +1,43 @@
-//! The workers that this dispatcher works with: the paper's top N, chosen per dispatcher.
+//! The subset of workers that this dispatcher uses: the paper's top N, different for each dispatcher.
 //!
-//! Each dispatcher has its own subset, in which a worker is the more likely the more it can do at present.
-//! This guards against estimates that are out of date, many connections, and all dispatchers at one worker
-//! in slow start.
+//! A worker is in the subset with a probability in proportion to its present weight. Small subsets guard
+//! against outdated estimates, large numbers of connections, and all dispatchers using the same worker in
+//! slow start.
 
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::arrival_statistics::ArrivalStatistics;
 use crate::dispatcher::rendezvous::{Candidate, limit_choices};
 use crate::interface::{Micros, WorkerId};
 
-/// The least size: below it one failed worker would be too large a share, and big and small jobs share lanes.
+/// The least size: in a smaller one, a failed worker is too large a share, and large and small jobs share
+/// lanes.
 const MIN_SIZE: f64 = 8.0;
-/// The size before anything has arrived.
+/// The size before the first arrival.
 const INITIAL_SIZE: usize = 2 * MIN_SIZE as usize;
-/// Workers for each job that runs: a longer queue would be known for so long that it has changed.
+/// The number of workers for each running job. With fewer, estimates are based on queues that have changed
+/// since.
 const WORKERS_PER_RUNNING_JOB: f64 = 3.0;
-/// The subset shrinks where the size that the load asks for is below this multiple of its size.
+/// The subset shrinks if the load requires less than this multiple of its size.
 const SHRINK_BELOW: f64 = 0.7;
-/// The subset grows where the size that the load asks for is above this multiple of its size.
+/// The subset grows if the load requires more than this multiple of its size.
 const GROW_ABOVE: f64 = 1.3;
-/// The nearest workers are looked up again after this time, since weights change in slow start.
+/// The nearest workers are looked up at this interval, since weights change during slow start.
 const REFRESH_INTERVAL: Micros = 1_000_000;
-/// How many times the size of the subset is looked up, so that ejected workers can be replaced.
+/// The number of workers looked up for each member, so that ejected ones can be replaced.
 const CANDIDATES_PER_MEMBER: usize = 3;
-/// The nearest workers, in subset sizes, among which ejected ones are replaced by further ones.
+/// Ejected workers are replaced if they are among the nearest, up to this multiple of the subset's size.
 const REPLACED_RANGE: usize = 2;
 
-/// The least total that a weight is divided by.
+/// Lower bound of a total weight that is divided by.
 const MIN_TOTAL_WEIGHT: f64 = 1e-9;
 
-/// The nearest workers at one moment.
+/// The result of a lookup of the nearest workers.
 pub(super) struct NearestWorkers {
     /// The nearest to this dispatcher, for all classes.
     pub(super) for_all: Vec<WorkerId>,
-    /// For each class that only one kind of machine runs, the nearest of that kind.
+    /// By class: the nearest of the kind that runs it, if only one kind does.
     pub(super) by_class: Vec<Vec<WorkerId>>,
-    /// The total weight of all workers that take new work.
+    /// The total present weight of all workers that accept new work.
     pub(super) total_weight: f64,
 }
 
@@ -48,7 +50,7 @@
     nearest_by_class: Vec<Vec<WorkerId>>,
     nearest_stale: bool,
     refresh_at: Micros,
-    /// The probability of a worker to be nearest, per weight.
+    /// The probability of being in a subset, per weight.
     probability_per_weight: f64,
 }
 
@@ -68,23 +70,23 @@
 }
 
 impl WorkerSubset {
-    /// The workers to work with, the nearest first.
+    /// Returns the workers to use, the nearest first.
     pub(super) fn members(&self) -> &[WorkerId] {
         &self.members
     }
 
-    /// The nearest workers that run a class which only one kind of machine does.
+    /// Returns the nearest workers that run a class which only one kind of machine runs.
     pub(super) fn nearest_of_class(&self, class: usize) -> &[WorkerId] {
         &self.nearest_by_class[class]
     }
 
-    /// The probability with which any one dispatcher has a worker of this weight in its subset; 1 for a
-    /// worker outside of this one.
+    /// Returns the probability that a given dispatcher has a worker of this weight in its subset; 1 for a
+    /// worker that is not in this subset.
     pub(super) fn probability_of(&self, id: WorkerId, weight: f64) -> f64 {
         if self.members.contains(&id) { self.probability_per_weight * weight } else { 1.0 }
     }
 
-    /// Follows the load with the size of the subset.
+    /// Adapts the size of the subset to the load.
     pub(super) fn follow_load(&mut self, arrivals: &ArrivalStatistics) {
         let size =
             (WORKERS_PER_RUNNING_JOB * arrivals.mean_size() / arrivals.mean_gap()).max(MIN_SIZE).ceil();
@@ -95,32 +97,32 @@
         }
     }
 
-    /// The worker list or a weight in it has changed.
+    /// Marks the nearest workers as out of date, since the worker list has changed.
     pub(super) fn invalidate_nearest(&mut self) {
         self.nearest_stale = true;
     }
 
-    /// A worker has failed, recovered or rejected work.
+    /// Marks the members as out of date, since a worker has failed, recovered or rejected work.
     pub(super) fn invalidate_members(&mut self) {
         self.members_stale = true;
     }
 
-    /// Whether the nearest workers must be looked up again; it is taken to be done then.
+    /// Returns whether the nearest workers must be looked up again, and clears the mark.
     pub(super) fn take_nearest_due(&mut self, now: Micros) -> bool {
         std::mem::take(&mut self.nearest_stale) || now >= self.refresh_at
     }
 
-    /// Whether the members must be chosen again; it is taken to be done then.
+    /// Returns whether the members must be chosen again, and clears the mark.
     pub(super) fn take_members_due(&mut self) -> bool {
         std::mem::take(&mut self.members_stale)
     }
 
-    /// How many nearest workers to look up in a list of so many.
+    /// Returns how many of the nearest workers to look up in a list of this length.
     pub(super) fn lookup_size(&self, workers: usize) -> usize {
         CANDIDATES_PER_MEMBER * self.target_size.min(workers)
     }
 
-    /// Sets what was looked up in a list of so many workers.
+    /// Stores the result of a lookup in a list of this length.
     pub(super) fn set_nearest(&mut self, now: Micros, workers: usize, nearest: NearestWorkers) {
         let size = self.target_size.min(workers);
         self.probability_per_weight = size as f64 / nearest.total_weight.max(MIN_TOTAL_WEIGHT);
@@ -129,7 +131,7 @@
         self.refresh_at = now + REFRESH_INTERVAL;
     }
 
-    /// Chooses the members of a list of so many workers; one that is ejected takes no place of them.
+    /// Chooses the members in a list of this length; ejected workers do not count towards the size.
     pub(super) fn choose_members(&mut self, workers: usize, is_ejected: impl Fn(WorkerId) -> bool) {
         let size = self.target_size.min(workers);
         let ejected = self.nearest.iter().take(REPLACED_RANGE * size).filter(|&&id| is_ejected(id)).count();
@@ -138,8 +140,8 @@
 }
 
 impl Dispatcher {
-    /// Looks at all workers in the list: which are the nearest to this dispatcher, and how much they weigh.
-    /// It costs more the longer the list is, so it is not done for every request.
+    /// Looks up the workers that are nearest to this dispatcher among all workers. That is expensive in
+    /// long lists, so it is not done for every request.
     pub(super) fn look_up_nearest_workers(&mut self, now: Micros) {
         let context = self.context();
         let candidate = |&id: &WorkerId| Candidate {
@@ -163,8 +165,8 @@
         self.subset.set_nearest(now, workers, nearest);
     }
 
-    /// The nearest workers that run a class, if only one kind of machine does: the subset may have none of
-    /// them.
+    /// Returns the nearest workers that run a class, if only one kind of machine does: the subset may
+    /// contain none of them.
     fn nearest_of_class(&self, class: usize, limit: usize) -> Vec<WorkerId> {
         if self.settings.classes[class].worker_kind.is_none() {
             return Vec::new();
--- a/crates/dispatcher/src/dispatcher/worker.rs
+++ b/crates/dispatcher/src/dispatcher/worker.rs
@@ -7,10 +7,10 @@
 use crate::dispatcher::slow_start::SlowStartDebt;
 use crate::interface::{Lifecycle, Micros, WorkerEntry};
 
-/// After this time half of a worker's known wait is taken to be gone, in microseconds.
+/// The weight of a measured wait halves in this time, in microseconds.
 const WAIT_HALF_LIFE: f64 = 2_000_000.0;
 
-/// How long jobs of one class were last seen to wait for their start; it weighs less as time passes.
+/// How long jobs of one class have waited for their start; the measurement loses weight over time.
 #[derive(Clone, Copy, Default)]
 pub(super) struct DecayedWait {
     /// In microseconds.
@@ -19,18 +19,18 @@
 }
 
 impl DecayedWait {
-    /// The weight that the measured wait still has, from 1 down to 0.
+    /// Returns the present weight of the measurement, from 1 down to 0.
     fn weight(&self, now: Micros) -> f64 {
         (-((now - self.measured_at) as f64) / WAIT_HALF_LIFE).exp2()
     }
 
-    /// The wait at this moment, between the measured one and the expected one.
+    /// Returns the present wait, which fades from the measured one to the expected one.
     fn at(&self, now: Micros, expected: f64) -> f64 {
         expected + (self.wait - expected) * self.weight(now)
     }
 }
 
-/// A worker, its outstanding attempts, and what its answers have shown.
+/// A worker: its list entry, its outstanding attempts, and what its answers have shown.
 #[derive(Default)]
 pub(super) struct Worker {
     pub(super) entry: WorkerEntry,
@@ -44,8 +44,8 @@
 }
 
 impl Worker {
-    /// Takes its line of the worker list in. A later start time means a new process: what the old one did
-    /// says nothing of it, and it begins slow start with this debt.
+    /// Applies an entry of the worker list. A later start time means a new process: the health of the old
+    /// one is cleared, and slow start begins with this debt.
     pub(super) fn apply(&mut self, entry: WorkerEntry, classes: usize, initial_debt: f64) {
         self.capacity.resize(classes);
         self.health.resize(classes);
@@ -58,17 +58,17 @@
         self.entry = entry;
     }
 
-    /// Whether the worker list says that it takes new work.
+    /// Returns whether the worker accepts new work, according to the worker list.
     pub(super) fn is_ready(&self) -> bool {
         self.entry.lifecycle == Lifecycle::Ready
     }
 
-    /// The slots taken by all outstanding attempts.
+    /// Returns the slots used by all outstanding attempts.
     pub(super) fn outstanding_slots(&self) -> f64 {
         self.in_flight.iter().map(|attempt| attempt.slots).sum()
     }
 
-    /// The slots taken by the attempts that have started.
+    /// Returns the slots used by the attempts that have started.
     pub(super) fn running_slots(&self) -> f64 {
         self.in_flight
             .iter()
@@ -77,37 +77,38 @@
             .sum()
     }
 
-    /// The attempts that have not started, as far as is known.
+    /// Returns the attempts without a start notice.
     pub(super) fn unstarted(&self) -> impl Iterator<Item = &Attempt> {
         self.in_flight.iter().filter(|attempt| attempt.started_at.is_none())
     }
 
-    /// The outstanding attempt of this id.
+    /// Returns the outstanding attempt with this id.
     pub(super) fn attempt_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
         self.in_flight.iter_mut().find(|attempt| attempt.id == id)
     }
 
-    /// Removes the outstanding attempt of this id.
+    /// Removes and returns the outstanding attempt with this id.
     pub(super) fn take_attempt(&mut self, id: AttemptId) -> Option<Attempt> {
         let index = self.in_flight.iter().position(|attempt| attempt.id == id)?;
         Some(self.in_flight.swap_remove(index))
     }
 
-    /// How long a job sent now would wait for its start, in microseconds: the measured wait, which fades to
-    /// the expected one, or the wait of an attempt that has not started, whichever is longer.
+    /// Returns how long a job that is sent now would wait for its start, in microseconds: the measured
+    /// wait, which fades to the expected one, or the wait of an attempt that has not started, whichever is
+    /// longer.
     pub(super) fn current_wait(&self, class: usize, now: Micros, expected: f64) -> f64 {
         let measured = self.waits[class].at(now, expected);
         self.unstarted().map(|attempt| attempt.waited(now)).fold(measured, f64::max)
     }
 
-    /// Averages a measured wait, in microseconds, with the earlier ones.
+    /// Records a measured wait, in microseconds, and averages it with earlier ones.
     pub(super) fn record_wait(&mut self, class: usize, now: Micros, waited: f64) {
         let known = &mut self.waits[class];
         let weight = known.weight(now);
         *known = DecayedWait { wait: (known.wait * weight + waited) / (1.0 + weight), measured_at: now };
     }
 
-    /// Sets the wait to at least this, in microseconds.
+    /// Raises the wait to at least this, in microseconds.
     pub(super) fn raise_wait(&mut self, class: usize, now: Micros, at_least: f64) {
         let wait = self.current_wait(class, now, 0.0).max(at_least);
         self.waits[class] = DecayedWait { wait, measured_at: now };
--- a/crates/dispatcher/src/dispatcher/worker_evidence.rs
+++ b/crates/dispatcher/src/dispatcher/worker_evidence.rs
@@ -1,22 +1,22 @@
-//! What the end of an attempt says of its worker.
+//! What the end of an attempt shows about its worker.
 
 use crate::dispatcher::attempt::{Attempt, START_GRACE};
 use crate::dispatcher::worker::Worker;
 use crate::interface::{Micros, Outcome};
 
-/// A worker that answered within this time is alive, whatever happens to one of its connections.
+/// A worker that showed a sign of life within this time is alive, even if one of its connections breaks.
 const ALIVE_INTERVAL: Micros = 1_000_000;
-/// How many times its size a job may run before its answer is taken to be lost.
+/// If a worker is alive after this multiple of a job's size, the job's missing answer was lost.
 const LOST_ANSWER_FACTOR: Micros = 3;
 
-/// What the end of an attempt says of its worker.
+/// What the end of an attempt shows about its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WorkerEvidence {
     /// It served the job.
     Served,
     /// Nothing.
     Neutral,
-    /// It lives, and its queue is as long as the job has waited.
+    /// It is alive, and its queue is as long as the job has waited.
     Queueing,
     /// Its queue is full.
     Full,
@@ -25,14 +25,15 @@
 }
 
 impl WorkerEvidence {
-    /// Judges an attempt that ended now by what the worker has shown since.
+    /// Judges the end of an attempt, also by the signs of life that the worker has shown since the send.
     pub(super) fn of(worker: &Worker, attempt: &Attempt, outcome: Outcome, now: Micros) -> WorkerEvidence {
         let health = &worker.health;
         match outcome {
             Outcome::Ok => WorkerEvidence::Served,
             Outcome::Rejected => WorkerEvidence::Full,
             Outcome::NotSent | Outcome::InvalidRequest => WorkerEvidence::Neutral,
-            // The connection broke. If the worker is dead as well, the next connect will show it.
+            // Only the connection broke. If the worker has died since, the next connection attempt will
+            // show it.
             Outcome::Reset if health.has_shown_life_since(now - ALIVE_INTERVAL) => WorkerEvidence::Neutral,
             Outcome::Timeout if answer_was_lost(worker, attempt) => WorkerEvidence::Neutral,
             Outcome::Cancelled => Self::of_withdrawn(worker, attempt, now),
@@ -51,7 +52,7 @@
     }
 }
 
-/// Whether the worker has shown life after the time at which the attempt should have ended.
+/// Returns whether the worker has shown a sign of life after the attempt should have ended.
 fn answer_was_lost(worker: &Worker, attempt: &Attempt) -> bool {
     attempt.started_at.is_some_and(|started_at| {
         worker.health.has_shown_life_since(started_at + LOST_ANSWER_FACTOR * attempt.size as Micros)
--- a/crates/dispatcher/src/dispatcher/worker_list.rs
+++ b/crates/dispatcher/src/dispatcher/worker_list.rs
@@ -1,4 +1,4 @@
-//! What follows from an update of the worker list, or from its failure.
+//! How updates of the worker list, and failures of discovery, are handled.
 
 use crate::dispatcher::{DISCOVERY_TIMER, Dispatcher};
 use crate::interface::{Action, WorkerEntry, WorkerListUpdate};
@@ -35,7 +35,7 @@
         self.subset.invalidate_nearest();
     }
 
-    /// Each new process starts with a random slow-start debt, so that dispatchers take turns with it.
+    /// Applies the entries. Each new process gets a random slow-start debt, so that dispatchers take turns.
     fn apply_entries(&mut self, entries: Vec<WorkerEntry>) {
         for entry in entries {
             let initial_debt = self.rng.f64() * self.arrivals.mean_size();
--- a/crates/dispatcher/src/dispatcher/worker_table.rs
+++ b/crates/dispatcher/src/dispatcher/worker_table.rs
@@ -1,39 +1,38 @@
-//! All workers that the host has named, and what is learned of their kinds of machine.
+//! All workers that the host has named, and what is known of their kinds of machine.
 
 use crate::dispatcher::machine_kind::MachineKind;
 use crate::dispatcher::worker::Worker;
 use crate::interface::{Lifecycle, Settings, WorkerEntry, WorkerId};
 
-/// Workers in a zone from which on dispatchers of that zone prefer them; also the unit of a zone's size.
+/// The unit of a zone's size. In a zone with more workers than this, dispatchers prefer their own zone.
 pub(super) const ZONE_GROUP_WORKERS: f64 = 4.0;
-/// A zone of more groups is large: a dispatcher sees little of what is sent to its workers.
+/// A zone of more groups is large: a dispatcher sees only a small part of what is sent to its workers.
 const LARGE_ZONE_GROUPS: f64 = 2.0;
-/// The highest kind of machine that is distinguished: one out of range must not claim memory for all below
-/// it.
+/// Higher kinds of machine count as this one, which bounds the memory for them.
 const MAX_KIND: usize = 1023;
-/// The least total that a weight is divided by.
+/// Lower bound of a total weight that is divided by.
 const MIN_TOTAL_WEIGHT: f64 = 1e-9;
 
-/// The worker list as this dispatcher knows it.
+/// The workers and kinds of machine that this dispatcher knows.
 #[derive(Default)]
 pub(super) struct WorkerTable {
     /// By worker id.
     workers: Vec<Worker>,
     kinds: Vec<MachineKind>,
     ready: Vec<WorkerId>,
-    /// The sum over the ready workers.
+    /// The sum of the rated weights of the ready workers.
     total_weight: f64,
     /// Ready workers in the own zone, in units of [`ZONE_GROUP_WORKERS`], at least 1.
     zone_groups: f64,
-    /// The request classes.
+    /// The number of request classes.
     classes: usize,
-    /// The own zone.
+    /// The zone of this dispatcher.
     zone: usize,
     weights_include_load: bool,
 }
 
 impl WorkerTable {
-    /// A table without workers.
+    /// Creates a table without workers.
     pub(super) fn new(settings: &Settings) -> Self {
         WorkerTable {
             kinds: vec![MachineKind::default(); settings.worker_kinds.max(1)],
@@ -44,7 +43,7 @@
         }
     }
 
-    /// The worker of this id.
+    /// Returns the worker with this id.
     ///
     /// # Panics
     /// If the host has not named it.
@@ -52,7 +51,7 @@
         &self.workers[id.0 as usize]
     }
 
-    /// The worker of this id; one that the host has not named is added.
+    /// Returns the worker with this id; one that the host has not named is added.
     pub(super) fn get_mut(&mut self, id: WorkerId) -> &mut Worker {
         let index = id.0 as usize;
         if index >= self.workers.len() {
@@ -61,24 +60,24 @@
         &mut self.workers[index]
     }
 
-    /// The ids of all workers ever named.
+    /// Returns the ids of all workers ever named.
     pub(super) fn ids(&self) -> impl Iterator<Item = WorkerId> {
         (0..self.workers.len() as u32).map(WorkerId)
     }
 
-    /// The workers that take new work, by id.
+    /// Returns the workers that accept new work, in order of id.
     pub(super) fn ready(&self) -> &[WorkerId] {
         &self.ready
     }
 
-    /// Marks all workers as removed, before a complete list is applied.
+    /// Marks all workers as gone, before a complete list is applied.
     pub(super) fn remove_all(&mut self) {
         for worker in &mut self.workers {
             worker.entry.lifecycle = Lifecycle::Gone;
         }
     }
 
-    /// Applies one line of the worker list; a new process starts with this slow-start debt.
+    /// Applies an entry of the worker list; a new process starts with this slow-start debt.
     pub(super) fn apply(&mut self, mut entry: WorkerEntry, initial_debt: f64) {
         entry.weight = if entry.weight.is_finite() { entry.weight.max(0.0) } else { 1.0 };
         entry.kind = entry.kind.min(MAX_KIND);
@@ -93,7 +92,7 @@
         }
     }
 
-    /// Sums the list up again, after it was changed.
+    /// Recomputes the ready workers and the totals after the list has changed.
     pub(super) fn update_totals(&mut self) {
         self.ready = self.ids().filter(|&id| self.get(id).is_ready()).collect();
         self.total_weight = self.ready.iter().map(|&id| self.rated_weight(self.get(id))).sum();
@@ -101,34 +100,34 @@
         self.zone_groups = (in_zone as f64 / ZONE_GROUP_WORKERS).max(1.0);
     }
 
-    /// What the machines of a worker's kind have shown.
+    /// Returns the statistics of a worker's kind of machine.
     pub(super) fn kind(&self, worker: &Worker) -> &MachineKind {
         &self.kinds[worker.entry.kind]
     }
 
-    /// As [`WorkerTable::kind`], to add to it.
+    /// Like [`WorkerTable::kind`], for updates.
     pub(super) fn kind_mut(&mut self, id: WorkerId) -> &mut MachineKind {
         let kind = self.get_mut(id).entry.kind;
         &mut self.kinds[kind]
     }
 
-    /// A worker's weight when idle: where listed weights include the load, the largest seen of its kind
-    /// stands for it, since all dispatchers would move in step with weights that are late.
+    /// Returns a worker's weight without its load. Where listed weights include the load, it is the largest
+    /// weight seen of its kind: listed weights are late, and all dispatchers would move together with them.
     pub(super) fn rated_weight(&self, worker: &Worker) -> f64 {
         worker.entry.weight.max(self.kind(worker).largest_weight())
     }
 
-    /// The sum of the rated weights of all ready workers, above 0.
+    /// Returns the sum of the rated weights of all ready workers, above 0.
     pub(super) fn total_weight(&self) -> f64 {
         self.total_weight.max(MIN_TOTAL_WEIGHT)
     }
 
-    /// The size of the own zone, in units of [`ZONE_GROUP_WORKERS`], at least 1.
+    /// Returns the size of the own zone, in units of [`ZONE_GROUP_WORKERS`], at least 1.
     pub(super) fn zone_groups(&self) -> f64 {
         self.zone_groups
     }
 
-    /// The groups by which the own zone is larger than a small one; 0 in a small zone.
+    /// Returns by how many groups the own zone exceeds a small one; 0 in a small zone.
     pub(super) fn excess_zone_groups(&self) -> f64 {
         (self.zone_groups - LARGE_ZONE_GROUPS).max(0.0)
     }
