--- a/crates/frontend-http1/tests/downstream_connection.rs
+++ b/crates/frontend-http1/tests/downstream_connection.rs
@@ -10,44 +10,72 @@
 use sorrelhaven_test_support::{check_cases, single_worker_config};
 use sorrelhaven_wire::{Head, ParsedHead, StartLine};
 use std::io::{Read, Write};
-use std::net::{Shutdown, TcpListener, TcpStream};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::Instant;
 
 /// The beginning of a job's head, without its timeout.
 const JOB_HEAD: &str = "POST /api HTTP/1.1\r\nRequest-Id: r\r\nRequest-Class: fee\r\n";
 
-/// A message, the status that answers it, and whether the connection stays open after it.
-fn message(kind: usize) -> (String, u16, bool) {
-    let (text, status, stays_open) = match kind {
-        0 => ("GET /health/ready HTTP/1.1\r\n\r\n".into(), 200, true),
-        1 => ("GET /nowhere HTTP/1.1\r\n\r\n".into(), 404, true),
-        2 => ("GET /api HTTP/1.1\r\n\r\n".into(), 405, true),
-        3 => (
-            "POST /health/ready HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n".into(),
+/// A message of a client, and what the model expects of it.
+struct Message {
+    text: String,
+    /// The status that answers it.
+    status: u16,
+    /// The connection stays open after it.
+    stays_open: bool,
+}
+
+/// How many kinds of messages there are.
+const KINDS: usize = 17;
+/// How many of them are drawn more often, so that sequences grow long: the first ones, which keep the
+/// connection open.
+const FREQUENT_KINDS: usize = 4;
+/// The kind of a valid message that closes the connection.
+const CLOSING_KIND: usize = 4;
+
+impl Message {
+    /// A message after which the connection stays open.
+    fn open(text: impl Into<String>, status: u16) -> Message {
+        Message { text: text.into(), status, stays_open: true }
+    }
+
+    /// A message whose answer closes the connection.
+    fn closing(text: impl Into<String>, status: u16) -> Message {
+        Message { text: text.into(), status, stays_open: false }
+    }
+}
+
+fn message(kind: usize) -> Message {
+    match kind {
+        0 => Message::open("GET /health/ready HTTP/1.1\r\n\r\n", 200),
+        1 => Message::open("GET /nowhere HTTP/1.1\r\n\r\n", 404),
+        2 => Message::open("GET /api HTTP/1.1\r\n\r\n", 405),
+        3 => Message::open(
+            "POST /health/ready HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
             405,
-            true,
         ),
-        4 => ("GET /health/ready HTTP/1.1\r\nConnection: close\r\n\r\n".into(), 200, false),
-        5 => (format!("{JOB_HEAD}\r\n"), 400, false),
-        6 => (format!("{JOB_HEAD}Request-Timeout: soon\r\n\r\n"), 400, false),
-        7 => (format!("{JOB_HEAD}Request-Timeout: 9m\r\nWork-Hint: much\r\n\r\n"), 400, false),
-        8 => (format!("{JOB_HEAD}Request-Timeout: 9m\r\nRequest-Info: slots\r\n\r\n"), 400, false),
-        9 => (format!("{JOB_HEAD}Request-Timeout: 9m\r\nRequest-Id: again\r\n\r\n"), 400, false),
-        10 => (
-            "POST /api HTTP/1.1\r\nRequest-Id: r\r\nRequest-Class: odd\r\nRequest-Timeout: 9m\r\n\r\n".into(),
+        CLOSING_KIND => Message::closing("GET /health/ready HTTP/1.1\r\nConnection: close\r\n\r\n", 200),
+        5 => Message::closing(format!("{JOB_HEAD}\r\n"), 400),
+        6 => Message::closing(format!("{JOB_HEAD}Request-Timeout: soon\r\n\r\n"), 400),
+        7 => Message::closing(format!("{JOB_HEAD}Request-Timeout: 9m\r\nWork-Hint: much\r\n\r\n"), 400),
+        8 => Message::closing(format!("{JOB_HEAD}Request-Timeout: 9m\r\nRequest-Info: slots\r\n\r\n"), 400),
+        9 => Message::closing(format!("{JOB_HEAD}Request-Timeout: 9m\r\nRequest-Id: again\r\n\r\n"), 400),
+        10 => Message::closing(
+            "POST /api HTTP/1.1\r\nRequest-Id: r\r\nRequest-Class: odd\r\nRequest-Timeout: 9m\r\n\r\n",
             400,
-            false,
         ),
-        11 => (format!("{JOB_HEAD}Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n"), 400, false),
-        12 => ("\u{1}\u{2}\r\n\r\n".into(), 400, false),
-        13 => (format!("{JOB_HEAD}X: {}\r\n\r\n", "x".repeat(20_000)), 431, false),
-        14 => (format!("{JOB_HEAD}{}\r\n", "X: y\r\n".repeat(80)), 431, false),
-        15 => (format!("{JOB_HEAD}Content-Length: 70000\r\n\r\n{}", "x".repeat(70_000)), 413, false),
+        11 => Message::closing(
+            format!("{JOB_HEAD}Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n"),
+            400,
+        ),
+        12 => Message::closing("\u{1}\u{2}\r\n\r\n", 400),
+        13 => Message::closing(format!("{JOB_HEAD}X: {}\r\n\r\n", "x".repeat(20_000)), 431),
+        14 => Message::closing(format!("{JOB_HEAD}{}\r\n", "X: y\r\n".repeat(80)), 431),
+        15 => Message::closing(format!("{JOB_HEAD}Content-Length: 70000\r\n\r\n{}", "x".repeat(70_000)), 413),
         // A timeout of 0 has expired at once, and the decision module rejects a request that has expired.
-        _ => (format!("{JOB_HEAD}Request-Timeout: 0m\r\n\r\n"), 503, true),
-    };
-    (text, status, stays_open)
+        _ => Message::open(format!("{JOB_HEAD}Request-Timeout: 0m\r\n\r\n"), 503),
+    }
 }
 
 /// The statuses of the responses in `received`.
@@ -65,48 +93,58 @@
     found
 }
 
+/// Sends `text` in pieces of `piece_bytes` and returns all that is received until the node closes the
+/// connection.
+fn converse(address: SocketAddr, text: &str, piece_bytes: usize) -> Vec<u8> {
+    let mut stream = TcpStream::connect(address).expect("the node listens");
+    stream.set_nodelay(true).expect("a socket");
+    let piece_bytes = if text.len() > 10_000 { 10_000 } else { piece_bytes };
+    // The node may close the connection before everything is written.
+    let _ = text.as_bytes().chunks(piece_bytes).try_for_each(|piece| stream.write_all(piece));
+    let mut received = Vec::new();
+    let _ = stream.read_to_end(&mut received);
+    let _ = stream.shutdown(Shutdown::Both);
+    received
+}
+
+/// Serves one client of a node that is ready, and returns what the client received.
+fn serve_one_client(text: String, piece_bytes: usize) -> std::io::Result<Vec<u8>> {
+    let config = single_worker_config("127.0.0.1:1".parse().expect("an address"), "at_most_once");
+    let config = Config::parse(&config, |_| None).expect("a configuration");
+    let engine = Engine::new(&config, None);
+    let lifecycle = Rc::<LifecycleHandle>::default();
+    lifecycle.startup_completed(Instant::now());
+    let frontend = Frontend::new(engine.clone(), &config, lifecycle);
+    let listener = TcpListener::bind("127.0.0.1:0")?;
+    let address = listener.local_addr()?;
+    let client = std::thread::spawn(move || converse(address, &text, piece_bytes));
+    let (client_ended, stop) = async_channel::bounded::<()>(1);
+    let waiter = std::thread::spawn(move || {
+        let received = client.join().expect("the client ends");
+        drop(client_ended);
+        received
+    });
+    let listener = Async::new(listener)?;
+    let serve = accept(frontend, listener, AcceptQueue::Own, async { _ = stop.recv().await });
+    async_io::block_on(or(serve, async { match engine.tasks.run().await {} }));
+    Ok(waiter.join().expect("the client's answers"))
+}
+
 #[test]
 fn any_sequence_of_messages_gets_the_statuses_of_the_model() {
-    let kinds = prop::collection::vec(prop_oneof![2 => 0usize..4, 1 => 4usize..17], 1..6);
+    let kind = prop_oneof![2 => 0usize..FREQUENT_KINDS, 1 => FREQUENT_KINDS..KINDS];
+    let kinds = prop::collection::vec(kind, 1..6);
     check_cases(120, (kinds, 1usize..300), |(mut kinds, piece_bytes)| {
-        kinds.push(4);
+        kinds.push(CLOSING_KIND);
         let (mut text, mut expected, mut open) = (String::new(), Vec::new(), true);
-        for (message, status, stays_open) in kinds.iter().map(|&kind| message(kind)) {
-            text += &message;
+        for message in kinds.into_iter().map(message) {
+            text += &message.text;
             if open {
-                expected.push(status);
+                expected.push(message.status);
             }
-            open &= stays_open;
+            open &= message.stays_open;
         }
-        let config = single_worker_config("127.0.0.1:1".parse().expect("an address"), "at_most_once");
-        let config = Config::parse(&config, |_| None).expect("a configuration");
-        let engine = Engine::new(&config, None);
-        let lifecycle = Rc::<LifecycleHandle>::default();
-        lifecycle.startup_completed(Instant::now());
-        let frontend = Frontend::new(engine.clone(), &config, lifecycle);
-        let listener = TcpListener::bind("127.0.0.1:0")?;
-        let address = listener.local_addr()?;
-        let client = std::thread::spawn(move || {
-            let mut stream = TcpStream::connect(address).expect("the node listens");
-            stream.set_nodelay(true).expect("a socket");
-            let piece_bytes = if text.len() > 10_000 { 10_000 } else { piece_bytes };
-            // The node may close the connection before everything is written.
-            let _ = text.as_bytes().chunks(piece_bytes).try_for_each(|piece| stream.write_all(piece));
-            let mut received = Vec::new();
-            let _ = stream.read_to_end(&mut received);
-            let _ = stream.shutdown(Shutdown::Both);
-            received
-        });
-        let (client_ended, stop) = async_channel::bounded::<()>(1);
-        let waiter = std::thread::spawn(move || {
-            let received = client.join().expect("the client ends");
-            drop(client_ended);
-            received
-        });
-        let listener = Async::new(listener)?;
-        let serve = accept(frontend, listener, AcceptQueue::Own, async { _ = stop.recv().await });
-        async_io::block_on(or(serve, async { match engine.tasks.run().await {} }));
-        let received = waiter.join().expect("the client's answers");
+        let received = serve_one_client(text, piece_bytes)?;
         prop_assert_eq!(statuses(&received), expected);
         Ok(())
     });
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -63,19 +63,15 @@
 
     let (discovery_changes, discovery_addresses) = async_channel::unbounded();
     engine.start(config.discovery, config.known.seq, discovery_addresses);
-    let closing = frontend.clone();
-    engine.tasks.spawn(async move { closing.close_idle_connections().await });
+    close_idle_connections(&engine, frontend.clone());
     let descriptors = Rc::new(DescriptorShare::new(engine.clone(), frontend.clone(), config.sockets));
     if let Some(registry) = registry {
         share_descriptors(&engine, descriptors.clone(), registry);
     }
-    let node = Rc::new(Node { engine: engine.clone(), frontend, lifecycle, format });
     let reloader = Reloader::new(config, environment, engine.clone(), descriptors, discovery_changes);
-    let signalled = node.clone();
-    engine.tasks.spawn_urgent(async move { signalled.handle_signals(signals, reloader).await });
-
-    let tasks = async { match engine.tasks.run().await {} };
-    async_io::block_on(or(node.serve(listener), tasks));
+    let node = Rc::new(Node { engine, frontend, lifecycle, format });
+    handle_signals(node.clone(), signals, reloader);
+    run_to_shutdown(&node, listener);
     if let Some(member) = member {
         member.leave();
     }
@@ -118,3 +114,18 @@
     descriptors.count_at_start(&registry);
     engine.tasks.spawn_urgent(async move { descriptors.follow_process_count(&registry).await });
 }
+
+fn close_idle_connections(engine: &Engine, frontend: Rc<Frontend>) {
+    engine.tasks.spawn(async move { frontend.close_idle_connections().await });
+}
+
+fn handle_signals(node: Rc<Node>, signals: Signals, reloader: Reloader) {
+    let tasks = node.engine.tasks.clone();
+    tasks.spawn_urgent(async move { node.handle_signals(signals, reloader).await });
+}
+
+/// Runs the event loop until the node has shut down.
+fn run_to_shutdown(node: &Node, listener: ClientListener) {
+    let tasks = async { match node.engine.tasks.run().await {} };
+    async_io::block_on(or(node.serve(listener), tasks));
+}
