--- a/crates/frontend-http1/src/exchange.rs
+++ b/crates/frontend-http1/src/exchange.rs
@@ -50,15 +50,25 @@
         }
         Err(response) => {
             let discarded = discard_body(connection, body, expects_continue);
-            match frontend.within_read_timeout(read_started_at, discarded).await {
-                None => Some(Exchange::closing(Response::request_timeout())),
-                Some(Err(error)) => Response::from_wire_error(error).map(Exchange::closing),
-                Some(Ok(())) => Some(Exchange { response, reusable: keeps_alive, carried_job: false }),
-            }
+            let discarded = frontend.within_read_timeout(read_started_at, discarded).await;
+            answer_without_job(response, discarded, keeps_alive)
         }
     }
 }
 
+/// The outcome of a request that the front end answers itself, by how reading past its body ended.
+fn answer_without_job(
+    response: Response,
+    discarded: Option<Result<(), WireError>>,
+    keeps_alive: bool,
+) -> Option<Exchange> {
+    match discarded {
+        None => Some(Exchange::closing(Response::request_timeout())),
+        Some(Err(error)) => Response::from_wire_error(error).map(Exchange::closing),
+        Some(Ok(())) => Some(Exchange { response, reusable: keeps_alive, carried_job: false }),
+    }
+}
+
 /// Reads past the body of a request that the front end answers itself.
 async fn discard_body(
     connection: &mut Connection,
--- a/crates/frontend-http1/src/job_exchange.rs
+++ b/crates/frontend-http1/src/job_exchange.rs
@@ -24,6 +24,26 @@
     pub read_started_at: Instant,
 }
 
+/// A body that was received, or that was received so far and is to be streamed.
+struct ReceivedBody {
+    body: RequestBody,
+    /// Reads the rest of a body that is streamed.
+    unread: Option<BodyReader>,
+}
+
+/// Why a body could not be received.
+enum ReceiveError {
+    /// The client has closed its connection, and no response can be sent.
+    ClientDisconnected,
+    /// Reading has ended before the end of the body.
+    Incomplete {
+        /// The body as far as it was received.
+        body: RequestBody,
+        /// Why reading has ended.
+        end: BodyEnd,
+    },
+}
+
 /// The client has closed its connection.
 struct ClientDisconnected;
 
@@ -32,26 +52,16 @@
     /// disconnected or gets no response. A body that is not stored is streamed: the job is passed on before
     /// all of it has arrived.
     pub async fn serve(self, frontend: &Frontend, connection: &mut Connection) -> Option<Exchange> {
-        let IncomingJob { mut draft, framing, expects_continue, read_started_at } = self;
         let clock = &frontend.engine.dispatcher_loop.clock;
-        let client_deadline = clock.instant(draft.deadline);
-        let declared_length = declared_length(framing);
-        let writer = match frontend.engine.bodies.begin(draft.budget_index(frontend), declared_length) {
-            Ok(writer) => writer,
-            Err((end, body)) => return answer_incomplete(frontend, connection, draft, body, end).await,
-        };
-        let body = writer.body();
-        if expects_continue && connection.write(CONTINUE).await.is_err() {
-            return None;
-        }
-        let reader = BodyReader { framing, writer, read_started_at, client_deadline };
-        let unread = match read_body(frontend, connection, reader).await {
-            BodyProgress::Complete => None,
-            BodyProgress::NotStored(reader) => Some(reader),
-            BodyProgress::Ended(end) => {
-                return answer_incomplete(frontend, connection, draft, body, end).await;
+        let client_deadline = clock.instant(self.draft.deadline);
+        let received = match self.receive_body(frontend, connection, client_deadline).await {
+            Ok(received) => received,
+            Err(ReceiveError::ClientDisconnected) => return None,
+            Err(ReceiveError::Incomplete { body, end }) => {
+                return answer_incomplete(frontend, connection, self.draft, body, end).await;
             }
         };
+        let ReceivedBody { body, unread } = received;
         let permit = match acquire_body_permit(frontend, connection, &body, client_deadline).await {
             Ok(permit) => permit,
             Err(ClientDisconnected) => {
@@ -61,6 +71,7 @@
                 return None;
             }
         };
+        let mut draft = self.draft;
         if let Some(answer_deadline) = frontend.answer_deadline(Instant::now()) {
             draft.limit_deadline(clock.micros(answer_deadline));
         }
@@ -70,6 +81,32 @@
         };
         await_answer(frontend, connection, request, &body, unread).await
     }
+
+    /// Reads the body until it is complete or is to be streamed.
+    async fn receive_body(
+        &self,
+        frontend: &Frontend,
+        connection: &mut Connection,
+        client_deadline: Instant,
+    ) -> Result<ReceivedBody, ReceiveError> {
+        let budget_index = self.draft.budget_index(frontend);
+        let writer = frontend
+            .engine
+            .bodies
+            .begin(budget_index, declared_length(self.framing))
+            .map_err(|(end, body)| ReceiveError::Incomplete { body, end })?;
+        let body = writer.body();
+        if self.expects_continue && connection.write(CONTINUE).await.is_err() {
+            return Err(ReceiveError::ClientDisconnected);
+        }
+        let read_started_at = self.read_started_at;
+        let reader = BodyReader { framing: self.framing, writer, read_started_at, client_deadline };
+        match read_until_drain_deadline(frontend, connection, reader).await {
+            BodyProgress::Complete => Ok(ReceivedBody { body, unread: None }),
+            BodyProgress::NotStored(reader) => Ok(ReceivedBody { body, unread: Some(reader) }),
+            BodyProgress::Ended(end) => Err(ReceiveError::Incomplete { body, end }),
+        }
+    }
 }
 
 /// The length that the client declares; `None` for a chunked body.
@@ -85,8 +122,12 @@
     Exchange { response: Response::new(409), reusable, carried_job: false }
 }
 
-/// Reads the body until it is complete or is to be streamed, for as long as the lifecycle allows.
-async fn read_body(frontend: &Frontend, connection: &mut Connection, reader: BodyReader) -> BodyProgress {
+/// Reads the body for as long as the lifecycle allows.
+async fn read_until_drain_deadline(
+    frontend: &Frontend,
+    connection: &mut Connection,
+    reader: BodyReader,
+) -> BodyProgress {
     let read_started_at = reader.read_started_at;
     or(reader.read_while_stored(frontend, connection), async {
         frontend.drain_deadline_passed(read_started_at).await;
--- a/crates/frontend-http1/src/listen.rs
+++ b/crates/frontend-http1/src/listen.rs
@@ -14,7 +14,7 @@
 /// retransmits it a second later: a burst of hundreds must not delay clients that long.
 const ACCEPT_QUEUE_LENGTH: i32 = 1024;
 
-/// Listens on `address`. A lack of memory or buffers is retried for [`LISTEN_RETRY_TIMEOUT`]: a transient
+/// Listens on `address`. A lack of memory or buffers is retried for a few seconds: a transient
 /// shortage must not prevent a start.
 ///
 /// # Errors
--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -203,7 +203,7 @@
 /// Waiting for the peer's close.
 impl Connection {
     /// Waits until the peer, which waits for an answer, has closed the connection. Input that arrives
-    /// meanwhile is buffered up to [`MAX_READ_AHEAD_BYTES`]; more is discarded, and the connection is
+    /// meanwhile is buffered up to a limit; more is discarded, and the connection is
     /// [overrun](Connection::is_overrun).
     pub async fn read_ahead_until_closed(&mut self) {
         while self.fill().await.is_ok() {
