--- a/crates/engine/src/invariants.rs
+++ b/crates/engine/src/invariants.rs
@@ -48,7 +48,7 @@
         Invariant::OneOutcomePerAttempt,
     ];
 
-    /// The invariant's name in logs and metrics; operators' alerts depend on it, so it stays as it is.
+    /// The invariant's name in logs and metrics, which does not follow renames in the code.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::OneFinalAnswer => "one_final_answer",
