--- a/crates/body-store/tests/store.rs
+++ b/crates/body-store/tests/store.rs
@@ -79,6 +79,37 @@
     store.metrics().iter().find(|metric| metric.0 == name).expect("a metric of that name").1
 }
 
+/// Checks what two readers got of a body, by how the body ended. Memory holds bodies of up to 100 KiB.
+fn check_reads(
+    sent: &Vec<u8>,
+    reject: bool,
+    end: Result<BodyEnd, BodyEnd>,
+    results: [&Result<Vec<u8>, BodyReadError>; 2],
+) -> Result<(), TestCaseError> {
+    let fits_memory = sent.len() as u64 <= 100 * KIB;
+    match end {
+        Ok(BodyEnd::Streamed) => {
+            prop_assert!(!reject && !fits_memory);
+            // At least one reader gets all of it, and the other one gets that or an error.
+            let complete = results.iter().filter(|result| result.as_ref() == Ok(sent)).count();
+            let consumed = Err(BodyReadError::PassedOn);
+            let errors = results.iter().filter(|result| ***result == consumed).count();
+            let are_expected = complete >= 1 && complete + errors == 2;
+            prop_assert!(are_expected, "{} complete, {} errors", complete, errors);
+        }
+        Ok(end) => {
+            prop_assert!(matches!(end, BodyEnd::InMemory | BodyEnd::InFile));
+            prop_assert_eq!(end == BodyEnd::InMemory, fits_memory);
+            prop_assert!(results.iter().all(|result| result.as_ref() == Ok(sent)));
+        }
+        Err(end) => {
+            prop_assert!(reject && matches!(end, BodyEnd::BudgetGone | BodyEnd::DiskFull), "{:?}", end);
+            prop_assert!(results.iter().all(|result| **result == Err(BodyReadError::Ended(end))));
+        }
+    }
+    Ok(())
+}
+
 /// Whatever the length, the pieces, the tier and the readers: what is read is what was written, byte for
 /// byte.
 #[test]
@@ -99,80 +130,39 @@
         let (first, second) = (read(body.reader()), read(body.reader()));
         let write = write(writer, &sent, piece);
         let (end, (first, second)) = block_on(zip(write, zip(first, second)));
-        match end {
-            Ok(BodyEnd::Streamed) => {
-                prop_assert!(!reject && length as u64 > 100 * KIB);
-                // At least one reader gets all of it, and the other one gets that or an error.
-                let complete =
-                    [&first, &second].iter().filter(|result| result.as_ref().ok() == Some(&sent)).count();
-                let errors = [&first, &second]
-                    .iter()
-                    .filter(|result| ***result == Err(BodyReadError::PassedOn))
-                    .count();
-                prop_assert!(
-                    complete >= 1 && complete + errors == 2,
-                    "{} complete, {} errors",
-                    complete,
-                    errors
-                );
-            }
-            Ok(end) => {
-                prop_assert!(matches!(end, BodyEnd::InMemory | BodyEnd::InFile));
-                prop_assert_eq!(end == BodyEnd::InMemory, length as u64 <= 100 * KIB);
-                prop_assert!(first.as_ref() == Ok(&sent) && second.as_ref() == Ok(&sent));
-            }
-            Err(end) => {
-                prop_assert!(reject && matches!(end, BodyEnd::BudgetGone | BodyEnd::DiskFull), "{:?}", end);
-                prop_assert!(
-                    first == Err(BodyReadError::Ended(end)) && second == Err(BodyReadError::Ended(end))
-                );
-            }
-        }
+        check_reads(&sent, reject, end, [&first, &second])?;
         drop(body);
         prop_assert_eq!(store.usage(), StorageUsage::default());
         Ok(())
     });
 }
 
-/// The disk fills up during a burst of uploads: bodies in flight are streamed and none is corrupt, those in
-/// memory are not affected, and when there is room again files are used again.
-#[test]
-fn a_disk_that_fills_up_corrupts_no_body() {
-    let disk = FakeDisk::new(2 * MIB);
-    let store = store(&settings(tier(64 * KIB, MIB), tier(MIB, 64 * MIB)), &disk);
-    let payments: Vec<_> =
-        (0..8).map(|i| (upload(&store, &sample_bytes(1_000, i)), sample_bytes(1_000, i))).collect();
+/// Uploads and reads bodies of 400 kB at the same time, and returns how each ended.
+fn upload_burst(store: &Rc<BodyStore>, count: u64) -> Vec<(BodyEnd, RequestBody)> {
     let executor = LocalExecutor::new();
-    let burst: Vec<_> = (0..12u64)
-        .map(|i| {
-            let store = store.clone();
-            executor.spawn(async move {
-                let sent = sample_bytes(400_000, 100 + i);
-                let writer = store.begin(0, Some(sent.len() as u64)).ok().expect("not too long");
-                let body = writer.body();
-                let (end, got) = zip(write(writer, &sent, 20_000), read(body.reader())).await;
-                assert_eq!(got.expect("its only reader gets all of it"), sent, "body {i}");
-                (end.expect("not rejected"), body)
-            })
+    let upload = |index| {
+        let store = store.clone();
+        executor.spawn(async move {
+            let sent = sample_bytes(400_000, 100 + index);
+            let writer = store.begin(0, Some(sent.len() as u64)).ok().expect("not too long");
+            let body = writer.body();
+            let (end, got) = zip(write(writer, &sent, 20_000), read(body.reader())).await;
+            assert_eq!(got.expect("its only reader gets all of it"), sent, "body {index}");
+            (end.expect("not rejected"), body)
         })
-        .collect();
-    let ended = block_on(executor.run(async {
+    };
+    let burst: Vec<_> = (0..count).map(upload).collect();
+    block_on(executor.run(async {
         let mut ended = Vec::new();
         for task in burst {
             ended.push(task.await);
         }
         ended
-    }));
-    let count = |end| ended.iter().filter(|(other, _)| *other == end).count();
-    assert!(count(BodyEnd::InFile) >= 1, "some found room");
-    assert!(count(BodyEnd::Streamed) >= 1, "some did not");
-    assert_eq!(count(BodyEnd::InFile) + count(BodyEnd::Streamed), 12);
-    assert!(metric(&store, "not_stored_disk_full") >= 1 && disk.used() <= 2 * MIB);
-    for ((body, end), sent) in payments {
-        assert_eq!((end, block_on(read(body.reader()))), (BodyEnd::InMemory, Ok(sent)));
-    }
-    drop(ended);
-    // The bodies on the disk are released; after the backoff one body tries the disk again.
+    }))
+}
+
+/// Once the bodies on the disk are released and the backoff is over, one body tries the disk again.
+fn wait_until_files_are_used(store: &Rc<BodyStore>) {
     let deadline = Instant::now() + Duration::from_secs(8);
     loop {
         let sent = sample_bytes(300_000, 7);
@@ -181,13 +171,34 @@
         let (end, got) = block_on(zip(write(writer, &sent, 20_000), read(body.reader())));
         assert_eq!(got, Ok(sent));
         if end == Ok(BodyEnd::InFile) {
-            break;
+            return;
         }
         assert!(Instant::now() < deadline, "files are not used again: {end:?}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
+/// The disk fills up during a burst of uploads: bodies in flight are streamed and none is corrupt, those in
+/// memory are not affected, and when there is room again files are used again.
+#[test]
+fn a_disk_that_fills_up_corrupts_no_body() {
+    let disk = FakeDisk::new(2 * MIB);
+    let store = store(&settings(tier(64 * KIB, MIB), tier(MIB, 64 * MIB)), &disk);
+    let small: Vec<_> = (0..8).map(|seed| sample_bytes(1_000, seed)).collect();
+    let in_memory: Vec<_> = small.iter().map(|sent| upload(&store, sent)).collect();
+    let ended = upload_burst(&store, 12);
+    let count = |end| ended.iter().filter(|(other, _)| *other == end).count();
+    assert!(count(BodyEnd::InFile) >= 1, "some found room");
+    assert!(count(BodyEnd::Streamed) >= 1, "some did not");
+    assert_eq!(count(BodyEnd::InFile) + count(BodyEnd::Streamed), 12);
+    assert!(metric(&store, "not_stored_disk_full") >= 1 && disk.used() <= 2 * MIB);
+    for ((body, end), sent) in in_memory.into_iter().zip(small) {
+        assert_eq!((end, block_on(read(body.reader()))), (BodyEnd::InMemory, Ok(sent)));
+    }
+    drop(ended);
+    wait_until_files_are_used(&store);
+}
+
 /// A disk slower than the client is disabled, not waited for: what it did not take is streamed from memory.
 #[test]
 fn a_disk_that_hangs_is_disabled() {
