--- a/crates/body-store/src/body.rs
+++ b/crates/body-store/src/body.rs
@@ -1,23 +1,36 @@
-//! A body as its writer, its request and its readers share it.
+//! The state of a body, which its writer, its request and its readers share.
 
 use crate::block_buffer::{BLOCK_BYTES, BlockBuffer};
 use crate::body_end::{BodyEnd, BodyReadError};
 use crate::body_file::{BodyFile, StoredBlock};
-use crate::plan::{BodyId, Plan, StorageTier};
-use crate::reader::StoredBodyReader;
-use crate::store::{BodyStore, Permit};
+use crate::decision::StorageTier;
+use crate::plan::{BodyId, Plan};
+use crate::resources::{Permit, SharedResources};
 use event_listener::Event;
 use std::cell::{RefCell, RefMut};
-use std::rc::Rc;
+use std::collections::HashMap;
+use std::rc::{Rc, Weak};
 use std::sync::Arc;
 
 /// Identifies a reader among those of the same body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ReaderId(u64);
 
+/// The bodies that are in use, by their ids. Clones share the same map.
+#[derive(Clone, Default)]
+pub(crate) struct BodyRegistry(Rc<RefCell<HashMap<BodyId, Weak<SharedBody>>>>);
+
+impl BodyRegistry {
+    /// The body, unless its request has ended in the meantime.
+    pub(crate) fn find(&self, id: BodyId) -> Option<Rc<SharedBody>> {
+        self.0.borrow().get(&id).and_then(Weak::upgrade)
+    }
+}
+
 /// A body, its state, and the event on which its writer and its readers wait.
 pub(crate) struct SharedBody {
-    pub(crate) store: Rc<BodyStore>,
+    pub(crate) resources: Rc<SharedResources>,
+    registry: BodyRegistry,
     pub(crate) id: BodyId,
     pub(crate) declared_length: Option<u64>,
     pub(crate) state: RefCell<BodyState>,
@@ -115,8 +128,30 @@
 }
 
 impl SharedBody {
-    pub(crate) fn new(store: Rc<BodyStore>, id: BodyId, declared_length: Option<u64>) -> SharedBody {
-        SharedBody { store, id, declared_length, state: RefCell::default(), changed: Event::new() }
+    /// A body of which nothing has arrived, entered in the registry.
+    pub(crate) fn new(
+        resources: &Rc<SharedResources>,
+        registry: &BodyRegistry,
+        id: BodyId,
+        declared_length: Option<u64>,
+    ) -> Rc<SharedBody> {
+        let shared = Rc::new(SharedBody {
+            resources: resources.clone(),
+            registry: registry.clone(),
+            id,
+            declared_length,
+            state: RefCell::default(),
+            changed: Event::new(),
+        });
+        registry.0.borrow_mut().insert(id, Rc::downgrade(&shared));
+        shared
+    }
+
+    /// Makes an id for another reader.
+    pub(crate) fn new_reader_id(&self) -> ReaderId {
+        let mut state = self.state.borrow_mut();
+        state.reader_count += 1;
+        ReaderId(state.reader_count)
     }
 
     /// Wakes the writer and all readers that wait for a change.
@@ -125,7 +160,7 @@
     }
 
     pub(crate) fn plan(&self) -> RefMut<'_, Plan> {
-        self.store.plan.borrow_mut()
+        self.resources.plan()
     }
 
     /// Releases the memory before `offset`, after the consumer has read it.
@@ -164,53 +199,7 @@
 
 impl Drop for SharedBody {
     fn drop(&mut self) {
-        self.store.bodies.borrow_mut().remove(&self.id);
+        self.registry.0.borrow_mut().remove(&self.id);
         self.plan().remove(self.id);
     }
 }
-
-/// A body as a request holds it. Its storage is released when the request, the writer and all readers have
-/// dropped it.
-#[derive(Clone)]
-pub struct RequestBody(Rc<SharedBody>);
-
-impl RequestBody {
-    pub(crate) fn new(shared: Rc<SharedBody>) -> RequestBody {
-        RequestBody(shared)
-    }
-
-    /// Its length, if that is known yet.
-    pub fn length(&self) -> Option<u64> {
-        if self.0.declared_length.is_some() {
-            return self.0.declared_length;
-        }
-        let state = self.0.state.borrow();
-        let is_complete = state.end.is_some_and(BodyEnd::is_whole);
-        is_complete.then_some(state.received)
-    }
-
-    /// Where it is stored.
-    pub fn tier(&self) -> StorageTier {
-        self.0.state.borrow().tier
-    }
-
-    /// How its upload ended; `None` while it lasts.
-    pub fn end(&self) -> Option<BodyEnd> {
-        self.0.state.borrow().end
-    }
-
-    /// Whether bytes that are not stored were given to a reader: then no other attempt can have the complete
-    /// body.
-    pub fn is_consumed(&self) -> bool {
-        self.0.state.borrow().consumer.is_some()
-    }
-
-    /// A reader that begins at the first byte.
-    pub fn reader(&self) -> StoredBodyReader {
-        let mut state = self.0.state.borrow_mut();
-        state.reader_count += 1;
-        let id = ReaderId(state.reader_count);
-        drop(state);
-        StoredBodyReader::new(self.0.clone(), id)
-    }
-}
--- a/crates/body-store/src/body_end.rs
+++ b/crates/body-store/src/body_end.rs
@@ -1,6 +1,6 @@
 //! How the upload of a body ended, and why a body can't be read.
 
-use crate::plan::{NotStoredReason, StorageTier};
+use crate::decision::{NotStoredReason, StorageTier};
 use std::fmt;
 
 /// How the upload of a body ended.
--- a/crates/body-store/src/body_file.rs
+++ b/crates/body-store/src/body_file.rs
@@ -2,7 +2,7 @@
 
 use crate::body_end::BodyReadError;
 use crate::disk::DiskFile;
-use crate::store::BodyStore;
+use crate::resources::SharedResources;
 use std::io;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -69,23 +69,23 @@
     ///
     /// # Errors
     /// `Corrupt` if the checksum differs, `Failed` if the block can't be read.
-    pub(crate) async fn read(&self, store: &BodyStore) -> Result<Vec<u8>, BodyReadError> {
+    pub(crate) async fn read(&self, resources: &SharedResources) -> Result<Vec<u8>, BodyReadError> {
         let (file, offset, length) = (self.file.clone(), self.offset, self.length);
         let call = move || {
             let block = file.read_block(offset, length)?;
             Ok::<_, io::Error>((crc32fast::hash(&block), block))
         };
         let deadline = Instant::now() + READ_TIMEOUT;
-        let completed = store.pool.run(deadline, call).await.map_err(|_| BodyReadError::Failed)?;
+        let completed = resources.pool.run(deadline, call).await.map_err(|_| BodyReadError::Failed)?;
         match completed.value {
             Ok((checksum, block)) if checksum == self.checksum => Ok(block),
             Ok(_) => {
-                store.counters.corrupt_blocks.increment();
+                resources.counters.corrupt_blocks.increment();
                 warn!(offset, "stored body corrupt");
                 Err(BodyReadError::Corrupt)
             }
             Err(error) => {
-                store.counters.unreadable_blocks.increment();
+                resources.counters.unreadable_blocks.increment();
                 warn!(offset, %error, "stored body unreadable");
                 Err(BodyReadError::Failed)
             }
--- a/crates/body-store/src/counters.rs
+++ b/crates/body-store/src/counters.rs
@@ -1,7 +1,8 @@
 //! The counters of the store, with the names under which operators read them.
 
 use crate::body_end::BodyEnd;
-use crate::plan::{NotStoredReason, StorageUsage};
+use crate::decision::NotStoredReason;
+use crate::plan::StorageUsage;
 use std::cell::Cell;
 
 /// A counter of one thread.
--- a/crates/body-store/src/disk_health.rs
+++ b/crates/body-store/src/disk_health.rs
@@ -1,7 +1,7 @@
 //! Whether the disk may be used: a circuit breaker that failures open for a time that doubles. No I/O, time
 //! passed in.
 
-use crate::plan::{NotStoredReason, Timestamp};
+use crate::decision::{NotStoredReason, Timestamp};
 use std::time::Duration;
 
 /// How long the first failure disables the disk; each further one doubles it.
--- a/crates/body-store/src/lib.rs
+++ b/crates/body-store/src/lib.rs
@@ -10,9 +10,11 @@
 //! | `plan` | decides where each body is stored: limits, tiers, what to spill. No I/O, time passed in |
 //! | `budget` | bytes that tenants (class and state office) share. No I/O |
 //! | `disk_health` | whether the disk may be used after failures. No I/O, time passed in |
-//! | `store` | all bodies of a node, with their settings, disk and counters |
+//! | `decision` | the plain types of these decisions |
+//! | `store` | all bodies of a node |
+//! | `resources` | what they share: plan, disk, descriptors, thread pool, counters |
 //! | `body`, `block_buffer`, `body_file` | one body: its state, its blocks in memory, its file |
-//! | `writer`, `reader` | take a body in, and read it |
+//! | `writer`, `reader`, `request_body` | take a body in, read it, and hold it |
 //! | `spiller` | moves bodies from memory to files while memory is short |
 //! | `disk`, `directory` | what is needed of a disk, and the operators' directory |
 //! | `blocking_pool` | runs calls that may block |
@@ -42,26 +44,28 @@
 mod body_file;
 mod budget;
 mod counters;
+mod decision;
 mod directory;
 mod disk;
 mod disk_health;
 mod plan;
 mod reader;
+mod request_body;
+mod resources;
 mod settings;
 mod spiller;
 mod store;
 mod writer;
 
 pub use block_buffer::BLOCK_BYTES;
-pub use body::RequestBody;
 pub use body_end::{BodyEnd, BodyReadError};
 pub use budget::{Budget, SMALL_BODY_BYTES};
+pub use decision::{NotStoredReason, StorageDecision, StorageTier, Timestamp};
 pub use directory::{Directory, DirectoryError};
 pub use disk::{Disk, DiskFile, is_disk_full};
-pub use plan::{
-    BodyId, DiskFailure, FileLimits, Limits, NotStoredReason, Plan, RegisteredBody, StorageDecision,
-    StorageTier, StorageUsage, Timestamp,
-};
+pub use plan::{BodyId, DiskFailure, FileLimits, Limits, Plan, RegisteredBody, StorageUsage};
 pub use reader::StoredBodyReader;
-pub use store::{BodyStore, Permit};
+pub use request_body::RequestBody;
+pub use resources::Permit;
+pub use store::BodyStore;
 pub use writer::BodyWriter;
--- a/crates/body-store/src/reader.rs
+++ b/crates/body-store/src/reader.rs
@@ -44,7 +44,7 @@
                 ReadStep::End => return Ok(false),
                 ReadStep::Wait => changed.await,
                 ReadStep::ReadFile(stored) => {
-                    let block = stored.read(&self.shared.store).await?;
+                    let block = stored.read(&self.shared.resources).await?;
                     let already_read = (self.offset - stored.offset) as usize;
                     out.extend_from_slice(&block[already_read..]);
                     self.offset = stored.end();
--- a/crates/body-store/src/spiller.rs
+++ b/crates/body-store/src/spiller.rs
@@ -1,18 +1,19 @@
 //! Moves complete bodies from memory to files while memory is short.
 
-use crate::body::SharedBody;
-use crate::plan::{BodyId, StorageTier};
+use crate::decision::StorageTier;
+use crate::plan::BodyId;
 use crate::store::BodyStore;
 use crate::writer::BodyWriter;
-use std::rc::{Rc, Weak};
+use std::rc::Rc;
 
 impl BodyStore {
     /// Moves complete bodies from memory to files whenever memory is short. Never returns.
     pub async fn run_spiller(self: Rc<Self>) {
         loop {
             // Listens before it looks, so that no change in between is missed.
-            let pressure = self.memory_pressure.listen();
-            let next = self.plan.borrow_mut().next_to_spill(self.now());
+            let pressure = self.resources.memory_pressure.listen();
+            let now = self.resources.now();
+            let next = self.resources.plan().next_to_spill(now);
             match next {
                 Some(id) => self.spill_to_disk(id).await,
                 None => pressure.await,
@@ -21,18 +22,13 @@
     }
 
     async fn spill_to_disk(&self, id: BodyId) {
-        let Some(shared) = self.find_body(id) else { return };
+        let Some(shared) = self.bodies.find(id) else { return };
         let mut writer = BodyWriter::new(shared);
         let written = writer.write_to_file(true).await;
-        self.plan.borrow_mut().finish_spill(id);
+        self.resources.plan().finish_spill(id);
         if written.is_ok() {
             writer.set_tier(StorageTier::File);
-            self.counters.bodies_spilled.increment();
+            self.resources.counters.bodies_spilled.increment();
         }
     }
-
-    /// The body, unless its request has ended in the meantime.
-    fn find_body(&self, id: BodyId) -> Option<Rc<SharedBody>> {
-        self.bodies.borrow().get(&id).and_then(Weak::upgrade)
-    }
 }
--- a/crates/body-store/src/writer.rs
+++ b/crates/body-store/src/writer.rs
@@ -1,11 +1,12 @@
 //! Takes in a body as it arrives, and stores it where the plan decides.
 
 use crate::block_buffer::BLOCK_BYTES;
-use crate::body::{OpenFile, RequestBody, SharedBody};
+use crate::body::{OpenFile, SharedBody};
 use crate::body_end::BodyEnd;
 use crate::body_file::BodyFile;
+use crate::decision::{NotStoredReason, StorageDecision, StorageTier};
 use crate::disk::is_disk_full;
-use crate::plan::{NotStoredReason, StorageDecision, StorageTier};
+use crate::request_body::RequestBody;
 use std::io;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -65,7 +66,7 @@
     /// # Errors
     /// How the body has ended, if it can't be taken in.
     pub async fn push(&mut self, bytes: &[u8]) -> Result<(), BodyEnd> {
-        let now = self.shared.store.now();
+        let now = self.shared.resources.now();
         let decision = self.shared.plan().reserve(now, self.shared.id, bytes.len() as u64);
         match decision {
             StorageDecision::TooLarge => return Err(self.end(BodyEnd::TooLong)),
@@ -89,7 +90,7 @@
         let is_stored = self.shared.state.borrow().not_stored_from.is_none();
         let tier = if is_stored { self.tier() } else { StorageTier::NotStored };
         self.shared.plan().mark_complete(self.shared.id);
-        self.shared.store.wake_spiller();
+        self.shared.resources.wake_spiller();
         self.end(BodyEnd::complete(tier))
     }
 
@@ -97,7 +98,7 @@
     pub fn end(&self, end: BodyEnd) -> BodyEnd {
         if self.shared.state.borrow().end.is_none() {
             self.shared.state.borrow_mut().end = Some(end);
-            self.shared.store.counters.record_end(end);
+            self.shared.resources.counters.record_end(end);
             if !end.is_whole() {
                 self.release_all();
             }
@@ -131,7 +132,7 @@
     async fn store_piece(&mut self, bytes: &[u8], tier: StorageTier) -> Result<(), BodyEnd> {
         self.set_tier(tier);
         self.append(bytes);
-        self.shared.store.wake_spiller();
+        self.shared.resources.wake_spiller();
         if tier != StorageTier::File {
             return Ok(());
         }
@@ -155,10 +156,10 @@
             state.not_stored_from = Some(state.received);
             state.tier = StorageTier::NotStored;
         }
-        let store = &self.shared.store;
+        let resources = &self.shared.resources;
         self.shared.plan().stop_storing(self.shared.id);
-        store.counters.record_not_stored(reason);
-        if store.rejects_unstorable() { Err(self.end(BodyEnd::not_stored(reason))) } else { Ok(()) }
+        resources.counters.record_not_stored(reason);
+        if resources.rejects_unstorable() { Err(self.end(BodyEnd::not_stored(reason))) } else { Ok(()) }
     }
 
     /// Waits until the reader has read enough of a body that is not stored.
@@ -196,23 +197,23 @@
     }
 
     async fn create_file(&self) -> Result<(), NotStoredReason> {
-        let store = &self.shared.store;
-        let disk = store.disk().ok_or(NotStoredReason::Budget)?;
-        let permit = store.acquire_permit().ok_or(NotStoredReason::Budget)?;
+        let resources = &self.shared.resources;
+        let disk = resources.disk().ok_or(NotStoredReason::Budget)?;
+        let permit = resources.acquire_permit().ok_or(NotStoredReason::Budget)?;
         let call = move || {
             let free_bytes = disk.free()?;
             Ok::<_, io::Error>((free_bytes, disk.create()?))
         };
         let deadline = Instant::now() + DISK_CALL_TIMEOUT;
-        let completed = store.pool.run(deadline, call).await.map_err(|_| self.record_slow_disk())?;
+        let completed = resources.pool.run(deadline, call).await.map_err(|_| self.record_slow_disk())?;
         let (free_bytes, file) = completed.value.map_err(|error| self.record_disk_error(&error))?;
         let has_free_space = self.shared.plan().has_free_space(self.shared.id, free_bytes);
         if !has_free_space {
             let reason = NotStoredReason::DiskFull;
-            store.record_disk_failure(self.shared.id, reason, "too little free space");
+            resources.record_disk_failure(self.shared.id, reason, "too little free space");
             return Err(reason);
         }
-        store.counters.files_created.increment();
+        resources.counters.files_created.increment();
         let file = Arc::new(BodyFile::new(file));
         self.shared.state.borrow_mut().file = Some(OpenFile { file, _permit: permit });
         Ok(())
@@ -226,7 +227,7 @@
             let length = unwritten.block.len() as u64;
             let call = move || unwritten.file.write_block(&unwritten.block, unwritten.offset);
             let deadline = Instant::now() + DISK_CALL_TIMEOUT;
-            let completed = self.shared.store.pool.run(deadline, call).await;
+            let completed = self.shared.resources.pool.run(deadline, call).await;
             let completed = completed.map_err(|_| self.record_slow_disk())?;
             let checksum = completed.value.map_err(|error| self.record_disk_error(&error))?;
             self.disk_time += completed.duration;
@@ -258,13 +259,13 @@
     fn record_disk_error(&self, error: &io::Error) -> NotStoredReason {
         let reason =
             if is_disk_full(error) { NotStoredReason::DiskFull } else { NotStoredReason::DiskFailed };
-        self.shared.store.record_disk_failure(self.shared.id, reason, &error.to_string());
+        self.shared.resources.record_disk_failure(self.shared.id, reason, &error.to_string());
         reason
     }
 
     fn record_slow_disk(&self) -> NotStoredReason {
         let reason = NotStoredReason::DiskSlow;
-        self.shared.store.record_disk_failure(self.shared.id, reason, "slower than the client");
+        self.shared.resources.record_disk_failure(self.shared.id, reason, "slower than the client");
         reason
     }
 }
