--- a/crates/fault-shim/src/calls.rs
+++ b/crates/fault-shim/src/calls.rs
@@ -1,35 +1,35 @@
-//! The intercepted calls. Each asks the plan first and goes on to the C library's own function.
+//! The intercepted calls. Each draws a fault from the plan, and calls the C library's own function if there is none.
 
 use crate::plan::Fault;
-use crate::{due, plan};
+use crate::{draw_fault, plan};
 use libc::{
     c_char, c_int, c_void, clockid_t, mode_t, msghdr, nfds_t, off_t, pollfd, size_t, sockaddr, socklen_t,
     ssize_t, timespec,
 };
 use std::sync::OnceLock;
 
-/// Descriptors of standard input, output and error are left alone: they carry the log.
+/// Descriptors below this are standard input, output and error, which carry the log: their calls never fail.
 const FIRST_DESCRIPTOR: c_int = 3;
 
-/// The C library's own function of this name.
-fn real(slot: &OnceLock<usize>, name: &std::ffi::CStr) -> usize {
+/// The address of the C library's own function of this name, looked up once.
+fn real_function(slot: &OnceLock<usize>, name: &std::ffi::CStr) -> usize {
     // SAFETY: the name is a C string; the result is an address or null.
     *slot.get_or_init(|| unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) } as usize)
 }
 
-fn fail(errno: c_int) {
+fn set_errno(errno: c_int) {
     // SAFETY: the location of the calling thread's errno is always valid.
     unsafe { *libc::__errno_location() = errno };
 }
 
-/// Defines one intercepted call: its C name, the name in plans, its parameters and result. The body before it goes on
-/// may return early.
+/// Defines one intercepted call: its C name, its name in plans, its parameters and result, and what is done with a fault
+/// before the C library is called, which may return early.
 macro_rules! intercept {
     ($name:ident as $plan:literal ($($arg:ident: $type:ty),*) -> $result:ty) => {
         intercept!($name as $plan ($($arg: $type),*) -> $result, |fault| {
             match fault {
-                Some(Fault::Errno(errno)) => { fail(errno); return -1; }
-                Some(Fault::Short) | None => {}
+                Some(Fault::Errno(errno)) => { set_errno(errno); return -1; }
+                Some(Fault::ShortTransfer) | None => {}
             }
         });
     };
@@ -42,11 +42,11 @@
         #[allow(unused_mut)]
         pub unsafe extern "C" fn $name($(mut $arg: $type),*) -> $result {
             static REAL: OnceLock<usize> = OnceLock::new();
-            let $fault = due($plan);
+            let $fault = draw_fault($plan);
             $before
             let name = concat!(stringify!($name), "\0");
             let name = std::ffi::CStr::from_bytes_with_nul(name.as_bytes()).unwrap_or(c"");
-            let address = real(&REAL, name);
+            let address = real_function(&REAL, name);
             // SAFETY: the address is that of the C library's function, which has this signature.
             let function: unsafe extern "C" fn($($type),*) -> $result = unsafe { std::mem::transmute(address) };
             // SAFETY: the caller keeps to the contract of the call.
@@ -55,24 +55,24 @@
     };
 }
 
-/// Whether calls on this descriptor may fail: not the log, and not the local socket pair through which a signal handler
+/// Whether calls on this descriptor may fail: not the log, and not the Unix socket pair through which a signal handler
 /// wakes its own process, on which a call that does not block is never interrupted (signal(7)).
-fn may_fail(fd: c_int) -> bool {
-    // SAFETY: an all-zero address is valid, and its size is told.
+fn is_fault_allowed(fd: c_int) -> bool {
+    // SAFETY: an all-zero address is valid.
     let mut address: libc::sockaddr_storage = unsafe { std::mem::zeroed() };
     let mut size = size_of::<libc::sockaddr_storage>() as socklen_t;
-    // SAFETY: the address has room for any family.
+    // SAFETY: the address has room for any family, and its size is passed along.
     let named = unsafe { libc::getsockname(fd, (&raw mut address).cast(), &mut size) } == 0;
     fd >= FIRST_DESCRIPTOR && !(named && i32::from(address.ss_family) == libc::AF_UNIX)
 }
 
-/// A transfer of bytes: it may fail, or move at most half of what it could.
+/// Defines an intercepted transfer of bytes, which may fail or transfer at most half of what it could.
 macro_rules! transfer {
     ($name:ident as $plan:literal ($fd:ident, $length:ident; $($arg:ident: $type:ty),*)) => {
         intercept!($name as $plan ($($arg: $type),*) -> ssize_t, |fault| {
             match fault {
-                Some(Fault::Errno(errno)) if may_fail($fd) => { fail(errno); return -1; }
-                Some(Fault::Short) if $length > 1 => $length /= 2,
+                Some(Fault::Errno(errno)) if is_fault_allowed($fd) => { set_errno(errno); return -1; }
+                Some(Fault::ShortTransfer) if $length > 1 => $length /= 2,
                 Some(_) | None => {}
             }
         });
@@ -122,29 +122,29 @@
         Some(Fault::Errno(libc::EINTR)) => {
             // SAFETY: as for the call itself; the raw call leaves its own errno, which is replaced.
             unsafe { libc::syscall(libc::SYS_connect, fd, address, size) };
-            fail(libc::EINTR);
+            set_errno(libc::EINTR);
             return -1;
         }
-        Some(Fault::Errno(errno)) => { fail(errno); return -1; }
-        Some(Fault::Short) | None => {}
+        Some(Fault::Errno(errno)) => { set_errno(errno); return -1; }
+        Some(Fault::ShortTransfer) | None => {}
     }
 });
 
-/// The wall clock with the plan's steps; all other clocks run on as they are.
+/// The wall clock with the plan's steps; other clocks are unchanged.
 ///
 /// # Safety
 /// As the C library's own.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, to: *mut timespec) -> c_int {
-    const NANOS: i64 = 1_000_000_000;
-    // SAFETY: the caller gives a place for the time; the raw call checks it.
+    const NANOS_PER_SECOND: i64 = 1_000_000_000;
+    // SAFETY: the caller passes a valid pointer; the raw call checks it.
     let result = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, to) } as c_int;
     if result == 0 && clock == libc::CLOCK_REALTIME {
-        // SAFETY: the call has just written there.
+        // SAFETY: the call has just written to this place.
         let time = unsafe { &mut *to };
-        let stepped = time.tv_sec * NANOS + time.tv_nsec + plan().clock_step();
-        time.tv_sec = stepped.div_euclid(NANOS);
-        time.tv_nsec = stepped.rem_euclid(NANOS);
+        let stepped = time.tv_sec * NANOS_PER_SECOND + time.tv_nsec + plan().clock_offset_nanos();
+        time.tv_sec = stepped.div_euclid(NANOS_PER_SECOND);
+        time.tv_nsec = stepped.rem_euclid(NANOS_PER_SECOND);
     }
     result
 }
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -4,13 +4,13 @@
 //!
 //! | variable | meaning |
 //! | --- | --- |
-//! | `FAULT_PLAN` | `call:error:one_in[:from_ms:to_ms]` items, separated by `;` (see [`plan`]) |
+//! | `FAULT_PLAN` | `call:error:one_in[:from_ms:to_ms]` items, separated by `;` (see `plan.rs`) |
 //! | `FAULT_SEED` | seed of the draws, a number; equal seeds and call sequences give equal faults |
 //! | `FAULT_CLOCK` | `at_ms:step_ms` items, separated by `;`: steps of `CLOCK_REALTIME`, from the start of the process |
 //! | `FAULT_COUNTS` | file to which `call errno count` lines are written when the process exits normally |
 //!
-//! This is the one crate with `unsafe` code: it stands between a program and the C library. It is never part of the
-//! product.
+//! This is the one crate with `unsafe` code: it takes the place of functions of the C library. It is never part of
+//! the product.
 
 mod calls;
 mod plan;
@@ -25,13 +25,13 @@
     PLAN.get_or_init(|| Plan::from_environment(|name| std::env::var(name).ok()))
 }
 
-/// The fault to inject into this call, if one is due.
-fn due(call: &str) -> Option<Fault> {
+/// The fault to inject into this call, if any.
+fn draw_fault(call: &str) -> Option<Fault> {
     plan().draw(call)
 }
 
-/// Writes the counts of injected faults when the process exits.
-extern "C" fn report() {
+/// Writes the counts of injected faults; the dynamic linker calls it when the process exits normally.
+extern "C" fn write_counts() {
     let Ok(path) = std::env::var("FAULT_COUNTS") else { return };
     if let Ok(mut file) = std::fs::File::create(path) {
         for line in plan().counts() {
@@ -42,4 +42,4 @@
 
 #[used]
 #[unsafe(link_section = ".fini_array")]
-static REPORT: extern "C" fn() = report;
+static WRITE_COUNTS_AT_EXIT: extern "C" fn() = write_counts;
--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -1,44 +1,54 @@
-//! Which calls fail, how, how often and when. No system calls of its own beyond the monotonic clock.
+//! Which calls fail, how, how often and when. Makes no system calls beyond reading the monotonic clock.
 
+use std::ops::Range;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Instant;
 
-/// What happens to a call.
+/// What is injected into a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It fails with this errno.
+    /// The call fails with this errno.
     Errno(i32),
-    /// It moves fewer bytes than it could.
-    Short,
+    /// The call transfers at most half of the bytes that it could.
+    ShortTransfer,
 }
 
-/// One rule: a call that fails, one time in so many, within a span of the process's life.
+/// One rule: a call that fails with a probability of 1 / `one_in` within a span of the process's life.
 struct Rule {
     call: String,
-    name: String,
+    /// The fault's name in the plan.
+    fault_name: String,
     fault: Fault,
     one_in: u64,
-    from_ms: u64,
-    to_ms: u64,
+    /// When the rule is in force, in milliseconds since the start of the process.
+    active_ms: Range<u64>,
+    /// How often it was applied.
     injected: AtomicU64,
 }
 
 /// A step of the wall clock.
 struct ClockStep {
+    /// When it happens, since the start of the process.
     at_ms: u64,
     step_ms: i64,
 }
 
 /// All rules of a process.
 pub struct Plan {
-    started: Instant,
+    process_start: Instant,
+    /// Draws so far.
     draws: AtomicU64,
     seed: u64,
     rules: Vec<Rule>,
-    steps: Vec<ClockStep>,
-    off: AtomicBool,
+    clock_steps: Vec<ClockStep>,
+    /// Set when the counts have been taken: no fault is injected from then on.
+    stopped: AtomicBool,
 }
 
+const NANOS_PER_MILLI: i64 = 1_000_000;
+const SPLITMIX64_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
+
+/// The errors that a plan may name.
 const ERRNOS: [(&str, i32); 24] = [
     ("EINTR", libc::EINTR),
     ("EIO", libc::EIO),
@@ -67,90 +77,106 @@
 ];
 
 impl Plan {
-    /// Reads the plan. A rule that does not read ends the process: a test that injects nothing proves nothing.
+    /// Parses the plan from environment variables. An invalid item aborts the process: a test that injects nothing proves
+    /// nothing.
     pub fn from_environment(variable: impl Fn(&str) -> Option<String>) -> Plan {
-        let items = |name: &str| -> Vec<String> {
-            let text = variable(name).unwrap_or_default();
-            text.split(';').filter(|item| !item.is_empty()).map(str::to_string).collect()
-        };
-        let rules =
-            items("FAULT_PLAN").iter().map(|item| rule(item).unwrap_or_else(|| refuse(item))).collect();
-        let steps =
-            items("FAULT_CLOCK").iter().map(|item| step(item).unwrap_or_else(|| refuse(item))).collect();
-        let seed = variable("FAULT_SEED").and_then(|seed| seed.parse().ok()).unwrap_or(1);
-        let (draws, off) = (AtomicU64::new(0), AtomicBool::new(false));
-        Plan { started: Instant::now(), draws, seed, rules, steps, off }
+        let rules = variable("FAULT_PLAN").unwrap_or_default();
+        let clock_steps = variable("FAULT_CLOCK").unwrap_or_default();
+        Plan {
+            process_start: Instant::now(),
+            draws: AtomicU64::new(0),
+            seed: variable("FAULT_SEED").and_then(|seed| seed.parse().ok()).unwrap_or(1),
+            rules: parse_items(&rules, parse_rule),
+            clock_steps: parse_items(&clock_steps, parse_clock_step),
+            stopped: AtomicBool::new(false),
+        }
     }
 
     fn age_ms(&self) -> u64 {
-        self.started.elapsed().as_millis() as u64
+        self.process_start.elapsed().as_millis() as u64
     }
 
     /// The fault for this call, if one of its rules is in force and drawn.
     pub fn draw(&self, call: &str) -> Option<Fault> {
-        if self.off.load(Ordering::Relaxed) || !self.rules.iter().any(|rule| rule.call == call) {
+        if self.stopped.load(Ordering::Relaxed) || !self.rules.iter().any(|rule| rule.call == call) {
             return None;
         }
-        let age = self.age_ms();
-        let in_force = |rule: &&Rule| rule.call == call && (rule.from_ms..rule.to_ms).contains(&age);
-        let drawn = |rule: &&Rule| {
-            let number = self.draws.fetch_add(1, Ordering::Relaxed);
-            mix(self.seed ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15)).is_multiple_of(rule.one_in)
-        };
-        let rule = self.rules.iter().filter(in_force).find(drawn)?;
+        let age_ms = self.age_ms();
+        let is_in_force = |rule: &&Rule| rule.call == call && rule.active_ms.contains(&age_ms);
+        let is_drawn = |rule: &&Rule| self.next_random().is_multiple_of(rule.one_in);
+        let rule = self.rules.iter().filter(is_in_force).find(is_drawn)?;
         rule.injected.fetch_add(1, Ordering::Relaxed);
         Some(rule.fault)
     }
 
-    /// How far the wall clock is stepped now, in nanoseconds.
-    pub fn clock_step(&self) -> i64 {
-        if self.steps.is_empty() {
+    /// The next number of a SplitMix64 sequence, in the order in which threads draw.
+    fn next_random(&self) -> u64 {
+        let number = self.draws.fetch_add(1, Ordering::Relaxed);
+        splitmix64_finalize(self.seed ^ number.wrapping_mul(SPLITMIX64_INCREMENT))
+    }
+
+    /// The sum of the wall clock's steps so far, in nanoseconds.
+    pub fn clock_offset_nanos(&self) -> i64 {
+        if self.clock_steps.is_empty() {
             return 0;
         }
-        let age = self.age_ms();
-        let taken = self.steps.iter().filter(|step| step.at_ms <= age);
-        taken.map(|step| step.step_ms.saturating_mul(1_000_000)).sum()
+        let age_ms = self.age_ms();
+        let past = self.clock_steps.iter().filter(|step| step.at_ms <= age_ms);
+        past.map(|step| step.step_ms.saturating_mul(NANOS_PER_MILLI)).sum()
     }
 
     /// How often each rule was applied: `call error count`. No fault is injected from here on.
     pub fn counts(&self) -> impl Iterator<Item = String> + '_ {
-        self.off.store(true, Ordering::Relaxed);
-        let line =
-            |rule: &Rule| format!("{} {} {}", rule.call, rule.name, rule.injected.load(Ordering::Relaxed));
-        self.rules.iter().map(line)
+        self.stopped.store(true, Ordering::Relaxed);
+        self.rules.iter().map(|rule| {
+            let injected = rule.injected.load(Ordering::Relaxed);
+            format!("{} {} {injected}", rule.call, rule.fault_name)
+        })
     }
 }
 
-fn refuse(item: &str) -> ! {
-    eprintln!("fault shim: {item:?} does not read");
+/// Parses the non-empty items of a list that is separated by `;`; aborts the process at an invalid one.
+fn parse_items<Item>(text: &str, parse: impl Fn(&str) -> Option<Item>) -> Vec<Item> {
+    let items = text.split(';').filter(|item| !item.is_empty());
+    items.map(|item| parse(item).unwrap_or_else(|| abort_at_invalid_item(item))).collect()
+}
+
+fn abort_at_invalid_item(item: &str) -> ! {
+    eprintln!("fault shim: invalid item {item:?}");
     std::process::abort();
 }
 
-fn rule(item: &str) -> Option<Rule> {
+/// Parses `call:error:one_in[:from_ms:to_ms]`.
+fn parse_rule(item: &str) -> Option<Rule> {
     let fields: Vec<&str> = item.split(':').collect();
-    let [call, name, one_in, span @ ..] = fields.as_slice() else { return None };
-    let fault = match *name {
-        "SHORT" => Fault::Short,
+    let [call, fault_name, one_in, span @ ..] = fields.as_slice() else { return None };
+    let fault = match *fault_name {
+        "SHORT" => Fault::ShortTransfer,
         name => Fault::Errno(ERRNOS.iter().find(|(known, _)| *known == name)?.1),
     };
-    let (from_ms, to_ms) = match span {
-        [] => (0, u64::MAX),
-        [from, to] => (from.parse().ok()?, to.parse().ok()?),
+    let active_ms = match span {
+        [] => 0..u64::MAX,
+        [from, to] => from.parse().ok()?..to.parse().ok()?,
         _ => return None,
     };
-    let one_in = one_in.parse().ok().filter(|n| *n > 0)?;
-    let (call, name, injected) = (call.to_string(), name.to_string(), AtomicU64::new(0));
-    Some(Rule { call, name, fault, one_in, from_ms, to_ms, injected })
+    Some(Rule {
+        call: call.to_string(),
+        fault_name: fault_name.to_string(),
+        fault,
+        one_in: one_in.parse().ok().filter(|one_in| *one_in > 0)?,
+        active_ms,
+        injected: AtomicU64::new(0),
+    })
 }
 
-fn step(item: &str) -> Option<ClockStep> {
+/// Parses `at_ms:step_ms`.
+fn parse_clock_step(item: &str) -> Option<ClockStep> {
     let (at, step) = item.split_once(':')?;
     Some(ClockStep { at_ms: at.parse().ok()?, step_ms: step.parse().ok()? })
 }
 
-/// SplitMix64's finaliser.
-fn mix(mut x: u64) -> u64 {
-    x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    x ^ (x >> 31)
+fn splitmix64_finalize(mut value: u64) -> u64 {
+    value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    value ^ (value >> 31)
 }
