--- a/crates/deferred-jobs/src/lib.rs
+++ b/crates/deferred-jobs/src/lib.rs
@@ -1,22 +1,39 @@
-//! Jobs that wait for other jobs or for a time: the decision part, without I/O or clock.
+//! Jobs that wait for other jobs or for a time: the decisions, without I/O or clock.
 //!
 //! | file | concern |
 //! | --- | --- |
-//! | `graph` | which job waits for which; how an end travels down |
-//! | `release` | in which order, in which shares and how fast what is due is let go |
+//! | `dependency_graph` | which job waits for which, and what the end of one means for the others |
+//! | `add_error` | why a job is not accepted |
+//! | `release_queue` | the order of due jobs, and each tenant's share |
+//! | `release_window` | how many released jobs may be in progress |
 //!
 //! ```
-//! use sorrelhaven_deferred_jobs::{Effect, Fate, Graph, Limits, Unknown};
+//! use sorrelhaven_deferred_jobs::{
+//!     Consequence, DependencyGraph, JobEnd, Limits, Readiness, UnknownNamePolicy,
+//! };
 //!
-//! let limits = Limits { jobs: 10, conditions: 4, depth: 5, remembered: 10, unknown: Unknown::Refuse };
-//! let mut graph = Graph::new(limits);
-//! assert_eq!(graph.add(&"fee".into(), &[]), Ok(true));
-//! assert_eq!(graph.add(&"licence".into(), &["fee".into()]), Ok(false));
-//! assert_eq!(graph.settle(&"fee".into(), Fate::Served), [Effect::Released("licence".into())]);
+//! let limits = Limits {
+//!     max_jobs: 10,
+//!     max_dependencies: 4,
+//!     max_chain_length: 5,
+//!     max_remembered_ends: 10,
+//!     unknown_names: UnknownNamePolicy::Reject,
+//! };
+//! let mut graph = DependencyGraph::new(limits);
+//! assert_eq!(graph.add(&"fee".into(), &[]), Ok(Readiness::Ready));
+//! assert_eq!(graph.add(&"licence".into(), &["fee".into()]), Ok(Readiness::Waiting));
+//! let consequences = graph.conclude(&"fee".into(), JobEnd::Served);
+//! assert_eq!(consequences, [Consequence::Released("licence".into())]);
 //! ```
 
-mod graph;
-mod release;
+mod add_error;
+mod dependency_graph;
+mod release_queue;
+mod release_window;
 
-pub use graph::{Effect, Fate, Graph, Limits, Name, Refusal, Unknown};
-pub use release::{JobId, Micros, Pace, Release, Rules};
+pub use add_error::AddError;
+pub use dependency_graph::{
+    Consequence, DependencyGraph, JobEnd, JobName, Limits, Readiness, UnknownNamePolicy,
+};
+pub use release_queue::{JobId, Micros, ReleaseQueue, ReleaseRules};
+pub use release_window::{ReleaseOutcome, WindowLimits};
