--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -37,7 +37,7 @@
         };
         callers.make_room().await;
         let service = service.clone();
-        let task = tasks.hold_urgent(async move { serve_caller(&service, stream).await });
+        let task = tasks.spawn_urgent_cancellable(async move { serve_caller(&service, stream).await });
         callers.connected.push_back(Caller { accepted_at: Instant::now(), task });
         // A caller whose command has arrived is answered before the next one is accepted.
         yield_now().await;
--- a/crates/admin/tests/metrics_consistency.rs
+++ b/crates/admin/tests/metrics_consistency.rs
@@ -113,7 +113,7 @@
 
 /// Sends one request as its case says, and returns what its client received.
 async fn run_case(engine: &Rc<Engine>, number: usize, case: Case) -> Received {
-    let request = engine.take(job(engine, number, case)).expect("its id is unique");
+    let request = engine.submit(job(engine, number, case)).expect("its id is unique");
     let disconnected = async {
         match case.disconnects_after {
             Some(steps) => {
--- a/crates/body-store/src/body.rs
+++ b/crates/body-store/src/body.rs
@@ -184,7 +184,7 @@
         offset: u64,
     ) -> Result<(), BodyReadError> {
         if let Some(consumer) = state.consumer {
-            return if consumer == reader { Ok(()) } else { Err(BodyReadError::PassedOn) };
+            return if consumer == reader { Ok(()) } else { Err(BodyReadError::Consumed) };
         }
         state.consumer = Some(reader);
         state.file = None;
--- a/crates/body-store/src/body_end.rs
+++ b/crates/body-store/src/body_end.rs
@@ -106,7 +106,7 @@
     /// The body is not complete.
     Ended(BodyEnd),
     /// A part of it was streamed to another attempt and is not stored.
-    PassedOn,
+    Consumed,
     /// Its file could not be read.
     Failed,
     /// A block in its file has another checksum than when it was written.
@@ -117,7 +117,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             BodyReadError::Ended(end) => write!(f, "the body is not complete: {}", end.name()),
-            BodyReadError::PassedOn => f.write_str("a part of the body was streamed to another attempt"),
+            BodyReadError::Consumed => f.write_str("a part of the body was streamed to another attempt"),
             BodyReadError::Failed => f.write_str("the body's file can't be read"),
             BodyReadError::Corrupt => f.write_str("the body's file is corrupt"),
         }
--- a/crates/body-store/src/reader.rs
+++ b/crates/body-store/src/reader.rs
@@ -75,7 +75,7 @@
             self.shared.consume(state, self.id, self.offset)?;
         }
         if self.offset < state.memory.start() {
-            let stored = state.stored_block(self.offset).ok_or(BodyReadError::PassedOn)?;
+            let stored = state.stored_block(self.offset).ok_or(BodyReadError::Consumed)?;
             return Ok(ReadStep::ReadFile(stored));
         }
         let piece = state.next_piece(self.offset);
--- a/crates/body-store/tests/store.rs
+++ b/crates/body-store/tests/store.rs
@@ -92,7 +92,7 @@
             prop_assert!(!reject && !fits_memory);
             // At least one reader gets all of it, and the other one gets that or an error.
             let complete = results.iter().filter(|result| result.as_ref() == Ok(sent)).count();
-            let consumed = Err(BodyReadError::PassedOn);
+            let consumed = Err(BodyReadError::Consumed);
             let errors = results.iter().filter(|result| ***result == consumed).count();
             let are_expected = complete >= 1 && complete + errors == 2;
             prop_assert!(are_expected, "{} complete, {} errors", complete, errors);
@@ -314,7 +314,7 @@
         writer.push(&sent).await.expect("what was read has made room");
         assert_eq!(
             read(body.reader()).await,
-            Err(BodyReadError::PassedOn),
+            Err(BodyReadError::Consumed),
             "no other reader can have all of it"
         );
     });
--- a/crates/engine/src/backoff.rs
+++ b/crates/engine/src/backoff.rs
@@ -1,7 +1,7 @@
 //! Delays between the polls of discovery: exponential backoff with full jitter, and the delay of hedged
 //! polls.
 
-use crate::clock::length;
+use crate::clock::to_duration;
 use sorrelhaven_dispatcher::Micros;
 use std::time::Duration;
 
@@ -43,8 +43,8 @@
         Backoff {
             rng: fastrand::Rng::with_seed(seed),
             bound: INITIAL_BOUND,
-            max_bound: length(poll_within).saturating_mul(2).clamp(INITIAL_BOUND, MAX_BOUND),
-            drain_grace: length(drain_grace).clamp(MIN_DRAIN_GRACE, MAX_DRAIN_GRACE),
+            max_bound: to_duration(poll_within).saturating_mul(2).clamp(INITIAL_BOUND, MAX_BOUND),
+            drain_grace: to_duration(drain_grace).clamp(MIN_DRAIN_GRACE, MAX_DRAIN_GRACE),
         }
     }
 
--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Converts a span in microseconds to a [`Duration`]; a negative one counts as zero.
-pub fn length(time: Micros) -> Duration {
+pub fn to_duration(time: Micros) -> Duration {
     Duration::from_micros(time.max(0) as u64)
 }
 
@@ -37,6 +37,6 @@
 
     /// Converts a time of this clock to an instant; one before the start counts as the start.
     pub fn instant(&self, time: Micros) -> Instant {
-        self.start + length(time.saturating_sub(self.unix_at_start))
+        self.start + to_duration(time.saturating_sub(self.unix_at_start))
     }
 }
--- a/crates/engine/src/connection_pool.rs
+++ b/crates/engine/src/connection_pool.rs
@@ -2,7 +2,7 @@
 
 use crate::attempt_end::AttemptEnd;
 use crate::counters::Counters;
-use crate::descriptor_budget::{DescriptorBudget, Permit};
+use crate::descriptor_budget::{DescriptorBudget, DescriptorPermit};
 use sorrelhaven_dispatcher::WorkerId;
 use sorrelhaven_wire::{Connection, SocketCall, SocketFailure, classify};
 use std::cell::{Cell, RefCell};
@@ -27,7 +27,7 @@
     pub idle: Option<Duration>,
     /// The worker's address, which the connection goes to.
     pub address: SocketAddr,
-    _permit: Permit,
+    _permit: DescriptorPermit,
 }
 
 struct IdleConnection {
@@ -147,7 +147,7 @@
 
     /// A permit for a descriptor. Where none is free, the connection that has been idle the longest is closed
     /// for it.
-    pub fn acquire_descriptor(&self) -> Option<Permit> {
+    pub fn acquire_descriptor(&self) -> Option<DescriptorPermit> {
         self.descriptors.acquire().or_else(|| {
             self.close_longest_idle();
             self.descriptors.acquire()
--- a/crates/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -1,7 +1,7 @@
 //! Counters of requests, attempts, connections and discovery since the start.
 
-use crate::count::Count;
 use crate::invariants::{Invariants, MAX_SEND_AFTER_DISCONNECT};
+use crate::metric::Counter;
 use crate::responsiveness::Responsiveness;
 use sorrelhaven_dispatcher::Outcome;
 use std::cell::Cell;
@@ -12,15 +12,15 @@
 #[derive(Default)]
 pub struct ClassCounters {
     /// Requests admitted.
-    pub admitted: Count,
+    pub admitted: Counter,
     /// Requests answered with a worker's result.
-    pub served: Count,
+    pub served: Counter,
     /// Requests answered with a rejection.
-    pub rejected: Count,
+    pub rejected: Counter,
     /// Requests answered as failed, or ended without an answer by a fault of the node.
-    pub failed: Count,
+    pub failed: Counter,
     /// Requests whose client disconnected before the answer.
-    pub client_gone: Count,
+    pub client_gone: Counter,
 }
 
 /// The node's counters since the start.
@@ -31,36 +31,36 @@
     classes: Vec<(String, ClassCounters)>,
     in_progress: Cell<u64>,
     /// Attempts begun.
-    pub attempts: Count,
+    pub attempts: Counter,
     /// Attempts whose last byte was written.
-    pub requests_sent: Count,
+    pub requests_sent: Counter,
     /// Clients that disconnected before the last byte of any attempt was written.
-    pub client_gone_waiting: Count,
+    pub client_gone_waiting: Counter,
     /// Attempts whose last byte was written after the client had disconnected.
-    pub sent_after_client_gone: Count,
+    pub sent_after_client_gone: Counter,
     /// Those of them that were written `MAX_SEND_AFTER_DISCONNECT` after the disconnect, or later.
-    pub sent_late_after_client_gone: Count,
+    pub sent_late_after_client_gone: Counter,
     /// Valid load reports.
-    pub load_reports: Count,
+    pub load_reports: Counter,
     /// Load reports that were malformed and dropped.
-    pub load_reports_malformed: Count,
+    pub load_reports_malformed: Counter,
     /// Upstream connections opened.
-    pub upstream_connections: Count,
+    pub upstream_connections: Counter,
     /// Probes begun.
-    pub probes: Count,
+    pub probes: Counter,
     /// Worker lists applied, complete or partial.
-    pub worker_lists: Count,
+    pub worker_lists: Counter,
     /// Discovery watches that broke or fell silent.
-    pub discovery_watches_failed: Count,
+    pub discovery_watches_failed: Counter,
     /// Violations of invariants.
     pub invariants: Invariants,
     /// Delays of the event loop.
     pub responsiveness: Rc<Responsiveness>,
     /// Answers given after their request's deadline.
-    pub answered_late: Count,
+    pub answered_late: Counter,
     /// Requests failed by their own task, since nothing else answered them by their deadline.
-    pub answered_by_deadline_guard: Count,
-    outcomes: [Count; OUTCOME_NAMES.len()],
+    pub answered_by_deadline_guard: Counter,
+    outcomes: [Counter; OUTCOME_NAMES.len()],
 }
 
 /// How a request ends.
@@ -114,7 +114,7 @@
     }
 
     /// The sum of one counter over all classes.
-    pub fn total(&self, counter: impl Fn(&ClassCounters) -> &Count) -> u64 {
+    pub fn total(&self, counter: impl Fn(&ClassCounters) -> &Counter) -> u64 {
         self.classes.iter().map(|(_, counters)| counter(counters).get()).sum()
     }
 
--- a/crates/engine/src/descriptor_budget.rs
+++ b/crates/engine/src/descriptor_budget.rs
@@ -16,7 +16,7 @@
 }
 
 /// The right to one descriptor; returned when dropped.
-pub struct Permit(Rc<DescriptorBudget>);
+pub struct DescriptorPermit(Rc<DescriptorBudget>);
 
 impl DescriptorBudget {
     /// A budget within `process_limit`, the limit on the descriptors of the whole process.
@@ -44,16 +44,16 @@
     }
 
     /// A permit for one descriptor, if one is free.
-    pub fn acquire(self: &Rc<Self>) -> Option<Permit> {
+    pub fn acquire(self: &Rc<Self>) -> Option<DescriptorPermit> {
         if self.used.get() >= self.limit.get() {
             return None;
         }
         self.used.set(self.used.get() + 1);
-        Some(Permit(self.clone()))
+        Some(DescriptorPermit(self.clone()))
     }
 }
 
-impl Drop for Permit {
+impl Drop for DescriptorPermit {
     fn drop(&mut self) {
         self.0.used.set(self.0.used.get() - 1);
     }
--- a/crates/engine/src/discovery_poll.rs
+++ b/crates/engine/src/discovery_poll.rs
@@ -85,8 +85,11 @@
     /// [`WatchError::Unreadable`] where what comes is no list or the connection breaks.
     pub async fn next(&mut self) -> Result<JsonObjectEvent, WatchError> {
         let now = Instant::now();
-        self.list_deadline =
-            if self.lists.inside() { Some(self.list_deadline.unwrap_or(now + LIST_TIMEOUT)) } else { None };
+        self.list_deadline = if self.lists.is_inside_object() {
+            Some(self.list_deadline.unwrap_or(now + LIST_TIMEOUT))
+        } else {
+            None
+        };
         let silence_limit = now + SILENCE_TIMEOUT;
         let limit = self.list_deadline.map_or(silence_limit, |deadline| deadline.min(silence_limit));
         timeout_at(limit, self.lists.next(&mut self.connection))
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -2,7 +2,7 @@
 
 use crate::backoff::Backoff;
 use crate::body_admission::BodyAdmission;
-use crate::clock::{Clock, length};
+use crate::clock::{Clock, to_duration};
 use crate::connection_pool::ConnectionPool;
 use crate::counters::Counters;
 use crate::descriptor_budget::DescriptorBudget;
@@ -12,14 +12,14 @@
 use crate::job::Job;
 use crate::load_report::LoadReportFields;
 use crate::probe;
-use crate::request_admission::{RequestAdmission, RequestHandle};
+use crate::request_admission::{DuplicateRequestId, RequestAdmission, RequestHandle};
 use crate::request_task::RequestContext;
 use crate::tasks::Tasks;
 use crate::upstreams::Upstreams;
 use crate::worker_registry::WorkerRegistry;
 use async_channel::Receiver;
 use async_io::Timer;
-use sorrelhaven_body_store::{BodyStore, Disk, Permit};
+use sorrelhaven_body_store::{BodyStore, Disk, Permit as FilePermit};
 use sorrelhaven_config::{Config, DiscoveryList};
 use sorrelhaven_dispatcher::{Event, Idempotency, Lifecycle, WorkerId, WorkerListUpdate};
 use std::cell::RefCell;
@@ -115,9 +115,12 @@
         self.tasks.spawn(async move { evict_expired_connections(&upstreams.pool).await });
     }
 
-    /// Takes a job; `None` where a request of the same id is in progress.
-    pub fn take(&self, job: Job) -> Option<RequestHandle> {
-        self.request_admission.take(job)
+    /// Admits a job as a request.
+    ///
+    /// # Errors
+    /// A request of the same id is in progress.
+    pub fn submit(&self, job: Job) -> Result<RequestHandle, DuplicateRequestId> {
+        self.request_admission.admit(job)
     }
 
     /// Watches discovery's list of workers, for ever; the parameters are those of [`Engine::start`].
@@ -162,15 +165,15 @@
     let descriptors = DescriptorBudget::new(config.sockets);
     let connect_timeout = match config.settings.limits.connect_timeout {
         0 => DEFAULT_CONNECT_TIMEOUT,
-        timeout => length(timeout),
+        timeout => to_duration(timeout),
     };
     Upstreams {
         registry: WorkerRegistry::new(config.names.clone()),
-        pool: ConnectionPool::new(descriptors, length(config.keepalive), counters.clone()),
+        pool: ConnectionPool::new(descriptors, to_duration(config.keepalive), counters.clone()),
         tasks: tasks.clone(),
         counters: counters.clone(),
         load_fields: LoadReportFields::new(config.load_fields.clone()),
-        drain_grace: length(config.drain_grace) + DRAIN_GRACE_ALLOWANCE,
+        drain_grace: to_duration(config.drain_grace) + DRAIN_GRACE_ALLOWANCE,
         connect_timeout,
     }
 }
@@ -182,7 +185,7 @@
     let upstreams = upstreams.clone();
     let acquire_descriptor = move || {
         let permit = upstreams.pool.acquire_descriptor()?;
-        Some(Box::new(permit) as Permit)
+        Some(Box::new(permit) as FilePermit)
     };
     BodyStore::new(&config.operator.bodies, shares, disk, acquire_descriptor)
 }
--- a/crates/engine/src/invariants.rs
+++ b/crates/engine/src/invariants.rs
@@ -6,7 +6,7 @@
 //! on any.
 
 use crate::attempt_end::AttemptEnd;
-use crate::count::Count;
+use crate::metric::Counter;
 use sorrelhaven_dispatcher::Outcome;
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -65,7 +65,7 @@
 /// Counts the violations of each invariant.
 #[derive(Default)]
 pub struct Invariants {
-    violations: [Count; Invariant::ALL.len()],
+    violations: [Counter; Invariant::ALL.len()],
 }
 
 impl Invariants {
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -27,7 +27,7 @@
 //! | `invariants` | what holds for every request, checked at run time |
 //! | `attempt_end` | every way an attempt can end, and its outcome for the dispatcher |
 //! | `responsiveness` | delays of the event loop |
-//! | `clock`, `count` | the dispatcher's clock, the kinds of metric |
+//! | `clock`, `metric` | the dispatcher's clock, the kinds of metric |
 //!
 //! ```no_run
 //! use sorrelhaven_config::Config;
@@ -48,7 +48,6 @@
 mod body_admission;
 mod clock;
 mod connection_pool;
-mod count;
 mod counters;
 mod descriptor_budget;
 mod discovery_poll;
@@ -58,6 +57,7 @@
 mod invariants;
 mod job;
 mod load_report;
+mod metric;
 mod probe;
 mod request_admission;
 mod request_task;
@@ -74,16 +74,16 @@
 
 pub use attempt_end::AttemptEnd;
 pub use body_admission::{BodyAdmission, BodyPermit};
-pub use clock::{Clock, length};
+pub use clock::{Clock, to_duration};
 pub use connection_pool::{ConnectionPool, PooledConnection};
-pub use count::{Count, Longest};
 pub use counters::{ClassCounters, Counters, RequestEnd};
-pub use descriptor_budget::{DescriptorBudget, Permit};
+pub use descriptor_budget::{DescriptorBudget, DescriptorPermit};
 pub use dispatcher_loop::DispatcherLoop;
 pub use engine::Engine;
 pub use invariants::{Drain, Invariant, Invariants, RequestGuard, SentAttempt};
 pub use job::{Answer, Job, RequestMessage, RequestPayload};
-pub use request_admission::RequestHandle;
+pub use metric::{Counter, MaxDuration};
+pub use request_admission::{DuplicateRequestId, RequestHandle};
 pub use responsiveness::{LONG_STEP, Responsiveness};
 pub use tasks::Tasks;
 pub use upstreams::Upstreams;
--- a/crates/engine/src/count.rs
+++ b/crates/engine/src/metric.rs
@@ -5,9 +5,9 @@
 
 /// A counter that only rises.
 #[derive(Default)]
-pub struct Count(Cell<u64>);
+pub struct Counter(Cell<u64>);
 
-impl Count {
+impl Counter {
     /// Adds one.
     pub fn add(&self) {
         self.0.set(self.0.get() + 1);
@@ -21,9 +21,9 @@
 
 /// The longest of the durations noted so far.
 #[derive(Default)]
-pub struct Longest(Cell<Duration>);
+pub struct MaxDuration(Cell<Duration>);
 
-impl Longest {
+impl MaxDuration {
     /// Takes one duration into account.
     pub fn note(&self, duration: Duration) {
         self.0.set(self.0.get().max(duration));
--- a/crates/engine/src/request_admission.rs
+++ b/crates/engine/src/request_admission.rs
@@ -7,6 +7,7 @@
 use crate::request_task::{NewRequest, RequestContext, RequestTask};
 use async_channel::{Receiver, Sender};
 use sorrelhaven_dispatcher::{Arrival, RequestId};
+use std::fmt;
 use std::rc::Rc;
 
 /// The front end's handle on a request in progress.
@@ -28,6 +29,18 @@
     }
 }
 
+/// A request was not admitted, because one of the same id is in progress.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct DuplicateRequestId;
+
+impl fmt::Display for DuplicateRequestId {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str("a request of this id is in progress")
+    }
+}
+
+impl std::error::Error for DuplicateRequestId {}
+
 /// Admits requests and rejects those whose id is in use.
 pub struct RequestAdmission {
     context: Rc<RequestContext>,
@@ -51,12 +64,13 @@
 
     /// Admits a request and starts its task.
     ///
-    /// Returns `None` where a request of the same id is in progress: workers know their jobs by id, so a
-    /// second one would be rejected there, or mixed up with the first.
-    pub fn take(&self, job: Job) -> Option<RequestHandle> {
+    /// # Errors
+    /// A request of the same id is in progress: workers know their jobs by id, so a second one would be
+    /// rejected there, or mixed up with the first.
+    pub fn admit(&self, job: Job) -> Result<RequestHandle, DuplicateRequestId> {
         let is_new = self.context.open_ids.borrow_mut().insert(job.payload.id.clone());
         if !is_new {
-            return None;
+            return Err(DuplicateRequestId);
         }
         let (messages, receiver) = async_channel::unbounded();
         let (reply, answer) = async_channel::bounded(1);
@@ -66,7 +80,7 @@
         let request = self.new_request(id, job);
         let task = RequestTask::new(self.context.clone(), request, messages.clone(), reply);
         self.context.tasks.spawn(task.run(arrival, receiver));
-        Some(RequestHandle { messages, answer })
+        Ok(RequestHandle { messages, answer })
     }
 
     fn new_request(&self, id: RequestId, job: Job) -> NewRequest {
--- a/crates/engine/src/request_task.rs
+++ b/crates/engine/src/request_task.rs
@@ -185,10 +185,15 @@
                 end: AttemptEnd::RequestConcluded,
                 load_report: Vec::new(),
             });
-            return tasks.hold(ready(()));
+            return tasks.spawn_cancellable(ready(()));
         }
         let upstreams = self.context.upstreams.clone();
-        tasks.hold(attempt::run(upstreams, self.request.payload.clone(), spec, self.messages.clone()))
+        tasks.spawn_cancellable(attempt::run(
+            upstreams,
+            self.request.payload.clone(),
+            spec,
+            self.messages.clone(),
+        ))
     }
 
     /// The worker has started on the job.
--- a/crates/engine/src/request_writer.rs
+++ b/crates/engine/src/request_writer.rs
@@ -67,7 +67,7 @@
             }
             if output.len() >= BLOCK_BYTES {
                 // Large bodies must not keep small jobs waiting.
-                self.upstreams.tasks.turn().await;
+                self.upstreams.tasks.yield_to_small_requests().await;
             }
             output.clear();
         }
--- a/crates/engine/src/response_reader.rs
+++ b/crates/engine/src/response_reader.rs
@@ -82,7 +82,7 @@
             is_rejection,
             keeps_alive: head.keeps_alive(),
             lines: LineReader::new(body, MAX_JOB_LINE_BYTES),
-            head_load: head.only("Server-Load").map(str::to_string),
+            head_load: head.get_unique("Server-Load").map(str::to_string),
             line_load: None,
         })
     }
--- a/crates/engine/src/responsiveness.rs
+++ b/crates/engine/src/responsiveness.rs
@@ -4,7 +4,7 @@
 //! as they run: the metrics show the longest of each and the number of steps longer than [`LONG_STEP`], and
 //! the log names each of those.
 
-use crate::count::{Count, Longest};
+use crate::metric::{Counter, MaxDuration};
 use std::time::{Duration, Instant};
 use tracing::warn;
 
@@ -16,11 +16,11 @@
 #[derive(Default)]
 pub struct Responsiveness {
     /// The longest step of the event loop: one poll of one task.
-    pub longest_step: Longest,
+    pub longest_step: MaxDuration,
     /// Steps longer than [`LONG_STEP`].
-    pub long_steps: Count,
+    pub long_steps: Counter,
     /// The longest time by which a timer of the dispatcher fired late.
-    pub longest_timer_lag: Longest,
+    pub longest_timer_lag: MaxDuration,
 }
 
 impl Responsiveness {
--- a/crates/engine/src/tasks.rs
+++ b/crates/engine/src/tasks.rs
@@ -39,7 +39,7 @@
     }
 
     /// Starts a task that is cancelled when the returned handle is dropped.
-    pub fn hold(&self, task: impl Future<Output = ()> + 'static) -> Task<()> {
+    pub fn spawn_cancellable(&self, task: impl Future<Output = ()> + 'static) -> Task<()> {
         self.ordinary.spawn(task)
     }
 
@@ -50,13 +50,13 @@
     }
 
     /// Starts an urgent task that is cancelled when the returned handle is dropped.
-    pub fn hold_urgent(&self, task: impl Future<Output = ()> + 'static) -> Task<()> {
+    pub fn spawn_urgent_cancellable(&self, task: impl Future<Output = ()> + 'static) -> Task<()> {
         self.urgent.spawn(task)
     }
 
     /// Waits until no other task can run, or until the slice ends: between the blocks of large bodies.
     /// However many bodies are under way, a small job waits for one block at most.
-    pub async fn turn(&self) {
+    pub async fn yield_to_small_requests(&self) {
         self.turns.listen().await;
     }
 
--- a/crates/engine/src/tests/attempt_ends.rs
+++ b/crates/engine/src/tests/attempt_ends.rs
@@ -23,9 +23,9 @@
             AttemptEnd::BodyUnavailable(BodyReadError::Ended(BodyEnd::ClientBroke))
         }
         AttemptEnd::BodyUnavailable(BodyReadError::Ended(_)) => {
-            AttemptEnd::BodyUnavailable(BodyReadError::PassedOn)
+            AttemptEnd::BodyUnavailable(BodyReadError::Consumed)
         }
-        AttemptEnd::BodyUnavailable(BodyReadError::PassedOn) => {
+        AttemptEnd::BodyUnavailable(BodyReadError::Consumed) => {
             AttemptEnd::BodyUnavailable(BodyReadError::Failed)
         }
         AttemptEnd::BodyUnavailable(BodyReadError::Failed) => {
--- a/crates/engine/src/tests/request_task.rs
+++ b/crates/engine/src/tests/request_task.rs
@@ -40,7 +40,7 @@
         let payload = fixtures::payload(&engine, "/api", b"body");
         let deadline = engine.dispatcher_loop.clock.now() + 400_000;
         let job = fixtures::job(payload, deadline, None);
-        let handle = engine.take(job).expect("no other has its id");
+        let handle = engine.submit(job).expect("no other has its id");
         let answer = fixtures::run(&engine, handle.answer());
         let late = engine.dispatcher_loop.clock.now() - deadline;
         // Every attempt must end, too.
--- a/crates/frontend-http1/src/accept.rs
+++ b/crates/frontend-http1/src/accept.rs
@@ -4,7 +4,7 @@
 use crate::frontend::Frontend;
 use async_io::Async;
 use futures_lite::future::{or, yield_now};
-use sorrelhaven_engine::Permit;
+use sorrelhaven_engine::DescriptorPermit;
 use sorrelhaven_wire::{Connection, SocketCall, SocketFailure, classify, shortage_pause, timeout_at};
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -66,7 +66,7 @@
 async fn accept_one(
     frontend: &Rc<Frontend>,
     listener: &Async<TcpListener>,
-    permit: Permit,
+    permit: DescriptorPermit,
 ) -> ControlFlow<()> {
     match listener.get_ref().accept() {
         Ok((stream, _)) => {
@@ -103,7 +103,7 @@
 }
 
 /// A descriptor for one more downstream connection. Evicts connections until one is available.
-async fn acquire_descriptor(frontend: &Frontend) -> Permit {
+async fn acquire_descriptor(frontend: &Frontend) -> DescriptorPermit {
     loop {
         match try_acquire_descriptor(frontend) {
             Some(permit) => return permit,
@@ -112,7 +112,7 @@
     }
 }
 
-fn try_acquire_descriptor(frontend: &Frontend) -> Option<Permit> {
+fn try_acquire_descriptor(frontend: &Frontend) -> Option<DescriptorPermit> {
     if frontend.connections.open() >= frontend.max_connections() {
         return None;
     }
@@ -120,7 +120,7 @@
 }
 
 /// Starts the task that serves an accepted connection.
-fn spawn_connection(frontend: &Rc<Frontend>, stream: TcpStream, permit: Permit) {
+fn spawn_connection(frontend: &Rc<Frontend>, stream: TcpStream, permit: DescriptorPermit) {
     frontend.counters.downstream_connections.add();
     frontend.connections.record_opened();
     let shared = frontend.clone();
--- a/crates/frontend-http1/src/body_reader.rs
+++ b/crates/frontend-http1/src/body_reader.rs
@@ -106,7 +106,7 @@
             self.write_block(connection, block).await?;
         }
         if self.writer.received() >= BLOCK_BYTES as u64 {
-            frontend.engine.tasks.turn().await;
+            frontend.engine.tasks.yield_to_small_requests().await;
         }
         Ok(Transfer::More)
     }
--- a/crates/frontend-http1/src/counters.rs
+++ b/crates/frontend-http1/src/counters.rs
@@ -1,18 +1,18 @@
 //! Counters of the front end.
 
-use sorrelhaven_engine::Count;
+use sorrelhaven_engine::Counter;
 
 /// What the front end counts, beside the engine's counters.
 #[derive(Default)]
 pub struct Counters {
     /// Downstream connections accepted.
-    pub downstream_connections: Count,
+    pub downstream_connections: Counter,
     /// Requests rejected by the front end because they violate the protocol.
-    pub malformed_requests: Count,
+    pub malformed_requests: Counter,
     /// Connections without a request in progress that were closed for lack of file descriptors.
-    pub evicted_connections: Count,
+    pub evicted_connections: Counter,
     /// Failed `accept` calls, and accepted connections that could not be registered with the event loop.
-    pub accepts_failed: Count,
+    pub accepts_failed: Counter,
 }
 
 impl Counters {
--- a/crates/frontend-http1/src/frontend.rs
+++ b/crates/frontend-http1/src/frontend.rs
@@ -4,7 +4,7 @@
 use crate::downstream::DownstreamConnections;
 use futures_lite::future::or;
 use sorrelhaven_config::{ClassName, Config};
-use sorrelhaven_engine::{ConnectionPool, Engine, length};
+use sorrelhaven_engine::{ConnectionPool, Engine, to_duration};
 use sorrelhaven_lifecycle::{Lifecycle, LifecycleHandle};
 use sorrelhaven_wire::timeout_at;
 use std::cell::Cell;
@@ -48,7 +48,7 @@
             connections: DownstreamConnections::default(),
             accept_failing: Cell::new(false),
             lifecycle,
-            longest_client_timeout: length(longest_deadline),
+            longest_client_timeout: to_duration(longest_deadline),
         })
     }
 
--- a/crates/frontend-http1/src/job_exchange.rs
+++ b/crates/frontend-http1/src/job_exchange.rs
@@ -76,7 +76,7 @@
             draft.limit_deadline(clock.micros(answer_deadline));
         }
         let job = draft.into_job(body.clone(), true, permit, connection.peer_probe());
-        let Some(request) = frontend.engine.take(job) else {
+        let Ok(request) = frontend.engine.submit(job) else {
             return Some(duplicate_request(unread.is_none()));
         };
         await_answer(frontend, connection, request, &body, unread).await
@@ -209,7 +209,7 @@
         return Response::from_body_end(end).map(Exchange::closing);
     }
     let job = draft.into_job(body, false, None, connection.peer_probe());
-    let Some(request) = frontend.engine.take(job) else {
+    let Ok(request) = frontend.engine.submit(job) else {
         return Some(duplicate_request(false));
     };
     let response = Response::from_answer(request.answer().await);
--- a/crates/frontend-http1/src/parsed_request.rs
+++ b/crates/frontend-http1/src/parsed_request.rs
@@ -112,7 +112,7 @@
     /// The value of a header that must be present exactly once and be printable ASCII without spaces: it is
     /// forwarded, and the worker might use another one of two values.
     fn required(&self, name: &str) -> Result<&str, Response> {
-        match self.head.only(name) {
+        match self.head.get_unique(name) {
             Some(value) if !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_graphic()) => {
                 Ok(value)
             }
--- a/crates/wire/src/head.rs
+++ b/crates/wire/src/head.rs
@@ -117,7 +117,7 @@
     }
 
     /// The value of a header field that is present exactly once.
-    pub fn only(&self, name: &str) -> Option<&str> {
+    pub fn get_unique(&self, name: &str) -> Option<&str> {
         let mut values = self.all(name);
         let value = values.next()?;
         match values.next() {
--- a/crates/wire/src/json_objects.rs
+++ b/crates/wire/src/json_objects.rs
@@ -35,7 +35,7 @@
     }
 
     /// Whether an object has begun and is incomplete.
-    pub fn inside(&self) -> bool {
+    pub fn is_inside_object(&self) -> bool {
         self.splitter.is_inside_object()
     }
 
@@ -48,7 +48,7 @@
     /// where the body ends inside an object. Errors of the connection.
     pub async fn next(&mut self, connection: &mut Connection) -> Result<JsonObjectEvent, WireError> {
         if self.used == self.input.len() && !self.read_more(connection).await? {
-            return if self.inside() { Err(WireError::Closed) } else { Ok(JsonObjectEvent::End) };
+            return if self.is_inside_object() { Err(WireError::Closed) } else { Ok(JsonObjectEvent::End) };
         }
         while let Some(&byte) = self.input.get(self.used) {
             self.used += 1;
