--- a/crates/node/src/check.rs
+++ b/crates/node/src/check.rs
@@ -33,7 +33,7 @@
 fn summary(config: &Config) -> String {
     let BodySettings { largest_bytes, memory, files, not_stored, .. } = &config.operator.bodies;
     let mut line = format!(
-        "{} listens on {}; {} classes, {} tenants, {} boxes known; bodies of at most {}",
+        "{} listens on {}; {} classes, {} tenants, {} workers known; bodies of at most {}",
         config.name,
         config.listen,
         config.classes.len(),
--- a/crates/node/tests/command.rs
+++ b/crates/node/tests/command.rs
@@ -30,7 +30,7 @@
     let printed = text(&output.stdout);
     assert_eq!(printed.lines().count(), 1, "{printed}");
     assert!(
-        printed.starts_with("n0 listens on 127.0.0.1:8080; 2 classes, 3 tenants, 1 boxes known"),
+        printed.starts_with("n0 listens on 127.0.0.1:8080; 2 classes, 3 tenants, 1 workers known"),
         "{printed}"
     );
     assert!(
@@ -42,7 +42,7 @@
     let printed = text(&output.stdout);
     assert_eq!(output.status.code(), Some(0), "{output:?}");
     assert!(
-        printed.starts_with("n0 listens on 127.0.0.1:8080; 3 classes, 0 tenants, 1 boxes known"),
+        printed.starts_with("n0 listens on 127.0.0.1:8080; 3 classes, 0 tenants, 1 workers known"),
         "{printed}"
     );
 }
