--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `config` | the configuration of a node, and its reload |
+//! | `config`, `load` | the configuration of a node; reading it at the start and at a reload |
 //! | `platform_file` | the platform's file and environment variables |
 //! | `settings_file` | the settings as the platform writes them: maps its keys to the names used here |
 //! | `settings` | checks the settings, and converts them to those of the decision module |
@@ -21,6 +21,7 @@
 mod deserialize;
 mod error;
 mod hosts;
+mod load;
 mod membership_settings;
 mod operator;
 mod platform_file;
--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -1,7 +1,6 @@
 //! The operators' file: what an installation sets beside what the platform sets. JSON, every key optional.
 
 use crate::body_settings::BodySettings;
-use crate::config::OPERATOR_FILE;
 use crate::error::{ConfigError, ConfigErrors};
 use crate::membership_settings::Membership;
 use crate::unknown_keys::remove_unknown_keys;
@@ -9,6 +8,9 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
+/// The variable that names the operators' file.
+pub(crate) const OPERATOR_FILE: &str = "SORRELHAVEN_OPERATOR";
+
 /// What the operators of an installation set.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
--- a/crates/membership/src/leave_broadcast.rs
+++ b/crates/membership/src/leave_broadcast.rs
@@ -1,7 +1,7 @@
 //! The leave broadcast, by which a member says that it leaves. It is spread beside the protocol's own
 //! messages, which don't distinguish a member that has left from one that has died.
 
-use crate::Id;
+use crate::id::Id;
 use foca::{BroadcastHandler, Invalidates};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
--- a/crates/membership/src/protocol_output.rs
+++ b/crates/membership/src/protocol_output.rs
@@ -1,6 +1,6 @@
 //! What the protocol's implementation asks for in one call.
 
-use crate::Id;
+use crate::id::Id;
 use foca::{Notification, Runtime, Timer};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -1,7 +1,7 @@
 //! The state machine of a member: datagrams and the time in, datagrams out. No I/O, no clock.
 
-use crate::Id;
 use crate::authentication::{Authenticator, DatagramError};
+use crate::id::Id;
 use crate::incarnation_jump::IncarnationJump;
 use crate::leave_broadcast::{LeaveNotice, LeaveNotices};
 use crate::local_health::LocalHealth;
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,6 +1,6 @@
 //! The member table: what a member believes of each other one, as a value that other subsystems read.
 
-use crate::Id;
+use crate::id::Id;
 use crate::time::Micros;
 use std::collections::BTreeMap;
 use std::fmt;
--- a/crates/membership/src/timer_queue.rs
+++ b/crates/membership/src/timer_queue.rs
@@ -1,6 +1,6 @@
 //! The protocol's timers, by the time at which they are due.
 
-use crate::Id;
+use crate::id::Id;
 use crate::time::Micros;
 use foca::Timer;
 use std::collections::BTreeMap;
