--- a/crates/node/benches/bodies.rs
+++ b/crates/node/benches/bodies.rs
@@ -1,10 +1,10 @@
 //! Large bodies through the program, against what the machine does without it. Prints a table; `cargo bench -p
 //! sorrelhaven --bench bodies`.
 //!
-//! - throughput of 8 MB bodies by step;
+//! - throughput of 8 MB bodies by storage step;
 //! - bodies into files against a plain sequential write of the same bytes;
 //! - peak resident memory with 64 clients that send 8 MB at once;
-//! - small jobs' 99th percentile beside such a surge and without.
+//! - small jobs' 99th percentile beside such a load and without.
 
 use sorrelhaven_body_store::{BodyEnd, BodyStore, Directory};
 use sorrelhaven_config::{BodyFiles, BodyMemory, BodySettings};
@@ -16,130 +16,183 @@
 use std::process::Command;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::thread;
+use std::thread::{self, ScopedJoinHandle};
 use std::time::{Duration, Instant};
 
 const MIB: usize = 1 << 20;
-const BODY: usize = 8 * MIB;
-const MEMORY: usize = 32 * MIB;
+const BODY_BYTES: usize = 8 * MIB;
+const MEMORY_TOTAL_BYTES: usize = 32 * MIB;
+const MAX_BODY_BYTES: usize = 16 * MIB;
+const FILES_TOTAL_BYTES: u64 = 1 << 31;
+const BLOCK_BYTES: usize = 64 * 1024;
+const WORK_HINT_MICROS: u64 = 20_000;
+const SMALL_JOB_MILLIS: u64 = 20;
+const SMALL_BODY_BYTES: usize = 1_000;
+const SMALL_JOB_CLIENTS: usize = 8;
+const SMALL_JOBS_DURATION: Duration = Duration::from_secs(6);
+const LARGE_BODY_CLIENTS: usize = 64;
+const THROUGHPUT_CLIENTS: usize = 8;
+const THROUGHPUT_BODIES: u64 = 96;
+const FILE_BODIES: usize = 64;
+const FILE_WRITERS: usize = 8;
+
+/// The limits on stored bodies, in MiB.
+#[derive(Clone, Copy)]
+struct BodyLimits {
+    memory_each: usize,
+    memory_total: usize,
+    file_each: usize,
+}
+
+const IN_MEMORY: BodyLimits = BodyLimits { memory_each: 16, memory_total: 140, file_each: 16 };
+const IN_FILES: BodyLimits = BodyLimits { memory_each: 1, memory_total: 32, file_each: 16 };
+const NOT_STORED: BodyLimits = BodyLimits { memory_each: 1, memory_total: 32, file_each: 1 };
 
 fn main() {
     let scratch = ScratchDir::new("bench");
-    std::fs::create_dir(scratch.path("spool")).expect("a directory");
-    println!("8 MB bodies, 8 clients, 96 bodies each step");
+    std::fs::create_dir(scratch.path("spool")).expect("the directory can be created");
+    println!("8 MB bodies, {THROUGHPUT_CLIENTS} clients, {THROUGHPUT_BODIES} bodies each step");
     println!("{:<28} {:>10}", "step", "MB/s");
-    for (step, bounds) in [("memory", [16, 140, 16]), ("file", [1, 32, 16]), ("not kept", [1, 32, 1])] {
-        let rate = through(&scratch, bounds.map(|b| b * MIB), 8, 96);
+    for (step, limits) in [("memory", IN_MEMORY), ("file", IN_FILES), ("not stored", NOT_STORED)] {
+        let rate = measure_throughput(&scratch, limits);
         println!("{step:<28} {rate:>10.0}");
     }
-    files(&scratch);
-    surge(&scratch);
+    compare_files(&scratch);
+    measure_small_jobs(&scratch);
 }
 
-fn start(scratch: &ScratchDir, boxes: &FakeWorkers, [each, total, file]: [usize; 3]) -> Program {
-    let config = scratch.write("node.json", &workers_config(&boxes.addresses));
+fn start_node(scratch: &ScratchDir, workers: &FakeWorkers, limits: BodyLimits) -> Program {
+    let config = scratch.write("node.json", &workers_config(&workers.addresses));
+    let memory_each = limits.memory_each * MIB;
+    let memory_total = limits.memory_total * MIB;
+    let file_each = limits.file_each * MIB;
+    let spool = scratch.path("spool").display().to_string();
     let operator = scratch.write(
         "operator.json",
         &format!(
-            r#"{{"bodies":{{"largest_bytes":{},"memory":{{"each_bytes":{each},"total_bytes":{total}}},
-                "files":{{"directory":"{}","each_bytes":{file},"total_bytes":2147483648,"leave_free_bytes":0}}}}}}"#,
-            16 * MIB,
-            scratch.path("spool").display()
+            r#"{{"bodies":{{"largest_bytes":{MAX_BODY_BYTES},
+                "memory":{{"each_bytes":{memory_each},"total_bytes":{memory_total}}},
+                "files":{{"directory":"{spool}","each_bytes":{file_each},"total_bytes":{FILES_TOTAL_BYTES},
+                    "leave_free_bytes":0}}}}}}"#
         ),
     );
     Program::start(Command::new(env!("CARGO_BIN_EXE_sorrelhaven")), &config, Some(&operator))
 }
 
-fn ask(id: &str, body: Vec<u8>) -> TestRequest {
-    let mut ask = TestRequest::new(id, "renewal-check", body);
-    (ask.timeout, ask.work_hint_micros) = (Duration::from_secs(5), Some(20_000));
-    ask
+fn new_request(id: &str, body: Vec<u8>) -> TestRequest {
+    let mut request = TestRequest::new(id, "renewal-check", body);
+    request.timeout = Duration::from_secs(5);
+    request.work_hint_micros = Some(WORK_HINT_MICROS);
+    request
 }
 
-/// MB/s of so many bodies by so many clients.
-fn through(scratch: &ScratchDir, bounds: [usize; 3], clients: usize, bodies: u64) -> f64 {
-    let boxes = FakeWorkers::new(32);
-    let node = start(scratch, &boxes, bounds);
-    let next = AtomicU64::new(0);
+/// The throughput of large bodies, in MB/s.
+fn measure_throughput(scratch: &ScratchDir, limits: BodyLimits) -> f64 {
+    let workers = FakeWorkers::new(32);
+    let node = start_node(scratch, &workers, limits);
+    let next_number = AtomicU64::new(0);
     let served = AtomicU64::new(0);
+    let send_bodies = || {
+        loop {
+            let number = next_number.fetch_add(1, Ordering::Relaxed);
+            if number >= THROUGHPUT_BODIES {
+                return;
+            }
+            let request = new_request(&format!("q-{number}"), vec![number as u8; BODY_BYTES]);
+            let is_served = request.send(&node.address).is_ok_and(|response| response.status == 200);
+            served.fetch_add(u64::from(is_served), Ordering::Relaxed);
+        }
+    };
     let begun = Instant::now();
     thread::scope(|scope| {
-        for _ in 0..clients {
-            scope.spawn(|| {
-                loop {
-                    let n = next.fetch_add(1, Ordering::Relaxed);
-                    if n >= bodies {
-                        return;
-                    }
-                    let reply = ask(&format!("q-{n}"), vec![n as u8; BODY]).send(&node.address);
-                    served.fetch_add(u64::from(reply.is_ok_and(|r| r.status == 200)), Ordering::Relaxed);
-                }
-            });
+        for _ in 0..THROUGHPUT_CLIENTS {
+            scope.spawn(send_bodies);
         }
     });
-    let (served, took) = (served.into_inner(), begun.elapsed().as_secs_f64());
-    if served < bodies {
-        println!("  ({} of {bodies} not served)", bodies - served);
+    let elapsed = begun.elapsed().as_secs_f64();
+    let served = served.load(Ordering::Relaxed);
+    if served < THROUGHPUT_BODIES {
+        println!("  ({} of {THROUGHPUT_BODIES} not served)", THROUGHPUT_BODIES - served);
     }
-    served as f64 * BODY as f64 / 1e6 / took
-}
-
-/// Bodies into files, 8 at once, against a plain sequential write of the same bytes; three rounds, the middle one.
-fn files(scratch: &ScratchDir) {
-    let count = 64;
-    let block = vec![7; 64 * 1024];
-    let mut rounds: Vec<(f64, f64)> = (0..3)
-        .map(|_| {
-            let begun = Instant::now();
-            for i in 0..count {
-                let path = scratch.path(&format!("plain-{i}"));
-                let mut file = File::create(&path).expect("a file");
-                for _ in 0..BODY / block.len() {
-                    file.write_all(&block).expect("room");
-                }
-                drop(file);
-                std::fs::remove_file(&path).expect("it is there");
-            }
-            let plain = (count * BODY) as f64 / 1e6 / begun.elapsed().as_secs_f64();
-            (plain, spooled(scratch, count, &block))
-        })
-        .collect();
-    rounds.sort_by(|a, b| (a.1 / a.0).total_cmp(&(b.1 / b.0)));
-    let (plain, spooled) = rounds[1];
-    println!("\n{:<28} {plain:>10.0}", "plain sequential write, MB/s");
-    println!("{:<28} {spooled:>10.0}", "into bodies' files, MB/s");
-    println!("{:<28} {:>10.2}  (aim: 0.60)", "the second over the first", spooled / plain);
-}
-
-fn spooled(scratch: &ScratchDir, count: usize, block: &[u8]) -> f64 {
+    served as f64 * BODY_BYTES as f64 / 1e6 / elapsed
+}
+
+/// Rates of writing the same bytes, in MB/s.
+struct FileRates {
+    plain: f64,
+    stored: f64,
+}
+
+impl FileRates {
+    fn ratio(&self) -> f64 {
+        self.stored / self.plain
+    }
+}
+
+/// Bodies into files, eight at once, against a plain sequential write of the same bytes: the median of three rounds.
+fn compare_files(scratch: &ScratchDir) {
+    let block = vec![7; BLOCK_BYTES];
+    let measure_round = |_| FileRates {
+        plain: measure_plain_writes(scratch, &block),
+        stored: measure_stored_bodies(scratch, &block),
+    };
+    let mut rounds: Vec<FileRates> = (0..3).map(measure_round).collect();
+    rounds.sort_by(|left, right| left.ratio().total_cmp(&right.ratio()));
+    let median = &rounds[1];
+    println!("\n{:<28} {:>10.0}", "plain sequential write, MB/s", median.plain);
+    println!("{:<28} {:>10.0}", "into bodies' files, MB/s", median.stored);
+    println!("{:<28} {:>10.2}  (target: 0.60)", "the second over the first", median.ratio());
+}
+
+/// The rate since `begun` of writing [`FILE_BODIES`] bodies, in MB/s.
+fn file_rate(begun: Instant) -> f64 {
+    (FILE_BODIES * BODY_BYTES) as f64 / 1e6 / begun.elapsed().as_secs_f64()
+}
+
+fn measure_plain_writes(scratch: &ScratchDir, block: &[u8]) -> f64 {
+    let begun = Instant::now();
+    for number in 0..FILE_BODIES {
+        let path = scratch.path(&format!("plain-{number}"));
+        let mut file = File::create(&path).expect("the file can be created");
+        for _ in 0..BODY_BYTES / block.len() {
+            file.write_all(block).expect("the disk has room");
+        }
+        drop(file);
+        std::fs::remove_file(&path).expect("the file exists");
+    }
+    file_rate(begun)
+}
+
+fn measure_stored_bodies(scratch: &ScratchDir, block: &[u8]) -> f64 {
     let settings = BodySettings {
-        largest_bytes: 16 * MIB as u64,
-        memory: BodyMemory { each_bytes: MIB as u64, total_bytes: MEMORY as u64 },
+        largest_bytes: MAX_BODY_BYTES as u64,
+        memory: BodyMemory { each_bytes: MIB as u64, total_bytes: MEMORY_TOTAL_BYTES as u64 },
         files: BodyFiles {
             directory: Some(scratch.path("spool")),
-            each_bytes: 16 * MIB as u64,
-            total_bytes: 1 << 31,
+            each_bytes: MAX_BODY_BYTES as u64,
+            total_bytes: FILES_TOTAL_BYTES,
             leave_free_bytes: 0,
         },
         ..BodySettings::default()
     };
-    let directory = Directory::open(&scratch.path("spool"), "bench").expect("a directory");
+    let directory = Directory::open(&scratch.path("spool"), "bench").expect("the directory can be used");
     let bodies = BodyStore::new(&settings, 1, Some(Arc::new(directory)), || Some(Box::new(())));
     let executor = async_executor::LocalExecutor::new();
     let begun = Instant::now();
     async_io::block_on(executor.run(async {
-        let tasks: Vec<_> = (0..8)
+        let tasks: Vec<_> = (0..FILE_WRITERS)
             .map(|_| {
                 let bodies = bodies.clone();
                 executor.spawn(async move {
-                    for _ in 0..count / 8 {
-                        let mut writer = bodies.begin(0, Some(BODY as u64)).ok().expect("not too long");
-                        for _ in 0..BODY / block.len() {
-                            writer.push(block).await.expect("it is kept");
+                    for _ in 0..FILE_BODIES / FILE_WRITERS {
+                        let mut writer =
+                            bodies.begin(0, Some(BODY_BYTES as u64)).ok().expect("the body is not too long");
+                        for _ in 0..BODY_BYTES / block.len() {
+                            writer.push(block).await.expect("the body is stored");
                         }
-                        let spool = writer.body();
+                        let body = writer.body();
                         writer.finish().await;
-                        assert_eq!(spool.end(), Some(BodyEnd::InFile));
+                        assert_eq!(body.end(), Some(BodyEnd::InFile));
                     }
                 })
             })
@@ -148,81 +201,125 @@
             task.await;
         }
     }));
-    (count * BODY) as f64 / 1e6 / begun.elapsed().as_secs_f64()
+    file_rate(begun)
 }
 
-/// Small jobs of 20 ms alone, and beside 64 clients that send 8 MB at once.
-fn surge(scratch: &ScratchDir) {
+/// Small jobs without and beside clients that send large bodies all the time.
+fn measure_small_jobs(scratch: &ScratchDir) {
     println!(
-        "\nsmall jobs of 20 ms by 8 clients; the surge: 64 clients that send 8 MB at once, over and over"
+        "\nsmall jobs of {SMALL_JOB_MILLIS} ms by {SMALL_JOB_CLIENTS} clients; the load: {LARGE_BODY_CLIENTS} clients \
+         that send 8 MB at once, over and over"
     );
     println!("{:<28} {:>8} {:>8} {:>8} {:>8} {:>12}", "", "served", "not", "p50 ms", "p99 ms", "peak MB");
-    let mut alone = 0.0;
-    for (name, clients, bounds) in [
-        ("alone", 0, [1, 32, 16]),
-        ("beside bodies in files", 64, [1, 32, 16]),
-        ("beside bodies not kept", 64, [1, 32, 1]),
-    ] {
-        let boxes = FakeWorkers::new(96);
-        boxes.set_default_behavior(WorkerBehavior::DoneAfterMillis(20));
-        let node = start(scratch, &boxes, bounds.map(|b| b * MIB));
-        let stop = AtomicBool::new(false);
-        let next = AtomicU64::new(0);
-        let (mut took, lost): (Vec<f64>, usize) = thread::scope(|scope| {
-            for _ in 0..clients {
-                scope.spawn(|| {
-                    while !stop.load(Ordering::Relaxed) {
-                        let n = next.fetch_add(1, Ordering::Relaxed);
-                        let _ = ask(&format!("big-{n}"), vec![n as u8; BODY]).send(&node.address);
-                    }
-                });
-            }
-            let small: Vec<_> = (0..8)
-                .map(|c| {
-                    let (node, stop) = (&node, &stop);
-                    scope.spawn(move || {
-                        let (mut took, mut lost) = (Vec::new(), 0);
-                        let until = Instant::now() + Duration::from_secs(6);
-                        while Instant::now() < until {
-                            let id = format!("small-{c}-{}", took.len());
-                            match ask(&id, vec![1; 1_000]).send(&node.address) {
-                                Ok(reply) if reply.status == 200 => {
-                                    took.push(reply.elapsed.as_secs_f64() * 1e3)
-                                }
-                                _ => lost += 1,
-                            }
-                        }
-                        stop.store(true, Ordering::Relaxed);
-                        (took, lost)
-                    })
-                })
-                .collect();
-            small.into_iter().map(|s| s.join().expect("a client")).fold((Vec::new(), 0), |mut all, one| {
-                all.0.extend(one.0);
-                (all.0, all.1 + one.1)
-            })
-        });
-        if took.is_empty() {
-            println!("{name:<28} none served, {lost} not");
+    let alone = measure_small_jobs_beside(scratch, "alone", 0, IN_FILES);
+    for (name, limits) in [("beside bodies in files", IN_FILES), ("beside bodies not stored", NOT_STORED)] {
+        let Some(beside) = measure_small_jobs_beside(scratch, name, LARGE_BODY_CLIENTS, limits) else {
             continue;
+        };
+        let p99_alone_ms = alone.as_ref().map_or(0.0, |alone| alone.p99_ms);
+        let peak_beside_mb = beside.peak_mb - MEMORY_TOTAL_BYTES as f64 / 1e6;
+        println!("  99th percentile {:.2} times that alone (target: 2)", beside.p99_ms / p99_alone_ms);
+        println!("  peak memory {peak_beside_mb:.1} MB beside memory.total_bytes (target: 24)");
+    }
+}
+
+/// What small jobs have measured.
+struct SmallJobFigures {
+    p99_ms: f64,
+    /// The node's peak resident memory.
+    peak_mb: f64,
+}
+
+/// The outcomes of small jobs.
+#[derive(Default)]
+struct SmallJobs {
+    response_times_ms: Vec<f64>,
+    not_served: usize,
+}
+
+impl SmallJobs {
+    fn add(&mut self, other: SmallJobs) {
+        self.response_times_ms.extend(other.response_times_ms);
+        self.not_served += other.not_served;
+    }
+}
+
+/// Prints a row; `None` if no job was served.
+fn measure_small_jobs_beside(
+    scratch: &ScratchDir,
+    name: &str,
+    large_body_clients: usize,
+    limits: BodyLimits,
+) -> Option<SmallJobFigures> {
+    let workers = FakeWorkers::new(96);
+    workers.set_default_behavior(WorkerBehavior::DoneAfterMillis(SMALL_JOB_MILLIS));
+    let node = start_node(scratch, &workers, limits);
+    let SmallJobs { mut response_times_ms, not_served } = send_small_jobs(&node, large_body_clients);
+    if response_times_ms.is_empty() {
+        println!("{name:<28} none served, {not_served} not");
+        return None;
+    }
+    response_times_ms.sort_by(f64::total_cmp);
+    let quantile = |share: f64| response_times_ms[((response_times_ms.len() - 1) as f64 * share) as usize];
+    let figures = SmallJobFigures { p99_ms: quantile(0.99), peak_mb: peak_memory_mb(node.child.id()) };
+    println!(
+        "{name:<28} {:>8} {not_served:>8} {:>8.1} {:>8.1} {:>12.1}",
+        response_times_ms.len(),
+        quantile(0.5),
+        figures.p99_ms,
+        figures.peak_mb
+    );
+    Some(figures)
+}
+
+fn send_small_jobs(node: &Program, large_body_clients: usize) -> SmallJobs {
+    let stop = AtomicBool::new(false);
+    let next_number = AtomicU64::new(0);
+    let send_large_bodies = || {
+        while !stop.load(Ordering::Relaxed) {
+            let number = next_number.fetch_add(1, Ordering::Relaxed);
+            let body = vec![number as u8; BODY_BYTES];
+            let _ = new_request(&format!("big-{number}"), body).send(&node.address);
+        }
+    };
+    thread::scope(|scope| {
+        for _ in 0..large_body_clients {
+            scope.spawn(send_large_bodies);
         }
-        took.sort_by(f64::total_cmp);
-        let at = |share: f64| took[((took.len() - 1) as f64 * share) as usize];
-        let peak = peak(node.child.id());
-        println!("{name:<28} {:>8} {lost:>8} {:>8.1} {:>8.1} {peak:>12.1}", took.len(), at(0.5), at(0.99));
-        if clients == 0 {
-            alone = at(0.99);
-        } else {
-            let beside = peak - MEMORY as f64 / 1e6;
-            println!("  99th percentile {:.2} times that alone (aim: 2)", at(0.99) / alone);
-            println!("  peak memory {beside:.1} MB beside memory.total_bytes (aim: 24)");
+        let clients: Vec<ScopedJoinHandle<SmallJobs>> = (0..SMALL_JOB_CLIENTS)
+            .map(|client| {
+                let stop = &stop;
+                scope.spawn(move || run_small_job_client(node, client, stop))
+            })
+            .collect();
+        let mut all = SmallJobs::default();
+        for client in clients {
+            all.add(client.join().expect("the client ends"));
+        }
+        all
+    })
+}
+
+fn run_small_job_client(node: &Program, client: usize, stop: &AtomicBool) -> SmallJobs {
+    let mut jobs = SmallJobs::default();
+    let until = Instant::now() + SMALL_JOBS_DURATION;
+    while Instant::now() < until {
+        let id = format!("small-{client}-{}", jobs.response_times_ms.len());
+        match new_request(&id, vec![1; SMALL_BODY_BYTES]).send(&node.address) {
+            Ok(response) if response.status == 200 => {
+                jobs.response_times_ms.push(response.elapsed.as_secs_f64() * 1e3);
+            }
+            _ => jobs.not_served += 1,
         }
     }
+    stop.store(true, Ordering::Relaxed);
+    jobs
 }
 
-/// The most resident memory that a process has had, in MB.
-fn peak(id: u32) -> f64 {
-    let status = std::fs::read_to_string(format!("/proc/{id}/status")).expect("a process");
-    let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("its peak");
-    line.trim().trim_end_matches(" kB").parse::<f64>().expect("a number") * 1024.0 / 1e6
+/// The peak resident memory of a process, in MB.
+fn peak_memory_mb(process_id: u32) -> f64 {
+    let status = std::fs::read_to_string(format!("/proc/{process_id}/status")).expect("the process runs");
+    let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("the status has the peak");
+    let kib: f64 = line.trim().trim_end_matches(" kB").parse().expect("the peak is a number");
+    kib * 1024.0 / 1e6
 }
--- a/crates/node/benches/scrape.rs
+++ b/crates/node/benches/scrape.rs
@@ -1,5 +1,5 @@
 //! What `show-stat` costs: its time to answer under load, and the service with 10 scrapes a second beside the same
-//! service without, phase by phase in the same run, at 10, 200 and 1,000 executors.
+//! service without, phase by phase in the same run, with 10, 200 and 1,000 workers.
 //!
 //!     cargo bench -p sorrelhaven --bench scrape
 
@@ -13,121 +13,163 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const CLIENTS: usize = 24;
+const CLIENT_COUNT: usize = 24;
+const SERVER_COUNT: usize = 10;
+const JOB_MILLIS: u64 = 2;
+/// Phases of each kind.
 const ROUNDS: usize = 6;
-const PHASE: Duration = Duration::from_millis(1_500);
-const SCRAPES_PER_S: u32 = 10;
+const PHASE_DURATION: Duration = Duration::from_millis(1_500);
+const SCRAPES_PER_SECOND: u32 = 10;
+/// The kinds of phases, by index.
+const WITHOUT_SCRAPES: usize = 0;
+const WITH_SCRAPES: usize = 1;
+/// Between phases nothing is recorded.
+const NO_PHASE: usize = usize::MAX;
 
-/// What a phase came to.
+/// What the phases of one kind have measured.
 #[derive(Default)]
 struct Phase {
-    took: Vec<Duration>,
-    cpu: Duration,
+    response_times: Vec<Duration>,
+    cpu_time: Duration,
 }
 
 impl Phase {
-    fn quantile(&mut self, share: f64) -> f64 {
-        self.took.sort_unstable();
-        let at = ((self.took.len() - 1) as f64 * share) as usize;
-        self.took[at].as_secs_f64() * 1e3
+    /// A quantile of the response times, in milliseconds.
+    fn quantile_ms(&mut self, share: f64) -> f64 {
+        self.response_times.sort_unstable();
+        let index = ((self.response_times.len() - 1) as f64 * share) as usize;
+        self.response_times[index].as_secs_f64() * 1e3
     }
 }
 
+/// One call of `show-stat`.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Scrape {
+    elapsed: Duration,
+    bytes: usize,
+}
+
+/// What the threads of a run share.
+struct Run {
+    node: Program,
+    stop: AtomicBool,
+    /// The kind of the phase that goes on.
+    phase: AtomicUsize,
+    phases: Mutex<[Phase; 2]>,
+}
+
 /// The processor time of a process so far, by its clock ticks of 10 ms.
-fn cpu(id: u32) -> Duration {
-    let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).expect("a process");
-    let fields: Vec<&str> = stat.rsplit(')').next().expect("its fields").split_whitespace().collect();
-    let ticks = |i: usize| fields[i].parse::<u64>().expect("a number");
+fn process_cpu_time(process_id: u32) -> Duration {
+    let stat = std::fs::read_to_string(format!("/proc/{process_id}/stat")).expect("the process runs");
+    let fields = stat.rsplit(')').next().expect("the line names the program");
+    let fields: Vec<&str> = fields.split_whitespace().collect();
+    let ticks = |index: usize| fields[index].parse::<u64>().expect("the field is a number");
     Duration::from_millis(10 * (ticks(11) + ticks(12)))
 }
 
 fn main() {
     println!(
-        "executors  scrapes  requests/s  p50 ms  p99 ms  CPU us/request  show-stat p50 ms  max ms  bytes"
+        "  workers  scrapes  requests/s  p50 ms  p99 ms  CPU us/request  show-stat p50 ms  max ms  bytes"
     );
-    for executors in [10, 200, 1_000] {
-        run(executors);
+    for worker_count in [10, 200, 1_000] {
+        measure(worker_count);
     }
 }
 
-fn run(executors: usize) {
-    let boxes = FakeWorkers::new(10);
-    boxes.set_default_behavior(WorkerBehavior::DoneAfterMillis(2));
-    // Each box stands for many executors: the list, and what the node knows, is as long as it says.
-    let addresses: Vec<_> = boxes.addresses.iter().copied().cycle().take(executors).collect();
+fn measure(worker_count: usize) {
+    let servers = FakeWorkers::new(SERVER_COUNT);
+    servers.set_default_behavior(WorkerBehavior::DoneAfterMillis(JOB_MILLIS));
+    // Each server stands for many workers: only the list and what the node knows grow with their number.
+    let addresses: Vec<_> = servers.addresses.iter().copied().cycle().take(worker_count).collect();
     let scratch = ScratchDir::new("scrape");
     let config = scratch.write("node.json", &workers_config(&addresses));
     let mut command = Command::new(env!("CARGO_BIN_EXE_sorrelhaven"));
     command.env("RELAY_OPS", "127.0.0.1:0").env("RUST_LOG", "info,module=warn");
-    let node = Program::start(command, &config, None);
-    let (stop, phase) = (AtomicBool::new(false), AtomicUsize::new(usize::MAX));
-    let phases = Mutex::new([Phase::default(), Phase::default()]);
-    let mut shown: Vec<(Duration, usize)> = Vec::new();
+    let run = Run {
+        node: Program::start(command, &config, None),
+        stop: AtomicBool::new(false),
+        phase: AtomicUsize::new(NO_PHASE),
+        phases: Mutex::default(),
+    };
+    let mut scrapes = Vec::new();
     thread::scope(|scope| {
-        for client in 0..CLIENTS {
-            let (stop, phase, phases, node) = (&stop, &phase, &phases, &node);
-            scope.spawn(move || {
-                let mut stream = TcpStream::connect(&node.address).expect("it listens");
-                let _ = stream.set_nodelay(true);
-                for n in 0.. {
-                    if stop.load(Ordering::Relaxed) {
-                        return;
-                    }
-                    let mut ask =
-                        TestRequest::new(&format!("q-{client}-{n}"), "renewal-check", vec![b'x'; 200]);
-                    ask.work_hint_micros = Some(2_000);
-                    let now = phase.load(Ordering::Relaxed);
-                    let reply = ask.send_on(&mut stream).expect("an answer");
-                    assert_eq!(reply.status, 200);
-                    if let Some(phase) = phases.lock().expect("a phase").get_mut(now) {
-                        phase.took.push(reply.elapsed);
-                    }
-                }
-            });
+        for client in 0..CLIENT_COUNT {
+            let run = &run;
+            scope.spawn(move || run.send_requests(client));
         }
-        thread::sleep(PHASE);
+        thread::sleep(PHASE_DURATION);
         for round in 0..2 * ROUNDS {
             // In turn, and each kind first as often.
-            let scrapes = (round + round / 2) % 2;
-            let before = cpu(node.child.id());
-            phase.store(scrapes, Ordering::Relaxed);
-            let end = Instant::now() + PHASE;
-            while Instant::now() < end {
-                if scrapes == 1 {
-                    let begun = Instant::now();
-                    let text = node.admin_call("show-stat");
-                    assert!(text.ends_with("EOT\n"));
-                    shown.push((begun.elapsed(), text.len()));
-                }
-                thread::sleep(
-                    (Duration::from_secs(1) / SCRAPES_PER_S)
-                        .min(end.saturating_duration_since(Instant::now())),
-                );
-            }
-            phase.store(usize::MAX, Ordering::Relaxed);
-            phases.lock().expect("the phases")[scrapes].cpu += cpu(node.child.id()) - before;
+            let phase = (round + round / 2) % 2;
+            run.play_phase(phase, &mut scrapes);
         }
-        stop.store(true, Ordering::Relaxed);
+        run.stop.store(true, Ordering::Relaxed);
     });
-    shown.sort_unstable();
-    let (p50, max) = (shown[shown.len() / 2].0, shown[shown.len() - 1].0);
-    for (scrapes, phase) in phases.lock().expect("the phases").iter_mut().enumerate() {
-        let requests = phase.took.len();
-        let rate = requests as f64 / (PHASE * ROUNDS as u32).as_secs_f64();
-        let each = phase.cpu.as_secs_f64() * 1e6 / requests as f64;
-        let (half, late) = (phase.quantile(0.5), phase.quantile(0.99));
+    scrapes.sort_unstable();
+    print_phases(worker_count, &run, &scrapes);
+}
+
+impl Run {
+    /// A client that sends requests on one connection until the end of the run.
+    fn send_requests(&self, client: usize) {
+        let mut stream = TcpStream::connect(&self.node.address).expect("the node accepts");
+        let _ = stream.set_nodelay(true);
+        for number in 0.. {
+            if self.stop.load(Ordering::Relaxed) {
+                return;
+            }
+            let id = format!("q-{client}-{number}");
+            let mut request = TestRequest::new(&id, "renewal-check", vec![b'x'; 200]);
+            request.work_hint_micros = Some(2_000);
+            let phase = self.phase.load(Ordering::Relaxed);
+            let response = request.send_on(&mut stream).expect("the request is answered");
+            assert_eq!(response.status, 200);
+            if let Some(phase) = self.phases.lock().expect("no client has panicked").get_mut(phase) {
+                phase.response_times.push(response.elapsed);
+            }
+        }
+    }
+
+    /// Records one phase, with scrapes or without.
+    fn play_phase(&self, phase: usize, scrapes: &mut Vec<Scrape>) {
+        let cpu_time_before = process_cpu_time(self.node.child.id());
+        self.phase.store(phase, Ordering::Relaxed);
+        let end = Instant::now() + PHASE_DURATION;
+        while Instant::now() < end {
+            if phase == WITH_SCRAPES {
+                let begun = Instant::now();
+                let text = self.node.admin_call("show-stat");
+                assert!(text.ends_with("EOT\n"));
+                scrapes.push(Scrape { elapsed: begun.elapsed(), bytes: text.len() });
+            }
+            let pause = Duration::from_secs(1) / SCRAPES_PER_SECOND;
+            thread::sleep(pause.min(end.saturating_duration_since(Instant::now())));
+        }
+        self.phase.store(NO_PHASE, Ordering::Relaxed);
+        let cpu_time = process_cpu_time(self.node.child.id()) - cpu_time_before;
+        self.phases.lock().expect("no client has panicked")[phase].cpu_time += cpu_time;
+    }
+}
+
+/// Prints a row for each kind of phase. `scrapes` are sorted by time.
+fn print_phases(worker_count: usize, run: &Run, scrapes: &[Scrape]) {
+    let mut phases = run.phases.lock().expect("no client has panicked");
+    for (kind, phase) in phases.iter_mut().enumerate() {
+        let requests = phase.response_times.len();
+        let rate = requests as f64 / (PHASE_DURATION * ROUNDS as u32).as_secs_f64();
+        let cpu_us = phase.cpu_time.as_secs_f64() * 1e6 / requests as f64;
+        let p50_ms = phase.quantile_ms(0.5);
+        let p99_ms = phase.quantile_ms(0.99);
+        let rate_of_scrapes = if kind == WITHOUT_SCRAPES { 0 } else { SCRAPES_PER_SECOND };
         print!(
-            "{executors:9}  {:7}  {rate:10.0}  {half:6.2}  {late:6.2}  {each:14.1}",
-            scrapes * SCRAPES_PER_S as usize
+            "{worker_count:9}  {rate_of_scrapes:7}  {rate:10.0}  {p50_ms:6.2}  {p99_ms:6.2}  {cpu_us:14.1}"
         );
-        match scrapes {
-            0 => println!("                 -       -      -"),
-            _ => println!(
-                "  {:16.2}  {:6.2}  {:5}",
-                p50.as_secs_f64() * 1e3,
-                max.as_secs_f64() * 1e3,
-                shown[0].1
-            ),
+        if kind == WITHOUT_SCRAPES {
+            println!("                 -       -      -");
+            continue;
         }
+        let scrape_p50_ms = scrapes[scrapes.len() / 2].elapsed.as_secs_f64() * 1e3;
+        let scrape_max_ms = scrapes[scrapes.len() - 1].elapsed.as_secs_f64() * 1e3;
+        println!("  {scrape_p50_ms:16.2}  {scrape_max_ms:6.2}  {:5}", scrapes[0].bytes);
     }
 }
