--- a/crates/body-store/src/body.rs
+++ b/crates/body-store/src/body.rs
@@ -123,7 +123,7 @@
 
     /// Whether the body ended before all of it had arrived.
     fn has_failed(&self) -> bool {
-        self.end.is_some_and(|end| !end.is_whole())
+        self.end.is_some_and(|end| !end.is_complete())
     }
 }
 
--- a/crates/body-store/src/body_end.rs
+++ b/crates/body-store/src/body_end.rs
@@ -13,9 +13,9 @@
     /// Complete, but not all of it is stored: it can be, or was, streamed to one reader.
     Streamed,
     /// The client closed or broke its connection in mid-body.
-    ClientBroke,
+    ClientDisconnected,
     /// It is longer than the limit, or than its declared length.
-    TooLong,
+    TooLarge,
     /// It arrived too slowly.
     TooSlow,
     /// Rejected: the disk was full, and bodies that can't be stored are rejected.
@@ -25,11 +25,11 @@
     /// Rejected: the disk was slower than the client, and bodies that can't be stored are rejected.
     DiskSlow,
     /// Rejected: the budgets had no room for it, and bodies that can't be stored are rejected.
-    BudgetGone,
+    BudgetExhausted,
     /// The request was concluded before all of the body had arrived.
-    Refused,
+    RequestConcluded,
     /// The request was concluded, or the client disconnected, before any of the body had arrived.
-    NeverBegun,
+    NeverStarted,
 }
 
 impl BodyEnd {
@@ -38,15 +38,15 @@
         BodyEnd::InMemory,
         BodyEnd::InFile,
         BodyEnd::Streamed,
-        BodyEnd::ClientBroke,
-        BodyEnd::TooLong,
+        BodyEnd::ClientDisconnected,
+        BodyEnd::TooLarge,
         BodyEnd::TooSlow,
         BodyEnd::DiskFull,
         BodyEnd::DiskFailed,
         BodyEnd::DiskSlow,
-        BodyEnd::BudgetGone,
-        BodyEnd::Refused,
-        BodyEnd::NeverBegun,
+        BodyEnd::BudgetExhausted,
+        BodyEnd::RequestConcluded,
+        BodyEnd::NeverStarted,
     ];
 
     /// The end of a body that is complete, and stored in this tier.
@@ -61,7 +61,7 @@
     /// The end of a body that is rejected because it can't be stored.
     pub fn not_stored(reason: NotStoredReason) -> BodyEnd {
         match reason {
-            NotStoredReason::Budget => BodyEnd::BudgetGone,
+            NotStoredReason::Budget => BodyEnd::BudgetExhausted,
             NotStoredReason::DiskFull => BodyEnd::DiskFull,
             NotStoredReason::DiskFailed => BodyEnd::DiskFailed,
             NotStoredReason::DiskSlow => BodyEnd::DiskSlow,
@@ -69,15 +69,15 @@
     }
 
     /// Whether all of the body arrived.
-    pub fn is_whole(self) -> bool {
+    pub fn is_complete(self) -> bool {
         match self {
             BodyEnd::InMemory | BodyEnd::InFile | BodyEnd::Streamed => true,
-            BodyEnd::ClientBroke
-            | BodyEnd::TooLong
+            BodyEnd::ClientDisconnected
+            | BodyEnd::TooLarge
             | BodyEnd::TooSlow
-            | BodyEnd::Refused
-            | BodyEnd::NeverBegun => false,
-            BodyEnd::DiskFull | BodyEnd::DiskFailed | BodyEnd::DiskSlow | BodyEnd::BudgetGone => false,
+            | BodyEnd::RequestConcluded
+            | BodyEnd::NeverStarted => false,
+            BodyEnd::DiskFull | BodyEnd::DiskFailed | BodyEnd::DiskSlow | BodyEnd::BudgetExhausted => false,
         }
     }
 
@@ -87,15 +87,15 @@
             BodyEnd::InMemory => "body_in_memory",
             BodyEnd::InFile => "body_in_file",
             BodyEnd::Streamed => "body_streamed",
-            BodyEnd::ClientBroke => "body_client_disconnected",
-            BodyEnd::TooLong => "body_too_large",
+            BodyEnd::ClientDisconnected => "body_client_disconnected",
+            BodyEnd::TooLarge => "body_too_large",
             BodyEnd::TooSlow => "body_too_slow",
             BodyEnd::DiskFull => "body_disk_full",
             BodyEnd::DiskFailed => "body_disk_failed",
             BodyEnd::DiskSlow => "body_disk_slow",
-            BodyEnd::BudgetGone => "body_budget_exhausted",
-            BodyEnd::Refused => "body_request_concluded",
-            BodyEnd::NeverBegun => "body_never_started",
+            BodyEnd::BudgetExhausted => "body_budget_exhausted",
+            BodyEnd::RequestConcluded => "body_request_concluded",
+            BodyEnd::NeverStarted => "body_never_started",
         }
     }
 }
--- a/crates/body-store/src/reader.rs
+++ b/crates/body-store/src/reader.rs
@@ -61,7 +61,7 @@
 
     fn step(&mut self, out: &mut Vec<u8>) -> Result<ReadStep, BodyReadError> {
         let state = &mut *self.shared.state.borrow_mut();
-        if let Some(end) = state.end.filter(|end| !end.is_whole()) {
+        if let Some(end) = state.end.filter(|end| !end.is_complete()) {
             return Err(BodyReadError::Ended(end));
         }
         if state.consumer == Some(self.id) {
--- a/crates/body-store/src/request_body.rs
+++ b/crates/body-store/src/request_body.rs
@@ -22,7 +22,7 @@
             return self.0.declared_length;
         }
         let state = self.0.state.borrow();
-        let is_complete = state.end.is_some_and(BodyEnd::is_whole);
+        let is_complete = state.end.is_some_and(BodyEnd::is_complete);
         is_complete.then_some(state.received)
     }
 
--- a/crates/body-store/src/writer.rs
+++ b/crates/body-store/src/writer.rs
@@ -56,7 +56,7 @@
                 Ok(())
             }
             StorageDecision::NotStored(reason) => self.stop_storing(reason),
-            StorageDecision::TooLarge => Err(self.end(BodyEnd::TooLong)),
+            StorageDecision::TooLarge => Err(self.end(BodyEnd::TooLarge)),
         }
     }
 
@@ -69,7 +69,7 @@
         let now = self.shared.resources.now();
         let decision = self.shared.plan().reserve(now, self.shared.id, bytes.len() as u64);
         match decision {
-            StorageDecision::TooLarge => return Err(self.end(BodyEnd::TooLong)),
+            StorageDecision::TooLarge => return Err(self.end(BodyEnd::TooLarge)),
             StorageDecision::Keep(tier) => self.store_piece(bytes, tier).await?,
             StorageDecision::NotStored(reason) => {
                 self.stop_storing(reason)?;
@@ -99,7 +99,7 @@
         if self.shared.state.borrow().end.is_none() {
             self.shared.state.borrow_mut().end = Some(end);
             self.shared.resources.counters.record_end(end);
-            if !end.is_whole() {
+            if !end.is_complete() {
                 self.release_all();
             }
         }
@@ -276,6 +276,6 @@
         if has_ended {
             return;
         }
-        self.end(if self.received() == 0 { BodyEnd::NeverBegun } else { BodyEnd::Refused });
+        self.end(if self.received() == 0 { BodyEnd::NeverStarted } else { BodyEnd::RequestConcluded });
     }
 }
--- a/crates/body-store/tests/store.rs
+++ b/crates/body-store/tests/store.rs
@@ -103,7 +103,7 @@
             prop_assert!(results.iter().all(|result| result.as_ref() == Ok(sent)));
         }
         Err(end) => {
-            prop_assert!(reject && matches!(end, BodyEnd::BudgetGone | BodyEnd::DiskFull), "{:?}", end);
+            prop_assert!(reject && matches!(end, BodyEnd::BudgetExhausted | BodyEnd::DiskFull), "{:?}", end);
             prop_assert!(results.iter().all(|result| **result == Err(BodyReadError::Ended(end))));
         }
     }
@@ -337,7 +337,7 @@
         assert_eq!((body.tier(), disk.files()), (StorageTier::NotStored, 0));
         assert!(poll_once(writer.push(&sent)).await.is_none(), "no room beyond the buffer");
         drop(writer);
-        assert_eq!(read(body.reader()).await, Err(BodyReadError::Ended(BodyEnd::Refused)));
+        assert_eq!(read(body.reader()).await, Err(BodyReadError::Ended(BodyEnd::RequestConcluded)));
     });
     assert_eq!((metric(&store, "not_stored_budget"), store.usage()), (1, StorageUsage::default()));
 }
@@ -373,9 +373,9 @@
     let body = writer.body();
     block_on(writer.push(&sample_bytes(500_000, 1))).expect("it is stored");
     assert_eq!((disk.files(), store.usage().file_bytes), (1, 500_000));
-    assert_eq!(writer.end(BodyEnd::ClientBroke), BodyEnd::ClientBroke);
+    assert_eq!(writer.end(BodyEnd::ClientDisconnected), BodyEnd::ClientDisconnected);
     assert_eq!(store.usage(), StorageUsage::default());
-    assert_eq!(block_on(read(body.reader())), Err(BodyReadError::Ended(BodyEnd::ClientBroke)));
+    assert_eq!(block_on(read(body.reader())), Err(BodyReadError::Ended(BodyEnd::ClientDisconnected)));
     drop(writer);
     assert_eq!(metric(&store, "body_client_disconnected"), 1, "one end each");
     wait_until_empty(&disk);
@@ -388,7 +388,7 @@
     rejecting.largest_bytes = MIB;
     rejecting.not_stored = NotStoredPolicy::Reject;
     let store = BodyStore::new(&rejecting, 1, None, || None);
-    for (length, end) in [(MIB + 1, BodyEnd::TooLong), (MIB, BodyEnd::BudgetGone)] {
+    for (length, end) in [(MIB + 1, BodyEnd::TooLarge), (MIB, BodyEnd::BudgetExhausted)] {
         let (found, body) = store.begin(0, Some(length)).err().expect("it is rejected");
         assert_eq!((found, body.end()), (end, Some(end)));
     }
--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -17,17 +17,17 @@
     /// The address of discovery's agent.
     pub discovery: SocketAddr,
     /// The address of the admin listener; `None` if there is none.
-    pub ops: Option<SocketAddr>,
+    pub admin: Option<SocketAddr>,
     /// The seed for random numbers, new at each start.
     pub seed: u64,
     /// The descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// The memory that the process may hold, in megabytes.
     pub memory_mb: u64,
     /// The operators' settings.
     pub operator: Operator,
     /// The worker list as this node had it last.
-    pub known: DiscoveryList,
+    pub known_workers: DiscoveryList,
     /// The names of zones and kinds, in the settings' order.
     pub names: SettingNames,
     /// The request classes, in the settings' order.
@@ -35,14 +35,14 @@
     /// The tenants; empty if there are none.
     pub tenants: Vec<String>,
     /// A worker closes a connection that has been idle for this long.
-    pub keepalive: Micros,
+    pub idle_timeout: Micros,
     /// How long a node may send new requests to a worker after it was notified that the worker drains.
     pub drain_grace: Micros,
     /// The fields of a load report, in the report's order; empty if there are no reports.
     pub load_fields: Vec<String>,
     /// A node that polls discovery is assumed to know a change this long after it happened, whether it has
     /// polled or not; four times as long after a poll that failed.
-    pub ask_within: Micros,
+    pub implied_notice_delay: Micros,
     /// The settings of the decision module.
     pub settings: Settings,
     /// The platform's file as it was written, for a reload to compare.
--- a/crates/config/src/hosts.rs
+++ b/crates/config/src/hosts.rs
@@ -23,10 +23,10 @@
 pub struct DiscoveryHost {
     /// Its name, the same at every node.
     #[serde(rename = "host")]
-    pub host: String,
+    pub name: String,
     /// The address at which this node reaches it; may be missing once it is terminated.
     #[serde(rename = "dial", default)]
-    pub dial: Option<SocketAddr>,
+    pub address: Option<SocketAddr>,
     /// Its zone.
     #[serde(rename = "site", default)]
     pub zone: String,
@@ -55,13 +55,13 @@
 pub struct DiscoveryList {
     /// The version of the list.
     #[serde(rename = "seq", default)]
-    pub seq: u64,
+    pub version: u64,
     /// Whether it replaces all that was known.
     #[serde(rename = "whole", default)]
     pub complete: bool,
     /// Its entries.
     #[serde(rename = "hosts")]
-    pub hosts: Vec<DiscoveryHost>,
+    pub workers: Vec<DiscoveryHost>,
 }
 
 /// The names of the settings whose indexes the decision module uses as numbers.
@@ -89,7 +89,7 @@
     /// # Errors
     /// The first entry that is not valid; the error names the key.
     pub fn check(&self, names: &SettingNames) -> Result<(), ConfigError> {
-        for (index, host) in self.hosts.iter().enumerate() {
+        for (index, host) in self.workers.iter().enumerate() {
             host.entry(WorkerId(0), names).map_err(|error| error.within(&format!("hosts[{index}]")))?;
         }
         Ok(())
@@ -102,12 +102,12 @@
     /// # Errors
     /// A zone or a kind is not in the settings, or the address is missing; the error names the key.
     pub fn entry(&self, worker: WorkerId, names: &SettingNames) -> Result<WorkerEntry, ConfigError> {
-        if self.dial.is_none() && !self.is_terminated() {
+        if self.address.is_none() && !self.is_terminated() {
             return Err(ConfigError::new("dial", "missing"));
         }
         Ok(WorkerEntry {
             worker,
-            name_hash: stable_hash(&self.host),
+            name_hash: stable_hash(&self.name),
             lifecycle: match self.health {
                 WorkerHealth::InService => Lifecycle::Ready,
                 WorkerHealth::Terminating => Lifecycle::Draining,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -37,8 +37,3 @@
 pub use operator::Operator;
 pub use platform_file::listen_fd;
 pub use settings::{ClassName, settings_from};
-
-/// The former name of [`ConfigError`].
-pub use error::ConfigError as Error;
-/// The former name of [`ConfigErrors`].
-pub use error::ConfigErrors as Faults;
--- a/crates/config/src/load.rs
+++ b/crates/config/src/load.rs
@@ -51,7 +51,7 @@
         if new_discovery {
             next.discovery = read.discovery;
         }
-        next.sockets = read.sockets;
+        next.max_descriptors = read.max_descriptors;
         next.memory_mb = read.memory_mb;
         next.operator = read.operator;
         for key in RELOAD_KEYS {
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -24,8 +24,8 @@
 #[test]
 fn missing_keys_have_defaults_and_unknown_keys_are_ignored() {
     let config = Config::parse(&file(SETTINGS), |_| None).expect("a configuration");
-    assert_eq!((config.seed, config.sockets, config.keepalive), (0x1f, 1024, 15_000_000));
-    assert_eq!((config.drain_grace, config.ask_within), (1_000_000, 10_000_000));
+    assert_eq!((config.seed, config.max_descriptors, config.idle_timeout), (0x1f, 1024, 15_000_000));
+    assert_eq!((config.drain_grace, config.implied_notice_delay), (1_000_000, 10_000_000));
     assert_eq!(config.settings.limits.max_retry_after, 0, "Retry-After is sent only if the settings say so");
     assert_eq!(config.settings.classes[1].idempotency, Idempotency::Keyed { scope: Scope::Cell, window: 9 });
     assert_eq!(config.classes.iter().map(|class| class.keyed).collect::<Vec<_>>(), [false, true]);
@@ -34,8 +34,9 @@
 #[test]
 fn start_times_are_microseconds_of_unix_time() {
     let config = Config::parse(&file(SETTINGS), |_| None).expect("a configuration");
-    let entry =
-        config.known.hosts[0].entry(sorrelhaven_dispatcher::WorkerId(3), &config.names).expect("an entry");
+    let entry = config.known_workers.workers[0]
+        .entry(sorrelhaven_dispatcher::WorkerId(3), &config.names)
+        .expect("an entry");
     assert_eq!((entry.started_at, entry.zone, entry.kind), (7_000, 1, 0));
 }
 
@@ -71,7 +72,7 @@
         write(bad);
         config.reloaded(env).expect_err("an error");
         assert_eq!(
-            (config.discovery.port(), config.sockets),
+            (config.discovery.port(), config.max_descriptors),
             (9, 1024),
             "the old configuration stays in force"
         );
@@ -82,7 +83,7 @@
         let (next, restart_keys) = config.reloaded(env).expect("a configuration");
         assert_eq!(restart_keys, ["seed"]);
         config = next;
-        assert_eq!((config.discovery.port(), config.sockets, config.seed), (3, 300, 0x1f));
+        assert_eq!((config.discovery.port(), config.max_descriptors, config.seed), (3, 300, 0x1f));
     }
     std::fs::remove_file(&path).expect("it was there");
 }
--- a/crates/engine/src/discovery_watch.rs
+++ b/crates/engine/src/discovery_watch.rs
@@ -175,9 +175,14 @@
         self.counters.responsiveness.part_ended("parsing a worker list", started);
         // A long list takes some milliseconds to parse, and some more to apply.
         yield_now().await;
-        info!(seq = list.seq, complete = list.complete, workers = list.hosts.len(), "worker list applied");
+        info!(
+            seq = list.version,
+            complete = list.complete,
+            workers = list.workers.len(),
+            "worker list applied"
+        );
         apply(&list);
-        self.version = Some(list.seq);
+        self.version = Some(list.version);
         Ok(())
     }
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -84,7 +84,7 @@
             at_most_once_classes(config),
             config.settings.limits.rejection_may_have_run,
         );
-        let known_workers = upstreams.registry.apply(&config.known, dispatcher_loop.clock.now());
+        let known_workers = upstreams.registry.apply(&config.known_workers, dispatcher_loop.clock.now());
         dispatcher_loop.dispatch(Event::WorkerList(WorkerListUpdate::Cached(known_workers)));
         Rc::new(Engine {
             body_admission: BodyAdmission::new(tasks.clone()),
@@ -95,7 +95,7 @@
             counters,
             request_admission,
             probes,
-            backoff: Backoff::new(config.seed, config.drain_grace, config.ask_within),
+            backoff: Backoff::new(config.seed, config.drain_grace, config.implied_notice_delay),
             discovery_mode: discovery_mode(config),
         })
     }
@@ -162,14 +162,14 @@
 }
 
 fn new_upstreams(config: &Config, tasks: &Rc<Tasks>, counters: &Rc<Counters>) -> Upstreams {
-    let descriptors = DescriptorBudget::new(config.sockets);
+    let descriptors = DescriptorBudget::new(config.max_descriptors);
     let connect_timeout = match config.settings.limits.connect_timeout {
         0 => DEFAULT_CONNECT_TIMEOUT,
         timeout => to_duration(timeout),
     };
     Upstreams {
         registry: WorkerRegistry::new(config.names.clone()),
-        pool: ConnectionPool::new(descriptors, to_duration(config.keepalive), counters.clone()),
+        pool: ConnectionPool::new(descriptors, to_duration(config.idle_timeout), counters.clone()),
         tasks: tasks.clone(),
         counters: counters.clone(),
         load_fields: LoadReportFields::new(config.load_fields.clone()),
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -36,9 +36,9 @@
 //! let config = Config::load(|name| std::env::var(name).ok())?;
 //! let engine = Engine::new(&config, None);
 //! let (_sender, discovery_moves) = async_channel::unbounded();
-//! engine.start(config.discovery, config.known.seq, discovery_moves);
+//! engine.start(config.discovery, config.known_workers.version, discovery_moves);
 //! async_io::block_on(engine.tasks.run());
-//! # Ok::<(), sorrelhaven_config::Faults>(())
+//! # Ok::<(), sorrelhaven_config::ConfigErrors>(())
 //! ```
 
 mod attempt;
--- a/crates/engine/src/tests/attempt_ends.rs
+++ b/crates/engine/src/tests/attempt_ends.rs
@@ -20,7 +20,7 @@
         AttemptEnd::RequestConcluded => AttemptEnd::DeadlineTooClose,
         AttemptEnd::DeadlineTooClose => AttemptEnd::IdempotencyWindowExpired,
         AttemptEnd::IdempotencyWindowExpired => {
-            AttemptEnd::BodyUnavailable(BodyReadError::Ended(BodyEnd::ClientBroke))
+            AttemptEnd::BodyUnavailable(BodyReadError::Ended(BodyEnd::ClientDisconnected))
         }
         AttemptEnd::BodyUnavailable(BodyReadError::Ended(_)) => {
             AttemptEnd::BodyUnavailable(BodyReadError::Consumed)
--- a/crates/engine/src/watch_error.rs
+++ b/crates/engine/src/watch_error.rs
@@ -1,6 +1,6 @@
 //! Why a discovery watch failed.
 
-use sorrelhaven_config::Error;
+use sorrelhaven_config::ConfigError;
 use sorrelhaven_wire::WireError;
 use std::fmt;
 
@@ -21,7 +21,7 @@
     /// The response could not be read.
     Unreadable(WireError),
     /// A list is JSON and no valid list.
-    InvalidList(Error),
+    InvalidList(ConfigError),
 }
 
 impl WatchError {
--- a/crates/engine/src/worker_registry.rs
+++ b/crates/engine/src/worker_registry.rs
@@ -1,7 +1,7 @@
 //! What discovery's lists say of the workers: their ids, addresses, and whether they accept work.
 
 use crate::start_times::StartTimes;
-use sorrelhaven_config::{DiscoveryHost, DiscoveryList, Error, SettingNames};
+use sorrelhaven_config::{ConfigError, DiscoveryHost, DiscoveryList, SettingNames};
 use sorrelhaven_dispatcher::{Lifecycle, Micros, WorkerEntry, WorkerId};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -65,13 +65,13 @@
     /// An invalid entry is logged and skipped: it must not hide what the list says of the other workers.
     pub fn apply(&self, list: &DiscoveryList, now: Micros) -> Vec<WorkerEntry> {
         let known = &mut *self.known.borrow_mut();
-        let dates = list.hosts.iter().map(|host| host.started_ms.saturating_mul(1_000));
+        let dates = list.workers.iter().map(|host| host.started_ms.saturating_mul(1_000));
         known.start_times.begin_list(dates, now);
         let mut entries = Vec::new();
-        for host in &list.hosts {
+        for host in &list.workers {
             match known.apply_host(host, &self.names, now) {
                 Ok(entry) => entries.push(entry),
-                Err(error) => warn!(host = host.host, %error, "worker list entry ignored"),
+                Err(error) => warn!(host = host.name, %error, "worker list entry ignored"),
             }
         }
         known.start_times.end_list(now);
@@ -93,18 +93,18 @@
         host: &DiscoveryHost,
         names: &SettingNames,
         now: Micros,
-    ) -> Result<WorkerEntry, Error> {
+    ) -> Result<WorkerEntry, ConfigError> {
         let next_id = WorkerId(self.workers.len() as u32);
-        let id = self.ids.get(&host.host).copied().unwrap_or(next_id);
+        let id = self.ids.get(&host.name).copied().unwrap_or(next_id);
         let mut entry = host.entry(id, names)?;
         entry.started_at = self.start_times.started_at(id, entry.started_at, now);
         if id == next_id {
-            self.ids.insert(host.host.clone(), id);
+            self.ids.insert(host.name.clone(), id);
             self.workers.push(KnownWorker { address: None, draining_since: None });
         }
         let worker = &mut self.workers[id.0 as usize];
         // The address of a worker that is gone may be left out.
-        worker.address = host.dial.or(worker.address);
+        worker.address = host.address.or(worker.address);
         worker.set_accepts_work(entry.lifecycle == Lifecycle::Ready);
         Ok(entry)
     }
--- a/crates/frontend-http1/src/body_reader.rs
+++ b/crates/frontend-http1/src/body_reader.rs
@@ -79,7 +79,7 @@
 
     /// Ends a body whose client has disconnected.
     pub fn client_disconnected(self) {
-        self.writer.end(BodyEnd::ClientBroke);
+        self.writer.end(BodyEnd::ClientDisconnected);
     }
 
     fn is_ready_to_stream(&self) -> bool {
@@ -125,8 +125,8 @@
         match timeout_at(deadline, connection.read_body_chunk(&mut self.framing, chunk)).await {
             None => Err(BodyEnd::TooSlow),
             Some(Ok(more)) => Ok(more),
-            Some(Err(WireError::BodyTooLarge)) => Err(BodyEnd::TooLong),
-            Some(Err(_)) => Err(BodyEnd::ClientBroke),
+            Some(Err(WireError::BodyTooLarge)) => Err(BodyEnd::TooLarge),
+            Some(Err(_)) => Err(BodyEnd::ClientDisconnected),
         }
     }
 
@@ -137,7 +137,7 @@
         // disconnected.
         let disconnected = async {
             connection.peer_closed().await;
-            Err(BodyEnd::ClientBroke)
+            Err(BodyEnd::ClientDisconnected)
         };
         or(self.writer.push(block), disconnected).await?;
         self.extend_upload_deadline(waiting_since.elapsed());
--- a/crates/frontend-http1/src/job_exchange.rs
+++ b/crates/frontend-http1/src/job_exchange.rs
@@ -168,7 +168,7 @@
     match or(answer, interrupted).await {
         Ok(answer) => {
             // After an early answer the rest of the body cannot be distinguished from the next request.
-            let reusable = body.end().is_some_and(BodyEnd::is_whole);
+            let reusable = body.end().is_some_and(BodyEnd::is_complete);
             Some(Exchange { response: Response::from_answer(answer), reusable, carried_job: true })
         }
         Err(end) => {
@@ -188,12 +188,12 @@
 ) -> BodyEnd {
     if let Some(reader) = unread {
         let end = reader.stream_rest(frontend, connection).await;
-        if !end.is_whole() {
+        if !end.is_complete() {
             return end;
         }
     }
     connection.read_ahead_until_closed().await;
-    BodyEnd::ClientBroke
+    BodyEnd::ClientDisconnected
 }
 
 /// The outcome of a job whose body was not received completely. One that could not be stored is passed to the
@@ -219,12 +219,12 @@
 /// Whether the body could not be stored and such bodies are rejected.
 fn is_storage_failure(end: BodyEnd) -> bool {
     match end {
-        BodyEnd::DiskFull | BodyEnd::DiskFailed | BodyEnd::DiskSlow | BodyEnd::BudgetGone => true,
+        BodyEnd::DiskFull | BodyEnd::DiskFailed | BodyEnd::DiskSlow | BodyEnd::BudgetExhausted => true,
         BodyEnd::InMemory | BodyEnd::InFile | BodyEnd::Streamed => false,
-        BodyEnd::ClientBroke
-        | BodyEnd::TooLong
+        BodyEnd::ClientDisconnected
+        | BodyEnd::TooLarge
         | BodyEnd::TooSlow
-        | BodyEnd::Refused
-        | BodyEnd::NeverBegun => false,
+        | BodyEnd::RequestConcluded
+        | BodyEnd::NeverStarted => false,
     }
 }
--- a/crates/frontend-http1/src/response.rs
+++ b/crates/frontend-http1/src/response.rs
@@ -59,11 +59,11 @@
     /// rejects the job.
     pub fn from_body_end(end: BodyEnd) -> Option<Response> {
         match end {
-            BodyEnd::TooLong => Some(Response::body_too_large()),
+            BodyEnd::TooLarge => Some(Response::body_too_large()),
             BodyEnd::TooSlow => Some(Response::request_timeout()),
-            BodyEnd::ClientBroke | BodyEnd::Refused | BodyEnd::NeverBegun => None,
+            BodyEnd::ClientDisconnected | BodyEnd::RequestConcluded | BodyEnd::NeverStarted => None,
             BodyEnd::InMemory | BodyEnd::InFile | BodyEnd::Streamed => None,
-            BodyEnd::DiskFull | BodyEnd::DiskFailed | BodyEnd::DiskSlow | BodyEnd::BudgetGone => None,
+            BodyEnd::DiskFull | BodyEnd::DiskFailed | BodyEnd::DiskSlow | BodyEnd::BudgetExhausted => None,
         }
     }
 
--- a/crates/node/src/check.rs
+++ b/crates/node/src/check.rs
@@ -38,7 +38,7 @@
         config.listen,
         config.classes.len(),
         config.tenants.len(),
-        config.known.hosts.len(),
+        config.known_workers.workers.len(),
         size(*largest_bytes),
     );
     let _ = write!(line, ", in memory {} each, {} in all", size(memory.each_bytes), size(memory.total_bytes));
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -45,13 +45,13 @@
         if self.config.operator.membership != next.operator.membership {
             warn!("membership settings changed, restart required");
         }
-        self.descriptors.set_node_limit(next.sockets);
+        self.descriptors.set_node_limit(next.max_descriptors);
         if next.discovery != self.config.discovery {
             // The receiver lives as long as the node, so the channel cannot be closed.
             let _ = self.discovery_changes.try_send(next.discovery);
         }
         self.config = next;
-        info!(discovery = %self.config.discovery, sockets = self.config.sockets, "configuration reloaded");
+        info!(discovery = %self.config.discovery, sockets = self.config.max_descriptors, "configuration reloaded");
         if !restart_keys.is_empty() {
             warn!(keys = restart_keys.join(", "), "settings changed, restart required");
         }
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -47,7 +47,7 @@
     let lifecycle = Rc::<LifecycleHandle>::default();
     let frontend = Frontend::new(engine.clone(), &config, lifecycle.clone());
     let member = ClusterMember::start(&config)?.map(Rc::new);
-    let admin_listener = config.ops.map(listen_for_admin).transpose()?;
+    let admin_listener = config.admin.map(listen_for_admin).transpose()?;
     let listener = ClientListener::open(inherited, &config)?;
     let registry = register_process(&config, listener.queue);
 
@@ -62,9 +62,9 @@
     log_ready(&config, admin_address, &listener);
 
     let (discovery_changes, discovery_addresses) = async_channel::unbounded();
-    engine.start(config.discovery, config.known.seq, discovery_addresses);
+    engine.start(config.discovery, config.known_workers.version, discovery_addresses);
     close_idle_connections(&engine, frontend.clone());
-    let descriptors = Rc::new(DescriptorShare::new(engine.clone(), frontend.clone(), config.sockets));
+    let descriptors = Rc::new(DescriptorShare::new(engine.clone(), frontend.clone(), config.max_descriptors));
     if let Some(registry) = registry {
         share_descriptors(&engine, descriptors.clone(), registry);
     }
--- a/crates/node/src/start_error.rs
+++ b/crates/node/src/start_error.rs
@@ -9,7 +9,7 @@
 #[derive(Debug)]
 pub enum StartError {
     /// A setting is at fault.
-    Config(sorrelhaven_config::Error),
+    Config(sorrelhaven_config::ConfigError),
     /// The inherited descriptor is no listening socket.
     Inherit(InheritError),
     /// The inherited listener cannot be registered with the event loop.
--- a/crates/simulator/src/error.rs
+++ b/crates/simulator/src/error.rs
@@ -9,7 +9,7 @@
     /// The line is not a batch.
     Malformed(serde_json::Error),
     /// The settings of a new instance are invalid.
-    InvalidSettings(sorrelhaven_config::Error),
+    InvalidSettings(sorrelhaven_config::ConfigError),
     /// An event names an instance that does not exist.
     UnknownInstance(String),
     /// An update refers to a worker list that was never sent.
