--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -161,7 +161,7 @@
     pub fn arrive_with_key(&mut self, now: Micros, affinity_key: u64) -> Option<WorkerId> {
         let request = self.next_id();
         let arrival = Arrival { affinity_key, ..arrival(request, 0, now + 5 * SEC, 100 * MS) };
-        sends(&self.dispatch(now, Event::Arrival(arrival))).first().map(|send| send.1)
+        sends(&self.dispatch(now, Event::Arrival(arrival))).first().map(|send| send.worker)
     }
 
     /// An attempt ends after 10 ms.
@@ -183,7 +183,7 @@
         speed: impl Fn(WorkerId) -> f64,
     ) -> Option<WorkerId> {
         let (request, actions) = self.arrive(now, 0, work_hint);
-        let worker = sends(&actions).first().map(|send| send.1)?;
+        let worker = sends(&actions).first().map(|send| send.worker)?;
         self.dispatch(now + MS, Event::AttemptStarted { request, attempt: 0, worker });
         let elapsed = (work_hint as f64 / speed(worker)) as Micros;
         self.dispatch(now + elapsed, attempt_ended(request, (worker, 0), Outcome::Ok, elapsed));
@@ -191,10 +191,17 @@
     }
 }
 
-/// The requests that were sent, and to which workers.
-pub fn sends(actions: &[Action]) -> Vec<(RequestId, WorkerId)> {
-    let send = |action: &Action| match action {
-        Action::Send { request, worker, .. } => Some((*request, *worker)),
+/// A request that was sent to a worker.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct SentRequest {
+    pub request: RequestId,
+    pub worker: WorkerId,
+}
+
+/// The requests that were sent, in order.
+pub fn sends(actions: &[Action]) -> Vec<SentRequest> {
+    let send = |action: &Action| match *action {
+        Action::Send { request, worker, .. } => Some(SentRequest { request, worker }),
         _ => None,
     };
     actions.iter().filter_map(send).collect()
--- a/crates/dispatcher/tests/many_dispatchers.rs
+++ b/crates/dispatcher/tests/many_dispatchers.rs
@@ -234,7 +234,7 @@
         for key in 1..40 {
             let (request, now) = (RequestId(key), key as Micros * SEC);
             let arrival = Arrival { affinity_key: key, ..arrival(request, 1, now + 5 * SEC, 300 * MS) };
-            let worker = sends(&harness.dispatch(now, Event::Arrival(arrival)))[0].1;
+            let worker = sends(&harness.dispatch(now, Event::Arrival(arrival)))[0].worker;
             *workers_of_key.entry((zone, key)).or_default().entry(worker.0).or_default() += 1;
             crossed_zones += usize::from(worker.0 as usize % ZONES != zone);
             all += 1;
--- a/crates/dispatcher/tests/pending_and_timers.rs
+++ b/crates/dispatcher/tests/pending_and_timers.rs
@@ -28,14 +28,14 @@
         settings.classes[0].late_fraction = 0.5;
         let mut harness = DispatcherHarness::new(settings, 1);
         let (running, actions) = harness.arrive(0, 0, 100 * MS);
-        let worker = sends(&actions).first().expect("it is sent").1;
+        let worker = sends(&actions).first().expect("it is sent").worker;
         let (late, actions) = harness.arrive(MS, 0, 100 * MS);
         assert!(sends(&actions).is_empty(), "it waits behind the first");
         let (recent, actions) = harness.arrive(freed_at - 10 * MS, 0, 100 * MS);
         assert!(sends(&actions).is_empty(), "it waits as well");
         let served = attempt_ended(running, (worker, 0), Outcome::Ok, 100 * MS);
         let actions = harness.dispatch(freed_at, served);
-        let first = sends(&actions).first().map(|send| send.0);
+        let first = sends(&actions).first().map(|send| send.request);
         assert_eq!(first, Some(recent), "not {late:?} at {freed_at}");
     }
 }
--- a/crates/dispatcher/tests/retries.rs
+++ b/crates/dispatcher/tests/retries.rs
@@ -8,7 +8,7 @@
 fn non_idempotent_request_that_may_have_run_fails_without_a_retry() {
     let mut harness = DispatcherHarness::new(settings(), 3);
     let (request, actions) = harness.arrive(SEC, 1, 50 * MS);
-    let worker = sends(&actions)[0].1;
+    let worker = sends(&actions)[0].worker;
     let actions = harness.end_attempt(SEC + 10 * MS, request, (worker, 0), Outcome::Reset);
     assert!(actions.contains(&Action::Fail { request }));
     assert!(sends(&actions).is_empty());
@@ -18,10 +18,10 @@
 fn non_idempotent_request_that_was_rejected_is_retried_at_another_worker() {
     let mut harness = DispatcherHarness::new(settings(), 3);
     let (request, actions) = harness.arrive(SEC, 1, 50 * MS);
-    let worker = sends(&actions)[0].1;
+    let worker = sends(&actions)[0].worker;
     let again = sends(&harness.end_attempt(SEC + 10 * MS, request, (worker, 0), Outcome::Rejected));
     assert_eq!(again.len(), 1);
-    assert_ne!(again[0].1, worker);
+    assert_ne!(again[0].worker, worker);
 }
 
 #[test]
@@ -30,7 +30,7 @@
     settings.limits.rejection_may_have_run = true;
     let mut harness = DispatcherHarness::new(settings, 3);
     let (request, actions) = harness.arrive(SEC, 1, 50 * MS);
-    let worker = sends(&actions)[0].1;
+    let worker = sends(&actions)[0].worker;
     let actions = harness.end_attempt(SEC + 10 * MS, request, (worker, 0), Outcome::Rejected);
     assert!(actions.contains(&Action::Fail { request }));
 }
@@ -39,11 +39,11 @@
 fn zone_keyed_request_is_retried_in_its_zone() {
     let mut harness = DispatcherHarness::new(settings(), 6);
     let (request, actions) = harness.arrive(SEC, 2, 50 * MS);
-    let first = sends(&actions)[0].1;
+    let first = sends(&actions)[0].worker;
     let again = sends(&harness.end_attempt(SEC + 10 * MS, request, (first, 0), Outcome::Reset));
     assert_eq!(again.len(), 1);
-    assert_eq!(again[0].1.0 % 2, first.0 % 2);
-    assert_ne!(again[0].1, first);
+    assert_eq!(again[0].worker.0 % 2, first.0 % 2);
+    assert_ne!(again[0].worker, first);
 }
 
 #[test]
@@ -52,10 +52,10 @@
     settings.limits.rejection_may_have_run = true;
     let mut harness = DispatcherHarness::new(settings, 4);
     let (request, actions) = harness.arrive(SEC, 2, 50 * MS);
-    let first = sends(&actions)[0].1;
+    let first = sends(&actions)[0].worker;
     let again = sends(&harness.end_attempt(SEC + 5 * MS, request, (first, 0), Outcome::Rejected));
-    assert_eq!(again[0].1.0 % 2, first.0 % 2);
-    let actions = harness.end_attempt(SEC + 10 * MS, request, (again[0].1, 1), Outcome::Rejected);
+    assert_eq!(again[0].worker.0 % 2, first.0 % 2);
+    let actions = harness.end_attempt(SEC + 10 * MS, request, (again[0].worker, 1), Outcome::Rejected);
     assert!(!actions.iter().any(|action| matches!(action, Action::Reject { .. })), "{actions:?}");
 }
 
@@ -75,7 +75,7 @@
         ] {
             let mut harness = DispatcherHarness::new(settings(), 3);
             let (request, actions) = harness.arrive(SEC, class, 50 * MS);
-            let worker = sends(&actions)[0].1;
+            let worker = sends(&actions)[0].worker;
             assert_eq!(sends(&harness.dispatch(SEC + MS, Event::BodyConsumed(request))), []);
             let actions = harness.end_attempt(SEC + 2 * MS, request, (worker, 0), outcome);
             let answer = match never_ran {
@@ -125,7 +125,7 @@
 fn attempt_at_a_silent_worker_is_withdrawn_and_retried_in_time() {
     let mut harness = DispatcherHarness::new(settings(), 3);
     let (request, actions) = harness.arrive(SEC, 0, 200 * MS);
-    let worker = sends(&actions)[0].1;
+    let worker = sends(&actions)[0].worker;
     let mut timer = timer_of(&actions, SEC);
     while let Some((now, token)) = timer.take() {
         assert!(now < SEC + 700 * MS, "no withdrawal in time");
@@ -133,7 +133,7 @@
         if actions.contains(&Action::Cancel { request, attempt: 0 }) {
             let again = sends(&harness.end_attempt(now + MS, request, (worker, 0), Outcome::Cancelled));
             assert_eq!(again.len(), 1);
-            assert_ne!(again[0].1, worker);
+            assert_ne!(again[0].worker, worker);
             return;
         }
         timer = timer_of(&actions, now);
--- a/crates/dispatcher/tests/selection.rs
+++ b/crates/dispatcher/tests/selection.rs
@@ -109,7 +109,8 @@
     );
     assert_eq!(harness.arrive_with_key(now, 7), None, "it waits, though the other worker has begun its job");
     let actions = harness.end_attempt(now + 50 * MS, RequestId(0), (busy, 0), Outcome::Ok);
-    assert_eq!(sends(&actions), [(RequestId(harness.next_request - 1), busy)]);
+    let request = RequestId(harness.next_request - 1);
+    assert_eq!(sends(&actions), [SentRequest { request, worker: busy }]);
 }
 
 /// Workers may serve by priority: one class waits for seconds where another starts at once. A single wait
@@ -125,7 +126,7 @@
     }
     // The faster worker lets a job of class 1 wait for a second, then starts jobs of class 0 at once.
     let (request, actions) = harness.arrive(now, 1, 50 * MS);
-    assert_eq!(sends(&actions)[0].1, WorkerId(0));
+    assert_eq!(sends(&actions)[0].worker, WorkerId(0));
     harness.dispatch(now + SEC, Event::AttemptStarted { request, attempt: 0, worker: WorkerId(0) });
     now += SEC + 50 * MS;
     harness.end_attempt(now, request, (WorkerId(0), 0), Outcome::InvalidRequest);
@@ -134,5 +135,5 @@
         now += 100 * MS;
     }
     let (_, actions) = harness.arrive(now, 1, 50 * MS);
-    assert_eq!(sends(&actions)[0].1, WorkerId(1), "it goes where its class does not wait");
+    assert_eq!(sends(&actions)[0].worker, WorkerId(1), "it goes where its class does not wait");
 }
--- a/crates/dispatcher/tests/slow_start.rs
+++ b/crates/dispatcher/tests/slow_start.rs
@@ -13,7 +13,8 @@
     for job in 0..100 {
         let now = 10 * SEC + job * 10 * MS;
         let (request, actions) = harness.arrive(now, 0, 40 * MS);
-        if let Some(&(_, worker)) = sends(&actions).iter().find(|send| send.0 == request) {
+        if let Some(&SentRequest { worker, .. }) = sends(&actions).iter().find(|send| send.request == request)
+        {
             sent_work += 40 * MS;
             harness.dispatch(now + MS, Event::AttemptStarted { request, attempt: 0, worker });
         }
@@ -35,7 +36,8 @@
     for job in 0..100 {
         let now = started_at + job * 10 * MS;
         let (request, actions) = harness.arrive(now, 0, 5 * MS);
-        if let Some(&(_, worker)) = sends(&actions).iter().find(|send| send.0 == request) {
+        if let Some(&SentRequest { worker, .. }) = sends(&actions).iter().find(|send| send.request == request)
+        {
             sent += 1;
             harness.dispatch(now + MS, Event::AttemptStarted { request, attempt: 0, worker });
         }
--- a/crates/dispatcher/tests/unreported_starts.rs
+++ b/crates/dispatcher/tests/unreported_starts.rs
@@ -559,7 +559,7 @@
         let at = now + job * 4 * MS;
         let (request, actions) = harness.arrive(at, 1, 50 * MS);
         let worker = WorkerId(0);
-        if sends(&actions).iter().any(|send| send.1 == worker) {
+        if sends(&actions).iter().any(|send| send.worker == worker) {
             sent += 1;
             harness.dispatch(at + MS, Event::AttemptStarted { request, attempt: 0, worker });
             harness.end_attempt(at + 2 * MS, request, (worker, 0), Outcome::Ok);
@@ -599,7 +599,7 @@
             harness.dispatch(0, full_list(list.to_vec()));
         }
         let (_, actions) = harness.arrive(2 * MS, 0, 200 * MS);
-        jobs_at[sends(&actions)[0].1.0 as usize] += 1;
+        jobs_at[sends(&actions)[0].worker.0 as usize] += 1;
     }
     jobs_at
 }
--- a/crates/dispatcher/tests/worker_health.rs
+++ b/crates/dispatcher/tests/worker_health.rs
@@ -14,7 +14,7 @@
         let sent = sends(&actions);
         assert_eq!(sent.len(), 1, "the worker still gets work");
         let actions =
-            harness.end_attempt(second * SEC + MS, request, (sent[0].1, 0), Outcome::InvalidRequest);
+            harness.end_attempt(second * SEC + MS, request, (sent[0].worker, 0), Outcome::InvalidRequest);
         assert_eq!(actions, [Action::Fail { request }]);
     }
 }
@@ -68,10 +68,10 @@
     let mut harness = DispatcherHarness::new(settings(), 1);
     let (request, _) = harness.arrive(SEC, 0, 100 * MS);
     harness.end_attempt(SEC + 10 * MS, request, (WorkerId(0), 0), Outcome::Rejected);
-    let urgent = harness.arrive(SEC + 600 * MS, 0, 10 * MS);
-    assert!(sends(&urgent.1).is_empty(), "too little time for the queue");
-    let patient = harness.arrive(SEC + 610 * MS, 0, 400 * MS);
-    assert_eq!(sends(&patient.1), vec![(patient.0, WorkerId(0))]);
+    let (_, actions) = harness.arrive(SEC + 600 * MS, 0, 10 * MS);
+    assert!(sends(&actions).is_empty(), "too little time for the queue");
+    let (request, actions) = harness.arrive(SEC + 610 * MS, 0, 400 * MS);
+    assert_eq!(sends(&actions), [SentRequest { request, worker: WorkerId(0) }]);
 }
 
 /// A worker that is full for one class serves the others. A class whose jobs are lost by a rejection stays
@@ -84,9 +84,10 @@
     let (request, _) = harness.arrive(SEC, 1, 100 * MS);
     let answer = harness.end_attempt(SEC + 10 * MS, request, (WorkerId(0), 0), Outcome::Rejected);
     assert!(answer.contains(&Action::Fail { request }));
-    let other = harness.arrive(2 * SEC, 0, 400 * MS);
-    assert_eq!(sends(&other.1), vec![(other.0, WorkerId(0))], "another class is served");
-    harness.end_attempt(2 * SEC + 400 * MS, other.0, (WorkerId(0), 0), Outcome::Ok);
+    let (other, actions) = harness.arrive(2 * SEC, 0, 400 * MS);
+    let expected = SentRequest { request: other, worker: WorkerId(0) };
+    assert_eq!(sends(&actions), [expected], "another class is served");
+    harness.end_attempt(2 * SEC + 400 * MS, other, (WorkerId(0), 0), Outcome::Ok);
     assert!(sends(&harness.arrive(4 * SEC, 1, 400 * MS).1).is_empty(), "this class stays away");
     assert_eq!(sends(&harness.arrive(8 * SEC, 1, 400 * MS).1).len(), 1, "and is probed later");
 }
@@ -115,7 +116,7 @@
     for second in 1..60 {
         let now = second * SEC;
         let (request, actions) = harness.arrive(now, 0, 50 * MS);
-        let worker = sends(&actions)[0].1;
+        let worker = sends(&actions)[0].worker;
         harness.dispatch(now + 600 * MS, Event::RequestSent { request, attempt: 0, worker });
         harness.dispatch(now + 601 * MS, Event::AttemptStarted { request, attempt: 0, worker });
         harness.dispatch(now + 651 * MS, attempt_ended(request, (worker, 0), Outcome::Ok, 50 * MS));
@@ -142,14 +143,14 @@
     );
     // One that cannot be connected to is ejected until a probe shows that it is back.
     let (request, actions) = harness.arrive(SEC, 1, 40 * MS);
-    let (_, worker) = sends(&actions)[0];
+    let worker = sends(&actions)[0].worker;
     harness.end_attempt(SEC + MS, request, (worker, 0), Outcome::ConnectFailed);
     let counts = worker_counts(&harness, SEC + MS);
     assert_eq!((counts.known, counts.ejected, counts.unavailable()), (5, 1, 2));
     for offset in 0..40 {
         let (_, actions) = harness.arrive(SEC + 2 * MS + offset, 1, 40 * MS);
         assert!(
-            sends(&actions).iter().all(|send| send.1 != worker && send.1 != WorkerId(0)),
+            sends(&actions).iter().all(|send| send.worker != worker && send.worker != WorkerId(0)),
             "neither gets work"
         );
     }
