--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -23,6 +23,7 @@
 mod capacity;
 mod context;
 mod decayed_mean;
+mod decayed_wait;
 mod discovery_retry;
 mod health;
 mod machine_kind;
--- a/crates/dispatcher/src/dispatcher/worker.rs
+++ b/crates/dispatcher/src/dispatcher/worker.rs
@@ -3,33 +3,11 @@
 use crate::dispatcher::attempt::{Attempt, AttemptId};
 use crate::dispatcher::cached_keys::CachedKeys;
 use crate::dispatcher::capacity::EstimatedCapacity;
+use crate::dispatcher::decayed_wait::DecayedWait;
 use crate::dispatcher::health::WorkerHealth;
 use crate::dispatcher::slow_start::SlowStartDebt;
 use crate::interface::{Lifecycle, Micros, WorkerEntry};
 
-/// The weight of a measured wait halves in this time, in microseconds.
-const WAIT_HALF_LIFE: f64 = 2_000_000.0;
-
-/// How long jobs of one class have waited for their start; the measurement loses weight over time.
-#[derive(Clone, Copy, Default)]
-pub(super) struct DecayedWait {
-    /// In microseconds.
-    wait: f64,
-    measured_at: Micros,
-}
-
-impl DecayedWait {
-    /// Returns the present weight of the measurement, from 1 down to 0.
-    fn weight(&self, now: Micros) -> f64 {
-        (-((now - self.measured_at) as f64) / WAIT_HALF_LIFE).exp2()
-    }
-
-    /// Returns the present wait, which fades from the measured one to the expected one.
-    fn at(&self, now: Micros, expected: f64) -> f64 {
-        expected + (self.wait - expected) * self.weight(now)
-    }
-}
-
 /// A worker: its list entry, its outstanding attempts, and what its answers have shown.
 #[derive(Default)]
 pub(super) struct Worker {
@@ -103,14 +81,12 @@
 
     /// Records a measured wait, in microseconds, and averages it with earlier ones.
     pub(super) fn record_wait(&mut self, class: usize, now: Micros, waited: f64) {
-        let known = &mut self.waits[class];
-        let weight = known.weight(now);
-        *known = DecayedWait { wait: (known.wait * weight + waited) / (1.0 + weight), measured_at: now };
+        self.waits[class].record(now, waited);
     }
 
     /// Raises the wait to at least this, in microseconds.
     pub(super) fn raise_wait(&mut self, class: usize, now: Micros, at_least: f64) {
         let wait = self.current_wait(class, now, 0.0).max(at_least);
-        self.waits[class] = DecayedWait { wait, measured_at: now };
+        self.waits[class].set(now, wait);
     }
 }
