--- a/crates/dispatcher/src/dispatcher/prediction.rs
+++ b/crates/dispatcher/src/dispatcher/prediction.rs
@@ -33,7 +33,8 @@
     /// median worker. Overdue jobs count as failures until the worker shows a sign of life.
     pub(super) fn penalised_capacity(&self, worker: &Worker, class: usize, now: Micros) -> f64 {
         let capacity = worker.capacity.of_class(class) * self.capacity_fraction(worker, now);
-        let overdue = worker.in_flight.iter().filter(|attempt| is_overdue(worker, attempt, capacity, now));
+        let overdue =
+            worker.outstanding().iter().filter(|attempt| is_overdue(worker, attempt, capacity, now));
         let failures = self.health.excess_failures(worker) as f64 + overdue.count() as f64;
         capacity / (1.0 + FAILURE_PENALTY * failures)
     }
@@ -46,7 +47,7 @@
         let capacity = self.penalised_capacity(worker, class, now);
         let slots = self.workers.kind(worker).slots();
         let ahead = remaining_work(worker, capacity, now);
-        let must_fetch = request.affinity_key != 0 && !worker.cached_keys.contains(request.affinity_key);
+        let must_fetch = request.affinity_key != 0 && !worker.has_key(request.affinity_key);
         let fetch = if must_fetch { KEY_FETCH_COST * self.arrivals.mean_size() } else { 0.0 };
         let run = request.size / capacity + fetch;
         let queue_and_run = ahead / (capacity * slots) + run;
@@ -159,7 +160,7 @@
 /// standard core.
 fn remaining_work(worker: &Worker, capacity: f64, now: Micros) -> f64 {
     let mut work = 0.0;
-    for attempt in &worker.in_flight {
+    for attempt in worker.outstanding() {
         let done = attempt.started_at.map_or(0.0, |started_at| (now - started_at) as f64 * capacity);
         work += attempt.slots * (attempt.size - done).max(attempt.size * MIN_REMAINING_SHARE);
     }
--- a/crates/dispatcher/src/dispatcher/requests.rs
+++ b/crates/dispatcher/src/dispatcher/requests.rs
@@ -95,10 +95,8 @@
         let slots = self.workers.kind(self.workers.get(worker_id)).slots();
         let Some(request) = self.requests.get_mut(&id) else { return };
         let attempt = begin_attempt(now, id, request, worker_id);
-        let worker = self.workers.get_mut(worker_id);
-        worker.cached_keys.record_sent(request.affinity_key, slots);
-        worker.in_flight.push(attempt);
-        worker.slow_start_debt = debt;
+        let key = request.affinity_key;
+        self.workers.get_mut(worker_id).record_send(attempt, key, slots, debt);
         actions.push(Action::Send { request: id, worker: worker_id, timeout: 0, send_by });
         self.timers.schedule(id, check_at);
     }
--- a/crates/dispatcher/src/dispatcher/selection.rs
+++ b/crates/dispatcher/src/dispatcher/selection.rs
@@ -89,7 +89,7 @@
             - self.request.size / worker.capacity.of_class(class);
         self.context.health.excess_failures(worker) > 0
             && worker.health.probe_pause_is_over(self.now)
-            && worker.in_flight.is_empty()
+            && worker.outstanding().is_empty()
             && worker.current_wait(class, self.now, 0.0) <= time_left.max(0.0)
     }
 
@@ -145,7 +145,7 @@
     /// unnecessary.
     fn cost(&self, worker: WorkerId) -> f64 {
         let cost = self.context.cost_of_send(self.request, worker, self.now);
-        let cached = || self.context.workers.get(worker).cached_keys.contains(self.request.affinity_key);
+        let cached = || self.context.workers.get(worker).has_key(self.request.affinity_key);
         let is_spared_fetch = self.affinity_set.contains(&worker) && !cached();
         cost - if is_spared_fetch { self.affinity_discount() } else { 0.0 }
     }
@@ -184,7 +184,7 @@
         let key = self.request.affinity_key;
         key == 0
             || self.affinity_set.contains(&worker)
-            || self.context.workers.get(worker).cached_keys.contains(key)
+            || self.context.workers.get(worker).has_key(key)
             || self.context.workers.excess_zone_groups() > 0.0 && self.is_free_for(worker)
     }
 }
--- a/crates/dispatcher/src/dispatcher/slow_start.rs
+++ b/crates/dispatcher/src/dispatcher/slow_start.rs
@@ -74,7 +74,7 @@
         let debt = self.slow_start_debt(id, now);
         // A worker that is late with its jobs has less capacity than assumed.
         let is_behind = worker
-            .in_flight
+            .outstanding()
             .iter()
             .any(|attempt| attempt.waited(now) > 2.0 * attempt.size / rate.capacity + START_GRACE as f64);
         let fits_share = debt.max(0.0) + cost <= rate.share * window;
@@ -100,7 +100,7 @@
 
     /// Returns the work sent in excess of this dispatcher's share; below 0 if it has sent less.
     fn slow_start_debt(&self, id: WorkerId, now: Micros) -> f64 {
-        self.workers.get(id).slow_start_debt.at(now, self.slow_start_rate(id, now).share)
+        self.workers.get(id).slow_start_debt().at(now, self.slow_start_rate(id, now).share)
     }
 
     /// Estimates the worker's present capacity from the work of all dispatchers and its share of the total
--- a/crates/dispatcher/src/dispatcher/worker.rs
+++ b/crates/dispatcher/src/dispatcher/worker.rs
@@ -14,9 +14,9 @@
     pub(super) entry: WorkerEntry,
     pub(super) capacity: EstimatedCapacity,
     pub(super) health: WorkerHealth,
-    pub(super) slow_start_debt: SlowStartDebt,
-    pub(super) cached_keys: CachedKeys,
-    pub(super) in_flight: Vec<Attempt>,
+    slow_start_debt: SlowStartDebt,
+    cached_keys: CachedKeys,
+    outstanding: Vec<Attempt>,
     /// By class.
     waits: Vec<DecayedWait>,
 }
@@ -41,14 +41,37 @@
         self.entry.lifecycle == Lifecycle::Ready
     }
 
+    /// Records an attempt that is sent to the worker: the key of its job, the worker's slots, and the
+    /// slow-start debt after it.
+    pub(super) fn record_send(&mut self, attempt: Attempt, key: u64, slots: f64, debt: SlowStartDebt) {
+        self.outstanding.push(attempt);
+        self.cached_keys.record_sent(key, slots);
+        self.slow_start_debt = debt;
+    }
+
+    /// Returns the attempts that have no outcome yet.
+    pub(super) fn outstanding(&self) -> &[Attempt] {
+        &self.outstanding
+    }
+
+    /// Returns whether the worker is expected to have the data of this key.
+    pub(super) fn has_key(&self, key: u64) -> bool {
+        self.cached_keys.contains(key)
+    }
+
+    /// Returns the slow-start debt when it was last updated.
+    pub(super) fn slow_start_debt(&self) -> SlowStartDebt {
+        self.slow_start_debt
+    }
+
     /// Returns the slots used by all outstanding attempts.
     pub(super) fn outstanding_slots(&self) -> f64 {
-        self.in_flight.iter().map(|attempt| attempt.slots).sum()
+        self.outstanding.iter().map(|attempt| attempt.slots).sum()
     }
 
     /// Returns the slots used by the attempts that have started.
     pub(super) fn running_slots(&self) -> f64 {
-        self.in_flight
+        self.outstanding
             .iter()
             .filter(|attempt| attempt.started_at.is_some())
             .map(|attempt| attempt.slots)
@@ -57,18 +80,18 @@
 
     /// Returns the attempts without a start notice.
     pub(super) fn unstarted(&self) -> impl Iterator<Item = &Attempt> {
-        self.in_flight.iter().filter(|attempt| attempt.started_at.is_none())
+        self.outstanding.iter().filter(|attempt| attempt.started_at.is_none())
     }
 
     /// Returns the outstanding attempt with this id.
     pub(super) fn attempt_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
-        self.in_flight.iter_mut().find(|attempt| attempt.id == id)
+        self.outstanding.iter_mut().find(|attempt| attempt.id == id)
     }
 
     /// Removes and returns the outstanding attempt with this id.
     pub(super) fn take_attempt(&mut self, id: AttemptId) -> Option<Attempt> {
-        let index = self.in_flight.iter().position(|attempt| attempt.id == id)?;
-        Some(self.in_flight.swap_remove(index))
+        let index = self.outstanding.iter().position(|attempt| attempt.id == id)?;
+        Some(self.outstanding.swap_remove(index))
     }
 
     /// Returns how long a job that is sent now would wait for its start, in microseconds: the measured
