--- a/crates/node/tests/large_lists.rs
+++ b/crates/node/tests/large_lists.rs
@@ -1,10 +1,9 @@
 //! Worker lists of a thousand entries within the least memory and descriptors, and lists that are mostly out of date.
 
 use sorrelhaven_test_support::{
-    CHUNKED_RESPONSE_HEAD, FakeWorkers, Program, RefusingPort, ScratchDir, TestRequest, read_request_target,
+    FakeWorkers, Program, RefusingPort, ScratchDir, TestRequest, begin_chunked_response, open_listener,
     send_chunk, worker_list,
 };
-use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::ops::Range;
 use std::process::Command;
@@ -42,7 +41,7 @@
     let known: Vec<String> = (0..WORKERS).map(|number| entry(number, addresses, "in_service")).collect();
     format!(
         r#"{{"name":"n1023","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"1f",
-            "limits":{{"sockets":256,"memory_mb":32}},"known":{},
+            "limits":{{"sockets":{DESCRIPTOR_LIMIT},"memory_mb":32}},"known":{},
             "settings":{{"balancers":1024,"me":1023,"zone":3,"zones":[{}],"kinds":[{}],
                 "ceilings":{{"maxAttempts":3,"dialTimeout":250000,"cancel":true}},
                 "invariants":{{"cold":24000000,"fall":1000000,"overloadFactor":3.0,"startCapacity":0.12}},
@@ -58,8 +57,7 @@
 /// Accepts a poll of the node and begins to answer it.
 fn accept_watch(discovery: &TcpListener) -> TcpStream {
     let mut stream = discovery.accept().expect("the node polls discovery").0;
-    read_request_target(&mut stream);
-    stream.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).expect("the node reads");
+    begin_chunked_response(&mut stream);
     stream
 }
 
@@ -71,68 +69,101 @@
     line.trim_matches(|character: char| !character.is_ascii_digit()).parse().expect("the value is a number")
 }
 
-/// The list is known from the start and is sent again indented; then there is an update for each worker, by which all
-/// but one leave and all return. Requests are answered throughout.
-#[test]
-fn a_node_among_1024_with_1025_workers_keeps_to_32_mb_and_256_descriptors() {
-    let addresses = FakeWorkers::new(8).addresses;
-    let discovery = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let scratch = ScratchDir::new("many");
-    let file = scratch.write(
-        "node.json",
-        &config(&addresses, discovery.local_addr().expect("the listener has an address")),
-    );
-    let mut command = Command::new("sh");
-    // The log is read only at the end: a line for each list would fill the pipe and block the node.
-    command.args(["-c", "ulimit -n 256; exec \"$0\"", env!("CARGO_BIN_EXE_sorrelhaven")]);
-    command.env("RUST_LOG", "info,sorrelhaven_engine::discovery_watch=warn");
-    command.env("RELAY_OPS", "127.0.0.1:0");
-    let node = Program::start(command, &file, None);
-    let send_requests = |numbers: Range<u64>| {
+/// A node with [`WORKERS`] known workers and little memory, and its discovery.
+struct LargeListNode {
+    program: Program,
+    addresses: Vec<SocketAddr>,
+    discovery: TcpListener,
+    _scratch: ScratchDir,
+}
+
+impl LargeListNode {
+    fn start() -> LargeListNode {
+        let addresses = FakeWorkers::new(8).addresses;
+        let (discovery, discovery_address) = open_listener();
+        let scratch = ScratchDir::new("many");
+        let file = scratch.write("node.json", &config(&addresses, discovery_address));
+        let mut command = Command::new("sh");
+        let limited = format!("ulimit -n {DESCRIPTOR_LIMIT}; exec \"$0\"");
+        command.args(["-c", &limited, env!("CARGO_BIN_EXE_sorrelhaven")]);
+        // The log is read only at the end: a line for each list would fill the pipe and block the node.
+        command.env("RUST_LOG", "info,sorrelhaven_engine::discovery_watch=warn");
+        command.env("RELAY_OPS", "127.0.0.1:0");
+        let program = Program::start(command, &file, None);
+        LargeListNode { program, addresses, discovery, _scratch: scratch }
+    }
+
+    /// All entries of the list, with this health.
+    fn entries(&self, health: &str) -> Vec<String> {
+        (0..WORKERS).map(|number| entry(number, &self.addresses, health)).collect()
+    }
+
+    /// Sends requests one after the other, all of which must be served.
+    fn send_requests(&self, numbers: Range<u64>) {
         for number in numbers {
             let request = TestRequest {
                 work_hint_micros: Some(20_000),
                 ..TestRequest::new(&format!("q-{number}"), "fee-charge", b"body".to_vec())
             };
-            let response = request.send(&node.address).expect("the request is answered");
+            let response = request.send(&self.program.address).expect("the request is answered");
             assert_eq!(response.status, 200, "{number}: {}", response.body);
         }
-    };
-    send_requests(0..100);
-    let mut watch = accept_watch(&discovery);
-    let entries = |health: &str| -> Vec<String> {
-        (0..WORKERS).map(|number| entry(number, &addresses, health)).collect()
-    };
-    send_chunk(&mut watch, &indented(&worker_list(2, true, &entries("in_service"))));
-    let mut version = 2;
-    for (first, health, skipped) in [(1, "terminating", WORKERS - 1), (0, "in_service", 0)] {
-        for entry in &entries(health)[first..] {
+    }
+
+    /// Sends an update for each entry, every third one indented, and returns the last version.
+    fn send_updates(&self, watch: &mut TcpStream, mut version: u64, entries: &[String]) -> u64 {
+        for entry in entries {
             version += 1;
             let update = worker_list(version, false, std::slice::from_ref(entry));
             let text = if version % 3 == 0 { indented(&update) } else { update + "\n" };
-            send_chunk(&mut watch, &text);
+            send_chunk(watch, &text);
         }
-        while node.metric("node_skipped_executors") != skipped as u64 {
+        version
+    }
+
+    /// Waits until the node skips this many workers.
+    fn wait_for_skipped(&self, count: usize) {
+        while self.program.metric("node_skipped_executors") != count as u64 {
             thread::yield_now();
         }
-        assert_eq!(node.metric("node_known_executors"), WORKERS as u64);
-        send_requests(version..version + 100);
+        assert_eq!(self.program.metric("node_known_executors"), WORKERS as u64);
+    }
+
+    fn check_resources(&self) {
+        let process_id = self.program.child.id();
+        let descriptors =
+            std::fs::read_dir(format!("/proc/{process_id}/fd")).expect("the process runs").count();
+        assert!(descriptors < DESCRIPTOR_LIMIT, "{descriptors} descriptors");
+        let peak_kib = process_status(&self.program, "VmHWM:");
+        println!("{peak_kib} KiB at most, {descriptors} descriptors");
+        assert!(peak_kib < MEMORY_LIMIT_KIB, "{peak_kib} KiB");
+    }
+}
+
+/// The list is known from the start and is sent again indented; then there is an update for each worker, by which all
+/// but one leave and all return. Requests are answered throughout.
+#[test]
+fn a_node_among_1024_with_1025_workers_keeps_to_32_mb_and_256_descriptors() {
+    let node = LargeListNode::start();
+    node.send_requests(0..100);
+    let mut watch = accept_watch(&node.discovery);
+    send_chunk(&mut watch, &indented(&worker_list(2, true, &node.entries("in_service"))));
+    let mut version = 2;
+    for (first, health, skipped) in [(1, "terminating", WORKERS - 1), (0, "in_service", 0)] {
+        version = node.send_updates(&mut watch, version, &node.entries(health)[first..]);
+        node.wait_for_skipped(skipped);
+        node.send_requests(version..version + 100);
     }
     // A list with an invalid entry is logged by its key and not applied, and the full list is polled.
-    let mut invalid = entries("terminating");
+    let mut invalid = node.entries("terminating");
     invalid[700] = invalid[700].replace("terminating", "asleep");
     send_chunk(&mut watch, &indented(&worker_list(version + 1, true, &invalid)));
-    let mut polled = accept_watch(&discovery);
-    send_chunk(&mut polled, &indented(&worker_list(version + 2, true, &entries("in_service"))));
-    send_requests(0..100);
-    assert_eq!(node.metric("node_skipped_executors"), 0);
-    let descriptors =
-        std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).expect("the process runs").count();
-    assert!(descriptors < DESCRIPTOR_LIMIT, "{descriptors} descriptors");
-    let peak_kib = process_status(&node, "VmHWM:");
-    println!("{peak_kib} KiB at most, {descriptors} descriptors");
-    assert!(peak_kib < MEMORY_LIMIT_KIB, "{peak_kib} KiB");
-    let log = node.terminate();
+    let mut polled = accept_watch(&node.discovery);
+    send_chunk(&mut polled, &indented(&worker_list(version + 2, true, &node.entries("in_service"))));
+    node.send_requests(0..100);
+    assert_eq!(node.program.metric("node_skipped_executors"), 0);
+    node.check_resources();
+    let log = node.program.terminate();
     let is_fault = |line: &&str| line.contains("hosts[700].health") && line.contains("asleep");
     let faults_logged = log.lines().filter(is_fault).count();
     assert_eq!(faults_logged, 1, "{log}");
@@ -144,7 +175,7 @@
 #[test]
 fn with_an_outdated_known_list_requests_are_answered_and_the_current_list_corrects_it() {
     let workers = FakeWorkers::new(4);
-    let discovery = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    let (discovery, discovery_address) = open_listener();
     let gone: Vec<_> = (0..16).map(|_| RefusingPort::new().expect("a port is free")).collect();
     let live = workers.addresses.iter().copied();
     let known: Vec<SocketAddr> = gone.iter().map(|port| port.address).chain(live).collect();
@@ -153,11 +184,10 @@
     };
     let entries: Vec<String> = known.iter().enumerate().map(entry).collect();
     let config = format!(
-        r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{}","seed":"1f","known":{},
+        r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery_address}","seed":"1f","known":{},
             "settings":{{"balancers":1,"ceilings":{{"maxAttempts":3,"dialTimeout":250000}},"invariants":{{}},
                 "familyInfo":{{"tellsStart":true}},
                 "grades":[{{"name":"fee","aim":300000,"deadline":5000000,"effect":"at_most_once"}}]}}}}"#,
-        discovery.local_addr().expect("the listener has an address"),
         worker_list(1, true, &entries)
     );
     let scratch = ScratchDir::new("stale");
--- a/crates/node/tests/program.rs
+++ b/crates/node/tests/program.rs
@@ -1,6 +1,6 @@
 //! The program as an operator starts it: its configuration, its answers, its signals and its exit.
 
-use sorrelhaven_test_support::{CHUNKED_RESPONSE_HEAD, Program, ScratchDir, chunk};
+use sorrelhaven_test_support::{CHUNKED_RESPONSE_HEAD, Program, ScratchDir, chunk, open_listener};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::ops::{Deref, DerefMut};
@@ -73,9 +73,8 @@
 
 /// A listener in place of a worker, and its address.
 fn open_worker() -> (TcpListener, String) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let address = listener.local_addr().expect("the listener has an address").to_string();
-    (listener, address)
+    let (listener, address) = open_listener();
+    (listener, address.to_string())
 }
 
 /// One line of a worker's response, as a chunk.
--- a/crates/node/tests/races/client_disconnect.rs
+++ b/crates/node/tests/races/client_disconnect.rs
@@ -2,10 +2,10 @@
 
 use crate::peers::{
     Cancellation, Disconnect, accept_watch, disconnect, done_response, first_request, list_entry,
-    next_request, no_discovery, open_listener, read_response, request_id, respond, send_request,
-    send_unsolicited_bytes, send_update, start_node, wait_for_counter,
+    next_request, no_discovery, read_response, request_id, respond, send_request, send_unsolicited_bytes,
+    send_update, start_node, wait_for_counter,
 };
-use sorrelhaven_test_support::StalledListener;
+use sorrelhaven_test_support::{StalledListener, open_listener};
 use std::net::TcpStream;
 
 /// The client disconnects while the connection to the worker is being established: nothing is sent for it, also where
--- a/crates/node/tests/races/flooding.rs
+++ b/crates/node/tests/races/flooding.rs
@@ -1,10 +1,10 @@
 //! Workers that never stop sending.
 
 use crate::peers::{
-    Cancellation, WAIT_TIMEOUT, done_response, first_request, no_discovery, open_listener, read_response,
-    send_request, start_node,
+    Cancellation, WAIT_TIMEOUT, done_response, first_request, no_discovery, read_response, send_request,
+    start_node,
 };
-use sorrelhaven_test_support::{CHUNKED_RESPONSE_HEAD, TestResponse, chunk};
+use sorrelhaven_test_support::{CHUNKED_RESPONSE_HEAD, TestResponse, chunk, open_listener};
 use std::io::Write;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
--- a/crates/node/tests/races/peers.rs
+++ b/crates/node/tests/races/peers.rs
@@ -1,7 +1,7 @@
 //! A node under test with its clients, its worker and its discovery, each driven step by step.
 
 use sorrelhaven_test_support::{
-    CHUNKED_RESPONSE_HEAD, Program, ScratchDir, TestRequest, TestResponse, chunk, read_request_target,
+    CHUNKED_RESPONSE_HEAD, Program, ScratchDir, TestRequest, TestResponse, begin_chunked_response, chunk,
     reset_connection, send_chunk, worker_list,
 };
 use std::io::{self, ErrorKind, Read, Write};
@@ -61,21 +61,14 @@
     "127.0.0.1:1".parse().expect("the text is an address")
 }
 
-/// A listener on loopback and its address.
-pub fn open_listener() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let address = listener.local_addr().expect("the listener has an address");
-    (listener, address)
-}
-
-/// A client connection on which a whole request has been sent.
+/// A client connection on which a request, with its body, has been sent.
 pub fn send_request(node: &Program, id: &str, class: &str, timeout_ms: u64) -> TcpStream {
     let mut stream = TcpStream::connect(&node.address).expect("the node accepts");
     send_request_on(&mut stream, id, class, timeout_ms).expect("the node reads");
     stream
 }
 
-/// Sends a whole request on an open connection.
+/// Sends a request, with its body, on an open connection.
 pub fn send_request_on(stream: &mut TcpStream, id: &str, class: &str, timeout_ms: u64) -> io::Result<()> {
     let mut request = TestRequest::new(id, class, b"body".to_vec());
     request.timeout = Duration::from_millis(timeout_ms);
@@ -179,7 +172,7 @@
     request.lines().find_map(|line| line.strip_prefix("Request-Id: ")).expect("a request has an id")
 }
 
-/// A worker's whole response: the job is done.
+/// A worker's complete response: the job is done.
 pub fn done_response(id: &str) -> String {
     let line = format!("{{\"id\":\"{id}\",\"state\":\"done\",\"result\":\"fine\"}}\n");
     format!("{CHUNKED_RESPONSE_HEAD}{}0\r\n\r\n", chunk(&line))
@@ -194,8 +187,7 @@
 pub fn accept_watch(discovery: &TcpListener) -> TcpStream {
     let mut watch = accept(discovery);
     watch.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the socket takes a time limit");
-    read_request_target(&mut watch);
-    respond(&mut watch, CHUNKED_RESPONSE_HEAD);
+    begin_chunked_response(&mut watch);
     watch
 }
 
--- a/crates/node/tests/races/shutdown.rs
+++ b/crates/node/tests/races/shutdown.rs
@@ -1,10 +1,12 @@
 //! SIGTERM while requests and connections are on their way.
 
 use crate::peers::{
-    Cancellation, WAIT_TIMEOUT, done_response, first_request, next_request, no_discovery, open_listener,
-    read_response, request_id, respond, send_request, send_request_on, start_node, wait_for_counter,
+    Cancellation, WAIT_TIMEOUT, done_response, first_request, next_request, no_discovery, read_response,
+    request_id, respond, send_request, send_request_on, start_node, wait_for_counter,
+};
+use sorrelhaven_test_support::{
+    CHUNKED_RESPONSE_HEAD, StalledListener, TestRequest, TestResponse, chunk, open_listener,
 };
-use sorrelhaven_test_support::{CHUNKED_RESPONSE_HEAD, StalledListener, TestRequest, TestResponse, chunk};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
--- a/crates/node/tests/races/worker_changes.rs
+++ b/crates/node/tests/races/worker_changes.rs
@@ -1,10 +1,10 @@
 //! Workers that drain, or whose idempotency window ends, while a connection to them is being established.
 
 use crate::peers::{
-    Cancellation, accept, accept_watch, first_request, list_entry, next_request, open_listener,
-    read_response, request_id, send_request, send_update, start_node, wait_for_counter,
+    Cancellation, accept, accept_watch, first_request, list_entry, next_request, read_response, request_id,
+    send_request, send_update, start_node, wait_for_counter,
 };
-use sorrelhaven_test_support::{StalledListener, TestResponse, reset_connection};
+use sorrelhaven_test_support::{StalledListener, TestResponse, open_listener, reset_connection};
 use std::time::{Duration, Instant};
 
 /// The worker begins to drain during the connect: nothing is sent on the connection.
--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -2,9 +2,9 @@
 
 use sorrelhaven_test_support::{
     AT_MOST_ONCE_CLASS, Checker, FakeWorkers, Program, ScratchDir, TestRequest, WorkerBehavior,
-    workers_config,
+    open_listener, workers_config,
 };
-use std::net::{TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::OwnedFd;
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
@@ -17,6 +17,7 @@
 /// What outlives the processes: the listening socket, the workers, the configuration and the temporary files.
 struct Platform {
     listener: TcpListener,
+    address: SocketAddr,
     workers: FakeWorkers,
     scratch: ScratchDir,
     config: PathBuf,
@@ -24,11 +25,11 @@
 
 impl Platform {
     fn new(name: &str) -> Platform {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+        let (listener, address) = open_listener();
         let (workers, scratch) = (FakeWorkers::new(3), ScratchDir::new(name));
         workers.set_default_behavior(WorkerBehavior::DoneAfterMillis(3));
         let config = scratch.write("node.json", &workers_config(&workers.addresses));
-        Platform { listener, workers, scratch, config }
+        Platform { listener, address, workers, scratch, config }
     }
 
     /// The command of a process that inherits the socket as descriptor 5.
@@ -122,7 +123,7 @@
 
 impl Load {
     fn start(platform: &Platform, on_lost_answer: OnLostAnswer) -> Load {
-        let address = platform.listener.local_addr().expect("the listener has an address").to_string();
+        let address = platform.address.to_string();
         let shared = Arc::new(LoadState {
             address,
             on_lost_answer,
@@ -243,7 +244,7 @@
         std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).map_or(0, |entries| entries.count())
     };
     let mut old = platform.start();
-    let address = platform.listener.local_addr().expect("the listener has an address");
+    let address = platform.address;
     let connect_silent = |count: usize| -> Vec<TcpStream> {
         (0..count).map(|_| TcpStream::connect(address).expect("the connection is queued")).collect()
     };
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,9 +1,9 @@
 //! A TCP proxy in front of one worker, which delays, stalls, cuts or resets its connections.
 
 use crate::plan::ConnectionFault;
-use sorrelhaven_test_support::reset_connection;
+use sorrelhaven_test_support::{open_listener, reset_connection};
 use std::io::{self, ErrorKind, Read, Write};
-use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant};
@@ -49,8 +49,7 @@
 impl Proxy {
     /// Starts a proxy to `worker`.
     pub fn new(worker: SocketAddr) -> Proxy {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-        let address = listener.local_addr().expect("the listener has an address");
+        let (listener, address) = open_listener();
         let proxy = Proxy { state: Arc::default(), address };
         let acceptor = proxy.clone();
         thread::spawn(move || {
--- a/crates/test-support/src/chunked.rs
+++ b/crates/test-support/src/chunked.rs
@@ -27,6 +27,16 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
+/// Reads the head of one request and sends the head of a chunked response to it. Returns the request's target.
+///
+/// # Panics
+/// As [`read_request_target`], and if the response can't be sent.
+pub fn begin_chunked_response(stream: &mut TcpStream) -> String {
+    let target = read_request_target(stream);
+    stream.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).expect("the node reads the response");
+    target
+}
+
 /// Sends `text` as one chunk of a response that stays open.
 ///
 /// # Panics
--- a/crates/test-support/src/fake_discovery.rs
+++ b/crates/test-support/src/fake_discovery.rs
@@ -1,8 +1,9 @@
 //! A fake discovery service: streams versions of the worker list to every node that watches it.
 
 use crate::chunked::{CHUNKED_RESPONSE_HEAD, chunk};
+use crate::listener::open_listener;
 use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpStream};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -30,8 +31,7 @@
 where
     Watch: FnMut() -> WatchStep,
 {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let address = listener.local_addr().expect("the listener has an address");
+    let (listener, address) = open_listener();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let new_watch = new_watch.clone();
--- a/crates/test-support/src/fake_workers.rs
+++ b/crates/test-support/src/fake_workers.rs
@@ -6,6 +6,7 @@
 
 pub use behavior::WorkerBehavior;
 
+use crate::listener::open_listener;
 use connection::WorkerConnection;
 use std::collections::{HashMap, VecDeque};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -56,12 +57,8 @@
     /// # Panics
     /// If a listener can't be opened.
     pub fn new(count: usize) -> FakeWorkers {
-        let listeners: Vec<TcpListener> =
-            (0..count).map(|_| TcpListener::bind("127.0.0.1:0").expect("a port is free")).collect();
-        let addresses = listeners
-            .iter()
-            .map(|listener| listener.local_addr().expect("the listener has an address"))
-            .collect();
+        let (listeners, addresses): (Vec<TcpListener>, Vec<SocketAddr>) =
+            (0..count).map(|_| open_listener()).unzip();
         let workers = FakeWorkers { state: Arc::default(), release: Arc::default(), addresses };
         for (worker, listener) in listeners.into_iter().enumerate() {
             let workers = workers.clone();
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -13,6 +13,7 @@
 mod fake_workers;
 mod fault_proxy;
 mod fault_shim;
+mod listener;
 mod node_config;
 mod program;
 mod refusing_port;
@@ -21,7 +22,7 @@
 
 pub use cases::check_cases;
 pub use checker::{AT_MOST_ONCE_CLASS, Checker, CheckerTotals};
-pub use chunked::{CHUNKED_RESPONSE_HEAD, chunk, read_request_target, send_chunk};
+pub use chunked::{CHUNKED_RESPONSE_HEAD, begin_chunked_response, chunk, read_request_target, send_chunk};
 pub use client::{TestRequest, TestResponse};
 pub use cpu_share::{CpuShare, cpu_time};
 pub use fake_discovery::{WatchStep, serve_discovery, worker_list};
@@ -31,6 +32,7 @@
 };
 pub use fault_proxy::{DatagramFaults, FaultProxy, ProxyTraffic};
 pub use fault_shim::{FaultPlan, injected_faults};
+pub use listener::open_listener;
 pub use node_config::{single_worker_config, workers_config};
 pub use program::Program;
 pub use refusing_port::RefusingPort;
