--- a/crates/node/tests/bodies/clients.rs
+++ b/crates/node/tests/bodies/clients.rs
@@ -1,7 +1,7 @@
 //! Clients that stop in the middle of a body, or send it slowly.
 
 use crate::installation::{BodyLimits, Installation, KIB, MIB, job_result, run_alone};
-use sorrelhaven_test_support::{TestRequest, sample_bytes};
+use sorrelhaven_test_support::{Program, TestRequest, sample_bytes};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -18,13 +18,7 @@
     for (number, length) in [10 * KIB, 200 * KIB, 600 * KIB, 600 * KIB].into_iter().enumerate() {
         let mut request = TestRequest::new(&format!("q-{number}"), "fee-charge", sample_bytes(length, 1));
         request.chunked = number == 3;
-        let mut stream = TcpStream::connect(&node.address).expect("the node accepts");
-        stream.write_all(request.head().as_bytes()).expect("the node reads");
-        if request.chunked {
-            stream.write_all(format!("{length:x}\r\n").as_bytes()).expect("the node reads");
-        }
-        stream.write_all(&request.body[..length / 2]).expect("the node reads");
-        clients.push(stream);
+        clients.push(send_half_body(&node, &request));
     }
     let deadline = Instant::now() + Duration::from_secs(5);
     while node.counter("file_bytes") < 100 * KIB as u64
@@ -49,29 +43,30 @@
     assert_eq!(response.status, 200);
 }
 
+/// Sends a request but for the second half of its body, which is one chunk if it is chunked.
+fn send_half_body(node: &Program, request: &TestRequest) -> TcpStream {
+    let mut stream = TcpStream::connect(&node.address).expect("the node accepts");
+    stream.write_all(request.head().as_bytes()).expect("the node reads");
+    let length = request.body.len();
+    if request.chunked {
+        stream.write_all(format!("{length:x}\r\n").as_bytes()).expect("the node reads");
+    }
+    stream.write_all(&request.body[..length / 2]).expect("the node reads");
+    stream
+}
+
 /// Clients that send 1 byte a second of large bodies are answered within 3 s and stay within the body limits, and other
 /// clients are served meanwhile.
 #[test]
 fn five_hundred_slow_clients_delay_no_other_client() {
     let _running_alone = run_alone();
     let installation = Installation::new("slow", 2);
-    installation.write_operator_file(
-        BodyLimits::new([64 * KIB, MIB, 256 * KIB, 4 * MIB]),
-        16 * MIB,
-        "stream",
-    );
+    let limits =
+        BodyLimits { memory_each: 64 * KIB, memory_total: MIB, file_each: 256 * KIB, file_total: 4 * MIB };
+    installation.write_operator_file(limits, 16 * MIB, "stream");
     let mut node = installation.start();
     let begun = Instant::now();
-    let mut slow_clients: Vec<TcpStream> = (0..500)
-        .map(|number| {
-            let length = [20 * KIB, 200 * KIB, 8 * MIB][number % 3];
-            let head = TestRequest::new(&format!("slow-{number}"), "licence-issue", Vec::new()).head();
-            let mut stream = TcpStream::connect(&node.address).expect("the node accepts");
-            let head = head.replace("Length: 0", &format!("Length: {length}"));
-            stream.write_all((head + "x").as_bytes()).expect("the node reads");
-            stream
-        })
-        .collect();
+    let mut slow_clients: Vec<TcpStream> = (0..500).map(|number| open_slow_client(&node, number)).collect();
     let mut served = 0;
     while begun.elapsed() < Duration::from_millis(1_800) {
         let body = sample_bytes(2 * KIB, served);
@@ -89,15 +84,9 @@
         }
     }
     assert!(served > 50, "{served} other requests");
-    for (number, stream) in slow_clients.iter_mut().enumerate() {
-        stream.set_read_timeout(Some(Duration::from_secs(3))).expect("the socket takes a time limit");
-        let mut received = Vec::new();
-        let _ = stream.read_to_end(&mut received);
-        assert!(
-            received.is_empty() || received.starts_with(b"HTTP/1.1 408 "),
-            "{number}: {}",
-            String::from_utf8_lossy(&received)
-        );
+    for (number, client) in slow_clients.iter_mut().enumerate() {
+        let received = read_to_end(client);
+        assert!(received.is_empty() || received.starts_with("HTTP/1.1 408 "), "{number}: {received}");
     }
     assert!(begun.elapsed() < Duration::from_secs(5), "{:?}", begun.elapsed());
     assert_eq!((node.counter("memory_bytes"), node.counter("file_bytes")), (0, 0));
@@ -107,3 +96,21 @@
         "no request of a slow client ran"
     );
 }
+
+/// Sends the head and the first byte of a large body.
+fn open_slow_client(node: &Program, number: usize) -> TcpStream {
+    let length = [20 * KIB, 200 * KIB, 8 * MIB][number % 3];
+    let head = TestRequest::new(&format!("slow-{number}"), "licence-issue", Vec::new()).head();
+    let mut stream = TcpStream::connect(&node.address).expect("the node accepts");
+    let head = head.replace("Length: 0", &format!("Length: {length}"));
+    stream.write_all((head + "x").as_bytes()).expect("the node reads");
+    stream
+}
+
+/// Reads until the node ends the connection, for 3 s at most after each read.
+fn read_to_end(client: &mut TcpStream) -> String {
+    client.set_read_timeout(Some(Duration::from_secs(3))).expect("the socket takes a time limit");
+    let mut received = Vec::new();
+    let _ = client.read_to_end(&mut received);
+    String::from_utf8_lossy(&received).into_owned()
+}
--- a/crates/node/tests/bodies/installation.rs
+++ b/crates/node/tests/bodies/installation.rs
@@ -24,12 +24,12 @@
 }
 
 impl BodyLimits {
-    pub const DEFAULT: BodyLimits = BodyLimits::new([16 * KIB, 8 * MIB, 256 * KIB, 64 * MIB]);
-
-    /// The limits in the order of the fields.
-    pub const fn new([memory_each, memory_total, file_each, file_total]: [usize; 4]) -> BodyLimits {
-        BodyLimits { memory_each, memory_total, file_each, file_total }
-    }
+    pub const DEFAULT: BodyLimits = BodyLimits {
+        memory_each: 16 * KIB,
+        memory_total: 8 * MIB,
+        file_each: 256 * KIB,
+        file_total: 64 * MIB,
+    };
 }
 
 /// The files and workers of a node under test.
--- a/crates/node/tests/bodies/limits.rs
+++ b/crates/node/tests/bodies/limits.rs
@@ -13,11 +13,9 @@
     let _running_alone = run_alone();
     let installation = Installation::new("refuse", 1);
     // Reserved for each of three tenants: a sixth of the files' total.
-    installation.write_operator_file(
-        BodyLimits::new([16 * KIB, MIB, 256 * KIB, 256 * KIB]),
-        256 * KIB,
-        "refuse",
-    );
+    let limits =
+        BodyLimits { memory_each: 16 * KIB, memory_total: MIB, file_each: 256 * KIB, file_total: 256 * KIB };
+    installation.write_operator_file(limits, 256 * KIB, "refuse");
     let mut node = installation.start();
     for (length, status) in [(100 * KIB, 200), (250 * KIB, 503)] {
         for chunked in [false, true] {
--- a/crates/node/tests/bodies/outcome_table.rs
+++ b/crates/node/tests/bodies/outcome_table.rs
@@ -145,7 +145,12 @@
     let Cell { class, step, behavior, .. } = cell;
     let installation = Installation::new("cell", 2);
     let length = if *behavior == WorkerBehavior::ResetDuringBody {
-        let limits = BodyLimits::new([8 * MIB, 64 * MIB, 16 * MIB, 64 * MIB]);
+        let limits = BodyLimits {
+            memory_each: 8 * MIB,
+            memory_total: 64 * MIB,
+            file_each: 16 * MIB,
+            file_total: 64 * MIB,
+        };
         installation.write_operator_file(limits, 40 * MIB, "stream");
         step.long_body_length
     } else {
--- a/crates/node/tests/bodies/retries.rs
+++ b/crates/node/tests/bodies/retries.rs
@@ -11,11 +11,13 @@
 fn a_long_body_is_retried_from_its_file() {
     let _running_alone = run_alone();
     let installation = Installation::new("again", 2);
-    installation.write_operator_file(
-        BodyLimits::new([64 * KIB, 8 * MIB, 16 * MIB, 64 * MIB]),
-        16 * MIB,
-        "stream",
-    );
+    let limits = BodyLimits {
+        memory_each: 64 * KIB,
+        memory_total: 8 * MIB,
+        file_each: 16 * MIB,
+        file_total: 64 * MIB,
+    };
+    installation.write_operator_file(limits, 16 * MIB, "stream");
     let mut node = installation.start();
     installation.workers.script(&[WorkerBehavior::ResetAfterBody]);
     let body = sample_bytes(8 * MIB, 3);
@@ -64,11 +66,13 @@
     let body = sample_bytes(12 * MIB, 7);
     for (behavior, outcome, status) in cases {
         let installation = Installation::new("payment", 2);
-        installation.write_operator_file(
-            BodyLimits::new([16 * KIB, 8 * MIB, 16 * KIB, 8 * MIB]),
-            40 * MIB,
-            "stream",
-        );
+        let limits = BodyLimits {
+            memory_each: 16 * KIB,
+            memory_total: 8 * MIB,
+            file_each: 16 * KIB,
+            file_total: 8 * MIB,
+        };
+        installation.write_operator_file(limits, 40 * MIB, "stream");
         let mut node = installation.start();
         installation.workers.script(&[behavior]);
         let mut request = TestRequest::new("q-1", "fee-charge", body.clone());
@@ -92,7 +96,9 @@
 fn a_worker_that_rejects_before_the_body_is_retried_elsewhere() {
     let _running_alone = run_alone();
     let installation = Installation::new("early", 2);
-    installation.write_operator_file(BodyLimits::new([MIB, 8 * MIB, 16 * MIB, 64 * MIB]), 16 * MIB, "stream");
+    let limits =
+        BodyLimits { memory_each: MIB, memory_total: 8 * MIB, file_each: 16 * MIB, file_total: 64 * MIB };
+    installation.write_operator_file(limits, 16 * MIB, "stream");
     let mut node = installation.start();
     installation.workers.script(&[WorkerBehavior::RejectedBeforeBody]);
     let body = sample_bytes(12 * MIB, 1);
--- a/crates/node/tests/bodies/signals.rs
+++ b/crates/node/tests/bodies/signals.rs
@@ -1,35 +1,62 @@
 //! Reloads and SIGTERM while bodies are stored.
 
 use crate::installation::{BodyLimits, Installation, KIB, MIB, job_result, run_alone};
-use sorrelhaven_test_support::{TestRequest, WorkerBehavior, sample_bytes};
-use std::thread;
+use sorrelhaven_test_support::{Program, TestRequest, TestResponse, WorkerBehavior, sample_bytes};
+use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
+const REQUEST_COUNT: u64 = 22;
+/// The number of requests that are sent before the limits change.
+const REQUESTS_BEFORE_RELOAD: usize = 16;
+
+/// A request, and the result that its client expects.
+struct PreparedRequest {
+    request: TestRequest,
+    expected: String,
+}
+
+impl PreparedRequest {
+    /// A request with a body of 3 MiB, or of less than 1 MiB from the eighth request on.
+    fn new(number: u64) -> PreparedRequest {
+        let length = if number < 8 { 3 * MIB } else { 900 * KIB };
+        let body = sample_bytes(length, number);
+        let expected = job_result(&body);
+        PreparedRequest { request: TestRequest::new(&format!("q-{number}"), "licence-issue", body), expected }
+    }
+
+    fn send(self, node: &Program) -> WaitingClient {
+        let PreparedRequest { request, expected } = self;
+        let address = node.address.clone();
+        let response = thread::spawn(move || request.send(&address).expect("the request is answered"));
+        WaitingClient { response, expected }
+    }
+}
+
+/// A client that waits for its answer.
+struct WaitingClient {
+    response: JoinHandle<TestResponse>,
+    expected: String,
+}
+
 /// SIGHUP lowers the limits under load, an invalid file changes nothing, and SIGTERM finishes requests with open files.
 #[test]
 fn limits_shrink_under_load_and_sigterm_finishes_requests_with_files() {
     let _running_alone = run_alone();
     let installation = Installation::new("signals", 2);
-    installation.write_operator_file(BodyLimits::new([MIB, 16 * MIB, 8 * MIB, 128 * MIB]), 8 * MIB, "stream");
+    let limits =
+        BodyLimits { memory_each: MIB, memory_total: 16 * MIB, file_each: 8 * MIB, file_total: 128 * MIB };
+    installation.write_operator_file(limits, 8 * MIB, "stream");
     let mut node = installation.start();
     installation.workers.set_default_behavior(WorkerBehavior::PausedUntilReleased);
-    let requests = (0..22).map(|number| {
-        let body = sample_bytes(if number < 8 { 3 * MIB } else { 900 * KIB }, number);
-        let expected = job_result(&body);
-        (TestRequest::new(&format!("q-{number}"), "licence-issue", body), expected)
-    });
-    let mut requests = requests.collect::<Vec<_>>().into_iter();
-    let address = node.address.clone();
-    let client = |(request, expected): (TestRequest, String)| {
-        let address = address.clone();
-        thread::spawn(move || (request.send(&address).expect("the request is answered"), expected))
-    };
+    // Prepared before the first is sent, since the bodies take their time.
+    let requests: Vec<PreparedRequest> = (0..REQUEST_COUNT).map(PreparedRequest::new).collect();
+    let mut requests = requests.into_iter();
     // Long bodies first, each complete before the next: a body that is being written to its file uses memory too, and how
     // much each of several would use is chance. The workers' answers are paused, so all bodies stay stored until the end.
     let deadline = Instant::now() + Duration::from_secs(5);
     let mut clients = Vec::new();
-    for (number, request) in requests.by_ref().take(16).enumerate() {
-        clients.push(client(request));
+    for (number, request) in requests.by_ref().take(REQUESTS_BEFORE_RELOAD).enumerate() {
+        clients.push(request.send(&node));
         while installation.workers.executed_requests().len() <= number {
             assert!(Instant::now() < deadline, "body {number} has not arrived");
         }
@@ -42,24 +69,26 @@
     assert!(node.wait_for_log_line("configuration unchanged").contains("bodies.unkept: unknown variant"));
     assert!(node.counter("memory_bytes") > 0);
     // These arrive while the limits shrink.
-    clients.extend(requests.map(client));
-    installation.write_operator_file(BodyLimits::new([64 * KIB, MIB, 8 * MIB, 128 * MIB]), 8 * MIB, "stream");
+    clients.extend(requests.map(|request| request.send(&node)));
+    let limits =
+        BodyLimits { memory_each: 64 * KIB, memory_total: MIB, file_each: 8 * MIB, file_total: 128 * MIB };
+    installation.write_operator_file(limits, 8 * MIB, "stream");
     node.signal("HUP");
     node.wait_for_log_line("configuration reloaded");
     while node.counter("memory_bytes") > MIB as u64 {
         assert!(Instant::now() < deadline, "bodies in memory are not spilled to files");
     }
     assert!(node.counter("bodies_spilled") >= 4);
-    while node.counter("requests_sent") < 22 {
+    while node.counter("requests_sent") < REQUEST_COUNT {
         assert!(Instant::now() < deadline, "requests that arrived during the change are not sent");
     }
     node.signal("TERM");
-    assert_eq!(node.counter("in_progress"), 22, "requests go on until their answers arrive");
+    assert_eq!(node.counter("in_progress"), REQUEST_COUNT, "requests go on until their answers arrive");
     installation.workers.release();
     let log = node.terminate();
     for client in clients {
-        let (response, expected) = client.join().expect("the client ends");
-        assert_eq!((response.status, response.body), (200, expected));
+        let response = client.response.join().expect("the client ends");
+        assert_eq!((response.status, response.body), (200, client.expected));
     }
     assert!(log.contains("served=22 "), "{log}");
     assert!(log.contains("memory_bytes=0 file_bytes=0"), "{log}");
--- a/crates/node/tests/bodies/spool_directory.rs
+++ b/crates/node/tests/bodies/spool_directory.rs
@@ -11,7 +11,9 @@
 fn a_resource_limit_on_file_size_is_treated_as_a_full_disk() {
     let _running_alone = run_alone();
     let installation = Installation::new("fsize", 2);
-    installation.write_operator_file(BodyLimits::new([64 * KIB, MIB, 8 * MIB, 64 * MIB]), 8 * MIB, "stream");
+    let limits =
+        BodyLimits { memory_each: 64 * KIB, memory_total: MIB, file_each: 8 * MIB, file_total: 64 * MIB };
+    installation.write_operator_file(limits, 8 * MIB, "stream");
     let mut shell = Command::new("sh");
     // `ulimit -f` counts blocks of 512 bytes by POSIX, of 1024 in some shells: 1 or 2 MB.
     shell.args(["-c", "ulimit -f 2048; exec \"$0\"", env!("CARGO_BIN_EXE_sorrelhaven")]);
--- a/crates/node/tests/large_lists.rs
+++ b/crates/node/tests/large_lists.rs
@@ -115,7 +115,7 @@
         for entry in entries {
             version += 1;
             let update = worker_list(version, false, std::slice::from_ref(entry));
-            let text = if version % 3 == 0 { indented(&update) } else { update + "\n" };
+            let text = if version.is_multiple_of(3) { indented(&update) } else { update + "\n" };
             send_chunk(watch, &text);
         }
         version
--- a/crates/node/tests/operations.rs
+++ b/crates/node/tests/operations.rs
@@ -44,6 +44,11 @@
     read_to_end(&mut stream)
 }
 
+/// Whether the node has served the request and closes the connection.
+fn is_served_and_closed(response: &str) -> bool {
+    response.starts_with("HTTP/1.1 200 ") && response.contains("\r\nConnection: close\r\n")
+}
+
 /// A drain answers requests that have begun and closes their connections, closes idle connections in time, and lets a long
 /// job go on; `resume` takes effect at once.
 #[test]
@@ -75,17 +80,11 @@
     let mut late = connect(&node);
     late.write_all((request("late").head() + "body").as_bytes()).expect("the bytes are written");
     let received = read_to_end(&mut late);
-    assert!(
-        received.starts_with("HTTP/1.1 200 ") && received.contains("\r\nConnection: close\r\n"),
-        "{received}"
-    );
+    assert!(is_served_and_closed(&received), "{received}");
     // So is one whose request was half read, and one that uses its open connection.
     pieces.write_all(&text.as_bytes()[40..]).expect("the bytes are written");
     let received = read_to_end(&mut pieces);
-    assert!(
-        received.starts_with("HTTP/1.1 200 ") && received.contains("\r\nConnection: close\r\n"),
-        "{received}"
-    );
+    assert!(is_served_and_closed(&received), "{received}");
     assert_eq!(request("used").send_on(&mut used).expect("the request is answered").status, 200);
     assert_eq!(read_to_end(&mut idle), "");
     // A silent connection is closed without an answer, before a job on it would count as late.
