--- a/crates/node/tests/faults.rs
+++ b/crates/node/tests/faults.rs
@@ -1,21 +1,63 @@
 //! System calls that fail as Linux documents, and wrong wall clocks: neither loses a request.
 
 use sorrelhaven_test_support::{
-    AT_MOST_ONCE_CLASS, Checker, FakeWorkers, FaultPlan, Program, ScratchDir, TestRequest, WorkerBehavior,
-    injected_faults, workers_config,
+    AT_MOST_ONCE_CLASS, Checker, FakeWorkers, FaultPlan, Program, ScratchDir, TestRequest, TestResponse,
+    WorkerBehavior, injected_faults, workers_config,
 };
+use std::io;
 use std::net::TcpStream;
 use std::process::Command;
-use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const CLIENT_COUNT: usize = 8;
 
+/// At-most-once requests from several clients.
+struct Load {
+    address: String,
+    /// Requests of all clients together.
+    count: u64,
+    /// The time between the opening of a connection and the request on it.
+    pause: Duration,
+    next_number: AtomicU64,
+    checker: Checker,
+}
+
+impl Load {
+    /// Sends requests, each on a new connection, and returns how each one ended that was not served.
+    fn run_client(&self) -> Vec<String> {
+        let mut unserved = Vec::new();
+        loop {
+            let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+            if number >= self.count {
+                return unserved;
+            }
+            let id = format!("pay-{number}");
+            let request = TestRequest::new(&id, AT_MOST_ONCE_CLASS, vec![b'x'; 300]);
+            self.checker.record_request(&request);
+            match self.send(&request) {
+                Ok(response) => {
+                    self.checker.record_response(&id, response.status);
+                    if response.status != 200 {
+                        unserved.push(format!("{id} {}", response.status));
+                    }
+                }
+                Err(error) => unserved.push(format!("{id} {error}")),
+            }
+        }
+    }
+
+    fn send(&self, request: &TestRequest) -> io::Result<TestResponse> {
+        let mut connection = TcpStream::connect(&self.address)?;
+        thread::sleep(self.pause);
+        request.send_on(&mut connection)
+    }
+}
+
 /// The outcome of a load.
 struct LoadResult {
-    checker: Arc<Checker>,
+    checker: Checker,
     /// How each request ended that was not served, a line each.
     unserved: Vec<String>,
 }
@@ -44,40 +86,18 @@
 
     /// Sends `count` at-most-once requests from several clients, each on a new connection and `pause` after it was opened.
     fn send_requests(&self, count: u64, pause: Duration) -> LoadResult {
-        let next = Arc::new(AtomicU64::new(0));
-        let checker = Arc::<Checker>::default();
-        let client = |_| {
-            let (next, checker, address) = (next.clone(), checker.clone(), self.program.address.clone());
-            thread::spawn(move || {
-                let mut unserved = Vec::new();
-                loop {
-                    let number = next.fetch_add(1, Ordering::Relaxed);
-                    if number >= count {
-                        return unserved;
-                    }
-                    let request =
-                        TestRequest::new(&format!("pay-{number}"), AT_MOST_ONCE_CLASS, vec![b'x'; 300]);
-                    checker.record_request(&request);
-                    let sent = TcpStream::connect(&address).and_then(|mut connection| {
-                        thread::sleep(pause);
-                        request.send_on(&mut connection)
-                    });
-                    match sent {
-                        Ok(response) => {
-                            checker.record_response(&request.id, response.status);
-                            if response.status != 200 {
-                                unserved.push(format!("{} {}", request.id, response.status));
-                            }
-                        }
-                        Err(error) => unserved.push(format!("{} {error}", request.id)),
-                    }
-                }
-            })
+        let load = Load {
+            address: self.program.address.clone(),
+            count,
+            pause,
+            next_number: AtomicU64::new(0),
+            checker: Checker::default(),
         };
-        let clients: Vec<_> = (0..CLIENT_COUNT).map(client).collect();
-        let unserved =
-            clients.into_iter().flat_map(|client| client.join().expect("the client ends")).collect();
-        LoadResult { checker, unserved }
+        let unserved = thread::scope(|scope| {
+            let clients: Vec<_> = (0..CLIENT_COUNT).map(|_| scope.spawn(|| load.run_client())).collect();
+            clients.into_iter().flat_map(|client| client.join().expect("the client ends")).collect()
+        });
+        LoadResult { checker: load.checker, unserved }
     }
 
     /// Ends the node. Every fault of the plan must have been injected, and no delivery rule violated.
--- a/crates/node/tests/members.rs
+++ b/crates/node/tests/members.rs
@@ -32,15 +32,13 @@
             let node = group.start(number);
             group.nodes.push(Some(node));
         }
-        group.wait_until("all are alive at all", |group| {
-            (0..NODE_COUNT).all(|observer| group.states(observer) == ALL_ALIVE)
-        });
+        group.wait_until("all nodes see all alive", Group::sees_all_alive);
         group
     }
 
     /// Starts one node. Its suspicion timeout is longer than the default, so that a busy machine does not declare nodes dead.
     fn start(&self, number: usize) -> Program {
-        let address = |to| self.proxy.address(0, to).expect("the text is an address");
+        let address = |to| self.proxy.address(0, to).expect("the proxy has an address");
         let operator = format!(
             r#"{{"membership":{{"listen":"127.0.0.1:0","advertise":"{}","seeds":["{}","{}"],"key_file":"{}","suspicion_ms":2500}}}}"#,
             address(number),
@@ -60,15 +58,7 @@
         command.env("RUST_LOG", "info,sorrelhaven_engine::discovery_watch=error");
         let node = Program::start(command, &platform, Some(&operator));
         // What it has sent before this registration came from an address that the proxy does not know, and is lost.
-        let line = node
-            .startup_log()
-            .iter()
-            .find(|line| line.contains(" membership "))
-            .expect("the node logs where it listens");
-        let parse_field =
-            |field: &str| field.strip_prefix("listen=").and_then(|address| address.parse().ok());
-        let listen: SocketAddr =
-            line.split_whitespace().find_map(parse_field).expect("the text is an address");
+        let listen = listen_address(&node);
         self.proxy.register_listener(number, listen);
         self.listeners.borrow_mut().insert(number, listen);
         node
@@ -101,6 +91,11 @@
         begun.elapsed()
     }
 
+    /// Whether every node sees every node alive.
+    fn sees_all_alive(&self) -> bool {
+        (0..NODE_COUNT).all(|observer| self.states(observer) == ALL_ALIVE)
+    }
+
     /// Whether all of `observers` see `member` in this state.
     fn all_see(&self, observers: &[usize], member: usize, state: &str) -> bool {
         observers.iter().all(|&observer| self.states(observer)[member] == state)
@@ -112,6 +107,14 @@
     }
 }
 
+/// Where the membership of a node listens, by its log.
+fn listen_address(node: &Program) -> SocketAddr {
+    let is_membership = |line: &&String| line.contains(" membership ");
+    let line = node.startup_log().iter().find(is_membership).expect("the node logs where it listens");
+    let address = line.split_whitespace().find_map(|field| field.strip_prefix("listen="));
+    address.and_then(|address| address.parse().ok()).expect("the field is an address")
+}
+
 /// A row of a member table.
 struct MemberRow {
     incarnation: u64,
@@ -160,9 +163,7 @@
         group.wait_until("ten more probes", |group| probes(group) >= from + 12);
     }
     assert_eq!((0..NODE_COUNT).map(|number| group.declared_dead(number)).sum::<u64>(), 0);
-    group.wait_until("all are alive at all", |group| {
-        (0..NODE_COUNT).all(|observer| group.states(observer) == ALL_ALIVE)
-    });
+    group.wait_until("all nodes see all alive", Group::sees_all_alive);
 }
 
 /// A node that is paused for longer than the suspicion timeout is dead at the others; it resumes, and does not declare
@@ -173,9 +174,7 @@
     group.node(2).signal("STOP");
     group.wait_until("n2 is dead", |group| group.all_see(&[0, 1, 3, 4], 2, "dead"));
     group.node(2).signal("CONT");
-    group.wait_until("all are alive at all", |group| {
-        (0..NODE_COUNT).all(|observer| group.states(observer) == ALL_ALIVE)
-    });
+    group.wait_until("all nodes see all alive", Group::sees_all_alive);
     assert!([0, 1, 3, 4].iter().all(|&observer| group.declared_dead(observer) == 0));
     assert!(group.node(2).metric("node_member_pauses") > 0);
 }
@@ -197,9 +196,7 @@
         jitter: millis(20),
         blocked: false,
     });
-    let healed = group.wait_until("all are alive at all", |group| {
-        (0..NODE_COUNT).all(|observer| group.states(observer) == ALL_ALIVE)
-    });
+    let healed = group.wait_until("all nodes see all alive", Group::sees_all_alive);
     println!("healed after {healed:?}");
     group.wait_until("duplicates are dropped", |group| {
         (0..NODE_COUNT).map(|number| group.node(number).metric("node_member_dropped")).sum::<u64>() > 0
@@ -241,9 +238,7 @@
         );
     }
     group.proxy.set_all_faults(DatagramFaults::default());
-    group.wait_until("all are alive at all", |group| {
-        (0..NODE_COUNT).all(|observer| group.states(observer) == ALL_ALIVE)
-    });
+    group.wait_until("all nodes see all alive", Group::sees_all_alive);
 }
 
 /// Datagrams that are unauthenticated, truncated or too long are counted and dropped, and the node goes on.
@@ -260,7 +255,5 @@
     group.wait_until("all are dropped", |group| {
         group.node(0).metric("node_member_dropped") >= before + sizes.len() as u64
     });
-    group.wait_until("all are alive at all", |group| {
-        (0..NODE_COUNT).all(|observer| group.states(observer) == ALL_ALIVE)
-    });
+    group.wait_until("all nodes see all alive", Group::sees_all_alive);
 }
