--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,7 +1,7 @@
 //! Runs requests: each is admitted from a front end, decided on by the dispatcher, attempted at workers, and
 //! answered once.
 //!
-//! A front end submits a [`Job`] to [`Engine::take`] and receives one [`Answer`] through the
+//! A front end submits a [`Job`] to [`Engine::submit`] and receives one [`Answer`] through the
 //! [`RequestHandle`]. Nothing here depends on the client's protocol, so the same decisions apply to every
 //! front end. A module uses only modules of its own row and of those below it in this table:
 //!
