--- a/crates/deferred-jobs/src/dependency_graph.rs
+++ b/crates/deferred-jobs/src/dependency_graph.rs
@@ -1,8 +1,8 @@
 //! Which job waits for which. No I/O, no clock.
 //!
-//! A job may wait for several others and is released once all of them were served. If one of them ends in any other way,
-//! all jobs that wait for it, directly or not, are rejected at once, each with the name of the job whose end was the
-//! cause.
+//! A job may wait for several others and is released once all of them were served. If one of them ends in any
+//! other way, all jobs that wait for it, directly or not, are rejected at once, each with the name of the job
+//! whose end was the cause.
 
 use crate::add_error::AddError;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
@@ -18,13 +18,15 @@
     Served,
     /// It was rejected: it never ran, or a retry is harmless.
     Rejected,
-    /// It failed and may have run. Jobs that wait for it are not released, as it may or may not have taken effect.
+    /// It failed and may have run. Jobs that wait for it are not released, as it may or may not have taken
+    /// effect.
     MayHaveRun,
     /// Its client disconnected, or withdrew it, before it was sent.
     Withdrawn,
 }
 
-/// What becomes of a job that depends on a name which is not known here. Nodes share nothing: another may know it.
+/// What becomes of a job that depends on a name which is not known here. Nodes share nothing: another may
+/// know it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnknownNamePolicy {
     /// It is rejected.
@@ -209,8 +211,8 @@
         readiness
     }
 
-    /// Records that a job has ended, or that a name that is only awaited is given up. Returns what that means for the
-    /// jobs that waited for it, the nearest first.
+    /// Records that a job has ended, or that a name that is only awaited is given up. Returns what that means
+    /// for the jobs that waited for it, the nearest first.
     pub fn conclude(&mut self, name: &JobName, end: JobEnd) -> Vec<Consequence> {
         let mut consequences = Vec::new();
         let mut concluded = VecDeque::from([(name.clone(), end)]);
@@ -240,7 +242,8 @@
         consequences
     }
 
-    /// Removes an ended job from the dependents of what it waited for, and names that nothing awaits any more.
+    /// Removes an ended job from the dependents of what it waited for, and names that nothing awaits any
+    /// more.
     fn detach_from_dependencies(&mut self, name: &JobName, node: &Node) {
         for dependency in &node.dependencies {
             if let Some(dependency_node) = self.nodes.get_mut(dependency) {
@@ -300,8 +303,8 @@
         self.chain_length(dependents, |node| node.dependents.clone())
     }
 
-    /// The number of names on the longest path from one of `first` along `next`. There are no cycles; the search stops
-    /// beyond the limit.
+    /// The number of names on the longest path from one of `first` along `next`. There are no cycles; the
+    /// search stops beyond the limit.
     fn chain_length(&self, first: Vec<JobName>, next: impl Fn(&Node) -> Vec<JobName>) -> usize {
         let mut length = 0;
         let mut layer: HashSet<JobName> = first.into_iter().collect();
--- a/crates/deferred-jobs/src/release_queue.rs
+++ b/crates/deferred-jobs/src/release_queue.rs
@@ -1,11 +1,13 @@
 //! In which order due jobs are released. No I/O, time passed in.
 //!
-//! *Order.* A job's priority rises by one with each `aging_step` that it has waited. As all rise alike, the order of two
-//! jobs never changes: a job of priority `p` that was due at `d` has the effective due time `d - p * aging_step`. A job due
-//! at `d` can so be overtaken only by jobs due before `d + max_priority * aging_step`.
+//! *Order.* A job's priority rises by one with each `aging_step` that it has waited. As all rise alike, the
+//! order of two jobs never changes: a job of priority `p` that was due at `d` has the effective due time
+//! `d - p * aging_step`. A job due at `d` can so be overtaken only by jobs due before
+//! `d + max_priority * aging_step`.
 //!
-//! *Shares.* Each tenant has its own queue. The next job is taken from the tenant that has had the fewest releases, by its
-//! weight, while it had jobs. A tenant that was idle has no claim on the past: it starts level with the others.
+//! *Shares.* Each tenant has its own queue. The next job is taken from the tenant that has had the fewest
+//! releases, by its weight, while it had jobs. A tenant that was idle has no claim on the past: it starts
+//! level with the others.
 
 use crate::release_window::{ReleaseOutcome, ReleaseWindow, WindowLimits};
 use std::collections::BTreeSet;
--- a/crates/deferred-jobs/src/release_window.rs
+++ b/crates/deferred-jobs/src/release_window.rs
@@ -1,7 +1,7 @@
 //! How many released jobs may be in progress: a window with additive increase and multiplicative decrease.
 //!
-//! The window grows by one in each round of jobs that ended in time, and halves, at most once a round, when a job was
-//! rejected or late.
+//! The window grows by one in each round of jobs that ended in time, and halves, at most once a round, when a
+//! job was rejected or late.
 
 /// What the end of a released job says about the load of the workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/deferred-jobs/tests/dependency_graph.rs
+++ b/crates/deferred-jobs/tests/dependency_graph.rs
@@ -175,7 +175,10 @@
         }
         let consequences = graph.conclude(&name(0), end);
         assert_eq!((consequences.len(), graph.len()), (204, 0));
-        let names_cause = |consequence: &Consequence| matches!(consequence, Consequence::Rejected { cause, end: cause_end, .. } if *cause == name(0) && *cause_end == end);
+        let names_cause = |consequence: &Consequence| match consequence {
+            Consequence::Rejected { cause, end: cause_end, .. } => *cause == name(0) && *cause_end == end,
+            Consequence::Released(_) => false,
+        };
         assert!(consequences.iter().all(names_cause), "{consequences:?}");
         assert_eq!(
             graph.add(&name(500), &[name(0)]),
--- a/crates/deferred-jobs/tests/release_queue.rs
+++ b/crates/deferred-jobs/tests/release_queue.rs
@@ -53,8 +53,8 @@
     });
 }
 
-/// With an endless stream of new jobs of the highest priority, the oldest job of the lowest one is released within the
-/// limit.
+/// With an endless stream of new jobs of the highest priority, the oldest job of the lowest one is released
+/// within the limit.
 #[test]
 fn a_low_priority_job_is_released_within_the_limit() {
     let mut queue = ReleaseQueue::new(rules(1, 1.0, 1.0));
@@ -102,8 +102,8 @@
     );
 }
 
-/// The window finds the capacity of the workers and stays near it: 5,000 jobs are due at once, and the workers serve 40 at
-/// a time and reject the rest.
+/// The window finds the capacity of the workers and stays near it: 5,000 jobs are due at once, and the
+/// workers serve 40 at a time and reject the rest.
 #[test]
 fn the_window_follows_the_capacity_of_the_workers() {
     let mut queue = ReleaseQueue::new(rules(4, 4.0, 1_000.0));
--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -77,8 +77,8 @@
 ];
 
 impl Plan {
-    /// Parses the plan from environment variables. An invalid item aborts the process: a test that injects nothing proves
-    /// nothing.
+    /// Parses the plan from environment variables. An invalid item aborts the process: a test that injects
+    /// nothing proves nothing.
     pub fn from_environment(variable: impl Fn(&str) -> Option<String>) -> Plan {
         let rules = variable("FAULT_PLAN").unwrap_or_default();
         let clock_steps = variable("FAULT_CLOCK").unwrap_or_default();
--- a/crates/node/benches/bodies.rs
+++ b/crates/node/benches/bodies.rs
@@ -1,5 +1,6 @@
-//! Large bodies through the program, against what the machine does without it. Prints a table; `cargo bench -p
-//! sorrelhaven --bench bodies`.
+//! Large bodies through the program, against what the machine does without it. Prints a table.
+//!
+//!     cargo bench -p sorrelhaven --bench bodies
 //!
 //! - throughput of 8 MB bodies by storage step;
 //! - bodies into files against a plain sequential write of the same bytes;
@@ -129,7 +130,8 @@
     }
 }
 
-/// Bodies into files, eight at once, against a plain sequential write of the same bytes: the median of three rounds.
+/// Bodies into files, eight at once, against a plain sequential write of the same bytes: the median of three
+/// rounds.
 fn compare_files(scratch: &ScratchDir) {
     let block = vec![7; BLOCK_BYTES];
     let measure_round = |_| FileRates {
@@ -206,10 +208,8 @@
 
 /// Small jobs without and beside clients that send large bodies all the time.
 fn measure_small_jobs(scratch: &ScratchDir) {
-    println!(
-        "\nsmall jobs of {SMALL_JOB_MILLIS} ms by {SMALL_JOB_CLIENTS} clients; the load: {LARGE_BODY_CLIENTS} clients \
-         that send 8 MB at once, over and over"
-    );
+    println!("\nsmall jobs of {SMALL_JOB_MILLIS} ms by {SMALL_JOB_CLIENTS} clients");
+    println!("the load: {LARGE_BODY_CLIENTS} clients that send 8 MB at once, over and over");
     println!("{:<28} {:>8} {:>8} {:>8} {:>8} {:>12}", "", "served", "not", "p50 ms", "p99 ms", "peak MB");
     let alone = measure_small_jobs_beside(scratch, "alone", 0, IN_FILES);
     for (name, limits) in [("beside bodies in files", IN_FILES), ("beside bodies not stored", NOT_STORED)] {
--- a/crates/node/tests/bodies/clients.rs
+++ b/crates/node/tests/bodies/clients.rs
@@ -6,8 +6,8 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// A client that disconnects in the middle of a body frees everything at once, and its worker receives an incomplete
-/// request.
+/// A client that disconnects in the middle of a body frees everything at once, and its worker receives an
+/// incomplete request.
 #[test]
 fn a_client_that_disconnects_within_a_body_leaves_nothing_behind() {
     let _running_alone = run_alone();
@@ -55,8 +55,8 @@
     stream
 }
 
-/// Clients that send 1 byte a second of large bodies are answered within 3 s and stay within the body limits, and other
-/// clients are served meanwhile.
+/// Clients that send 1 byte a second of large bodies are answered within 3 s and stay within the body limits,
+/// and other clients are served meanwhile.
 #[test]
 fn five_hundred_slow_clients_delay_no_other_client() {
     let _running_alone = run_alone();
--- a/crates/node/tests/bodies/installation.rs
+++ b/crates/node/tests/bodies/installation.rs
@@ -7,7 +7,8 @@
 
 pub const KIB: usize = 1024;
 pub const MIB: usize = 1024 * KIB;
-/// Time limits on sockets are exceeded by at most so much; the whole set of tests may have one core's time between them.
+/// Time limits on sockets are exceeded by at most so much; the whole set of tests may have one core's time
+/// between them.
 pub const SOCKET_TIMEOUT_SLACK: Duration = Duration::from_millis(50);
 
 /// The limits on stored bodies, in bytes.
@@ -47,8 +48,8 @@
         installation
     }
 
-    /// Writes the operators' file: the limits, the largest body that is accepted, and what becomes of a body that can't be
-    /// stored, `stream` or `refuse`.
+    /// Writes the operators' file: the limits, the largest body that is accepted, and what becomes of a body
+    /// that can't be stored, `stream` or `refuse`.
     pub fn write_operator_file(&self, limits: BodyLimits, largest: usize, not_stored: &str) {
         let BodyLimits { memory_each, memory_total, file_each, file_total } = limits;
         let spool = self.scratch.path("spool").display().to_string();
--- a/crates/node/tests/bodies/limits.rs
+++ b/crates/node/tests/bodies/limits.rs
@@ -7,7 +7,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// With `unkept` = `refuse`, a body that can't be stored is rejected before anything is sent, with `Retry-After`.
+/// With `unkept` = `refuse`, a body that can't be stored is rejected before anything is sent, with
+/// `Retry-After`.
 #[test]
 fn a_body_that_cannot_be_stored_is_rejected_if_the_operators_say_so() {
     let _running_alone = run_alone();
@@ -47,14 +48,16 @@
     assert_eq!(response.status, 413);
     let mut request = TestRequest::new("q-2", "fee-charge", sample_bytes(2 * MIB, 1));
     request.chunked = true;
-    // The unread rest of the body resets the connection, which could lose the answer; a run would show in any case.
+    // The unread rest of the body resets the connection, which could lose the answer; a run would show in any
+    // case.
     assert!(request.send(&node.address).is_ok_and(|response| response.status == 413));
     thread::sleep(Duration::from_millis(50));
     assert_eq!(installation.workers.executed_requests(), []);
     assert_eq!(node.counter("body_too_large"), 2);
 }
 
-/// `Expect: 100-continue`: 100 is sent if the body is accepted; a rejected or too long one gets its final answer instead.
+/// `Expect: 100-continue`: 100 is sent if the body is accepted; a rejected or too long one gets its final
+/// answer instead.
 #[test]
 fn expect_continue_is_answered_with_100_only_if_the_body_is_accepted() {
     let _running_alone = run_alone();
--- a/crates/node/tests/bodies/main.rs
+++ b/crates/node/tests/bodies/main.rs
@@ -1,5 +1,5 @@
-//! Request bodies through the program: what each storage step means, byte for byte, and what a disk, a client or a signal
-//! may do.
+//! Request bodies through the program: what each storage step means, byte for byte, and what a disk, a client
+//! or a signal may do.
 
 mod clients;
 mod installation;
--- a/crates/node/tests/bodies/outcome_table.rs
+++ b/crates/node/tests/bodies/outcome_table.rs
@@ -23,7 +23,8 @@
     /// The page's name.
     name: &'static str,
     body_length: usize,
-    /// The length of a body that the system's buffers do not take at once, so that a reset in the middle is noticed.
+    /// The length of a body that the system's buffers do not take at once, so that a reset in the middle is
+    /// noticed.
     long_body_length: usize,
     /// Counts bodies that ended at this step.
     counter: &'static str,
@@ -103,7 +104,8 @@
     let table = read_table();
     assert_eq!(table.header, ATTEMPT_ENDS.map(|(name, _)| name.to_string()));
     assert_eq!(table.rows.len(), EFFECTS.len() * STEPS.len());
-    // The node waits for a silent worker up to the client's timeout, which is measured with nothing else going on.
+    // The node waits for a silent worker up to the client's timeout, which is measured with nothing else
+    // going on.
     let (silent, prompt): (Vec<Cell>, Vec<Cell>) =
         all_cells(&table).into_iter().partition(|cell| cell.behavior == WorkerBehavior::Silent);
     let remaining = Mutex::new(prompt.into_iter());
--- a/crates/node/tests/bodies/retries.rs
+++ b/crates/node/tests/bodies/retries.rs
@@ -5,8 +5,8 @@
 use std::net::TcpListener;
 use std::time::Duration;
 
-/// A `licence-issue` of 8 MB is stored in a file. Its first worker resets the connection after the last byte; the retry
-/// sends it again byte for byte.
+/// A `licence-issue` of 8 MB is stored in a file. Its first worker resets the connection after the last byte;
+/// the retry sends it again byte for byte.
 #[test]
 fn a_long_body_is_retried_from_its_file() {
     let _running_alone = run_alone();
@@ -41,8 +41,8 @@
     assert_eq!(installation.scratch.file_names("spool"), [""; 0], "a file has no name");
 }
 
-/// A `fee-charge` whose body is not stored, with every way in which a worker can end an attempt: at most one run, one
-/// answer, at once, and a rejection only if it never ran.
+/// A `fee-charge` whose body is not stored, with every way in which a worker can end an attempt: at most one
+/// run, one answer, at once, and a rejection only if it never ran.
 #[test]
 fn an_at_most_once_request_without_a_stored_body_runs_at_most_once() {
     let _running_alone = run_alone();
@@ -91,7 +91,8 @@
     }
 }
 
-/// The rejection of a worker that has read only the head arrives, and a stored body is sent to another worker.
+/// The rejection of a worker that has read only the head arrives, and a stored body is sent to another
+/// worker.
 #[test]
 fn a_worker_that_rejects_before_the_body_is_retried_elsewhere() {
     let _running_alone = run_alone();
--- a/crates/node/tests/bodies/signals.rs
+++ b/crates/node/tests/bodies/signals.rs
@@ -38,7 +38,8 @@
     expected: String,
 }
 
-/// SIGHUP lowers the limits under load, an invalid file changes nothing, and SIGTERM finishes requests with open files.
+/// SIGHUP lowers the limits under load, an invalid file changes nothing, and SIGTERM finishes requests with
+/// open files.
 #[test]
 fn limits_shrink_under_load_and_sigterm_finishes_requests_with_files() {
     let _running_alone = run_alone();
@@ -51,8 +52,9 @@
     // Prepared before the first is sent, since the bodies take their time.
     let requests: Vec<PreparedRequest> = (0..REQUEST_COUNT).map(PreparedRequest::new).collect();
     let mut requests = requests.into_iter();
-    // Long bodies first, each complete before the next: a body that is being written to its file uses memory too, and how
-    // much each of several would use is chance. The workers' answers are paused, so all bodies stay stored until the end.
+    // Long bodies first, each complete before the next: a body that is being written to its file uses memory
+    // too, and how much each of several would use is chance. The workers' answers are paused, so all bodies
+    // stay stored until the end.
     let deadline = Instant::now() + Duration::from_secs(5);
     let mut clients = Vec::new();
     for (number, request) in requests.by_ref().take(REQUESTS_BEFORE_RELOAD).enumerate() {
--- a/crates/node/tests/bodies/spool_directory.rs
+++ b/crates/node/tests/bodies/spool_directory.rs
@@ -5,8 +5,8 @@
 use std::process::Command;
 use std::thread;
 
-/// A resource limit on the size of files, as any user may have it: bodies are stored elsewhere or not at all, none is
-/// corrupt, and the node goes on.
+/// A resource limit on the size of files, as any user may have it: bodies are stored elsewhere or not at all,
+/// none is corrupt, and the node goes on.
 #[test]
 fn a_resource_limit_on_file_size_is_treated_as_a_full_disk() {
     let _running_alone = run_alone();
@@ -44,7 +44,8 @@
     );
 }
 
-/// A disk that is full at the start is logged as a warning that names the key; requests are served without files.
+/// A disk that is full at the start is logged as a warning that names the key; requests are served without
+/// files.
 #[test]
 fn a_directory_on_a_full_disk_is_named_by_its_key() {
     let _running_alone = run_alone();
@@ -69,8 +70,8 @@
     assert_eq!((node.counter("body_streamed"), node.counter("not_stored_disk_full")), (1, 1));
 }
 
-/// With a directory that can't be used the program does not start, and prints one line that names the key; a reload
-/// changes nothing.
+/// With a directory that can't be used the program does not start, and prints one line that names the key; a
+/// reload changes nothing.
 #[test]
 fn an_unusable_directory_is_named_by_its_key() {
     let _running_alone = run_alone();
--- a/crates/node/tests/crash.rs
+++ b/crates/node/tests/crash.rs
@@ -1,5 +1,5 @@
-//! A node that is killed at random points with bodies half written: the next start finds no file that looks complete, and
-//! no at-most-once request runs twice.
+//! A node that is killed at random points with bodies half written: the next start finds no file that looks
+//! complete, and no at-most-once request runs twice.
 //!
 //! `SORRELHAVEN_KILLS` sets how often it is killed (12 by default); the points come from a fixed seed.
 
--- a/crates/node/tests/faults.rs
+++ b/crates/node/tests/faults.rs
@@ -84,7 +84,8 @@
         Node::start(name, plan, workers, &config)
     }
 
-    /// Sends `count` at-most-once requests from several clients, each on a new connection and `pause` after it was opened.
+    /// Sends `count` at-most-once requests from several clients, each on a new connection and `pause` after
+    /// it was opened.
     fn send_requests(&self, count: u64, pause: Duration) -> LoadResult {
         let load = Load {
             address: self.program.address.clone(),
@@ -175,7 +176,8 @@
     }
 }
 
-/// With short transfers, also on the node's own wake-up channel, no signal of a series is lost, and the node ends.
+/// With short transfers, also on the node's own wake-up channel, no signal of a series is lost, and the node
+/// ends.
 #[test]
 fn short_transfers_lose_no_signal() {
     let plan = FaultPlan::failing_calls("send:SHORT:2;recv:SHORT:2");
--- a/crates/node/tests/large_fleet.rs
+++ b/crates/node/tests/large_fleet.rs
@@ -1,5 +1,5 @@
-//! A node with thousands of workers on a small share of a core answers each request in time, also while workers hang
-//! and a release replaces half of the worker list.
+//! A node with thousands of workers on a small share of a core answers each request in time, also while
+//! workers hang and a release replaces half of the worker list.
 
 use sorrelhaven_test_support::{
     CpuShare, FakeWorkers, Program, ScratchDir, TestRequest, WatchStep, WorkerBehavior, cpu_time,
@@ -29,7 +29,8 @@
 const FAULT_END: Duration = Duration::from_secs(8);
 /// Updates of the list in which the release is sent.
 const RELEASE_PARTS: usize = 10;
-/// What a hanging server does: it resets the connections after the end of the fault, when most clients have given up.
+/// What a hanging server does: it resets the connections after the end of the fault, when most clients have
+/// given up.
 const HANG: WorkerBehavior = WorkerBehavior::SilentThenReset(5_300);
 /// A node's share of a core, in multiples of its mean use with [`USUAL_WORKERS`] workers.
 const SHARE_OF_USUAL_USE: f64 = 1.5;
@@ -139,8 +140,8 @@
     counters: String,
 }
 
-/// Loads a node for [`LOAD_DURATION`]. From [`FAULT_START`] to [`FAULT_END`] most workers hang and a release replaces
-/// half of the list.
+/// Loads a node for [`LOAD_DURATION`]. From [`FAULT_START`] to [`FAULT_END`] most workers hang and a release
+/// replaces half of the list.
 fn measure(scenario: &Scenario) -> Measurement {
     let workers = FakeWorkers::new(SERVERS);
     workers.set_default_behavior(WorkerBehavior::DoneAfterMillis(40));
@@ -185,7 +186,8 @@
     }
 }
 
-/// One update of a release that replaces half of the list: old workers begin to drain, new ones are in service.
+/// One update of a release that replaces half of the list: old workers begin to drain, new ones are in
+/// service.
 fn release_part(part: usize, workers: usize, servers: &[SocketAddr]) -> String {
     let part_length = workers / 2 / RELEASE_PARTS;
     let replaced = part * part_length..(part + 1) * part_length;
@@ -235,8 +237,8 @@
     );
 }
 
-/// A node whose share of a core is [`SHARE_OF_USUAL_USE`] times its mean use with the usual number of workers answers
-/// everything in time with thousands.
+/// A node whose share of a core is [`SHARE_OF_USUAL_USE`] times its mean use with the usual number of workers
+/// answers everything in time with thousands.
 #[test]
 fn with_thousands_of_workers_each_request_is_answered_in_time_on_a_small_share_of_a_core() {
     let share = (usual_cpu_time().div_duration_f64(LOAD_DURATION) * SHARE_OF_USUAL_USE).min(0.9);
--- a/crates/node/tests/large_lists.rs
+++ b/crates/node/tests/large_lists.rs
@@ -1,4 +1,5 @@
-//! Worker lists of a thousand entries within the least memory and descriptors, and lists that are mostly out of date.
+//! Worker lists of a thousand entries within the least memory and descriptors, and lists that are mostly out
+//! of date.
 
 use sorrelhaven_test_support::{
     FakeWorkers, Program, RefusingPort, ScratchDir, TestRequest, begin_chunked_response, open_listener,
@@ -140,8 +141,8 @@
     }
 }
 
-/// The list is known from the start and is sent again indented; then there is an update for each worker, by which all
-/// but one leave and all return. Requests are answered throughout.
+/// The list is known from the start and is sent again indented; then there is an update for each worker, by
+/// which all but one leave and all return. Requests are answered throughout.
 #[test]
 fn a_node_among_1024_with_1025_workers_keeps_to_32_mb_and_256_descriptors() {
     let node = LargeListNode::start();
@@ -169,9 +170,9 @@
     assert_eq!(faults_logged, 1, "{log}");
 }
 
-/// A node starts with a list of which four in five workers are gone, and discovery sends nothing yet. Each request is
-/// answered at once, served or rejected without a run, until the node has found out which workers are there; from then on
-/// all are served. The current list removes those that are gone.
+/// A node starts with a list of which four in five workers are gone, and discovery sends nothing yet. Each
+/// request is answered at once, served or rejected without a run, until the node has found out which workers
+/// are there; from then on all are served. The current list removes those that are gone.
 #[test]
 fn with_an_outdated_known_list_requests_are_answered_and_the_current_list_corrects_it() {
     let workers = FakeWorkers::new(4);
--- a/crates/node/tests/members.rs
+++ b/crates/node/tests/members.rs
@@ -36,7 +36,8 @@
         group
     }
 
-    /// Starts one node. Its suspicion timeout is longer than the default, so that a busy machine does not declare nodes dead.
+    /// Starts one node. Its suspicion timeout is longer than the default, so that a busy machine does not
+    /// declare nodes dead.
     fn start(&self, number: usize) -> Program {
         let address = |to| self.proxy.address(0, to).expect("the proxy has an address");
         let operator = format!(
@@ -57,7 +58,8 @@
         command.env("RELAY_OPS", "127.0.0.1:0");
         command.env("RUST_LOG", "info,sorrelhaven_engine::discovery_watch=error");
         let node = Program::start(command, &platform, Some(&operator));
-        // What it has sent before this registration came from an address that the proxy does not know, and is lost.
+        // What it has sent before this registration came from an address that the proxy does not know, and is
+        // lost.
         let listen = listen_address(&node);
         self.proxy.register_listener(number, listen);
         self.listeners.borrow_mut().insert(number, listen);
@@ -135,7 +137,8 @@
     rows.max_by_key(|row| row.incarnation)
 }
 
-/// A killed node is dead at all others, and its stale incarnation does not return; restarted, it is a new incarnation.
+/// A killed node is dead at all others, and its stale incarnation does not return; restarted, it is a new
+/// incarnation.
 #[test]
 fn a_killed_node_is_dead_at_all_others_and_a_new_incarnation_after_a_restart() {
     let mut group = Group::new("killed", 1);
@@ -166,8 +169,8 @@
     group.wait_until("all nodes see all alive", Group::sees_all_alive);
 }
 
-/// A node that is paused for longer than the suspicion timeout is dead at the others; it resumes, and does not declare
-/// them dead.
+/// A node that is paused for longer than the suspicion timeout is dead at the others; it resumes, and does
+/// not declare them dead.
 #[test]
 fn a_long_paused_node_returns_as_a_new_incarnation_and_declares_no_other_dead() {
     let group = Group::new("sleeper", 2);
@@ -211,8 +214,8 @@
     group.wait_until("n3 has left", |group| group.all_see(&[0, 1, 2, 4], 3, "left"));
 }
 
-/// A fifth of all datagrams is lost, then two fifths of what one node sends, then one direction is blocked. Indirect
-/// probes keep all alive.
+/// A fifth of all datagrams is lost, then two fifths of what one node sends, then one direction is blocked.
+/// Indirect probes keep all alive.
 #[test]
 fn losses_and_a_blocked_direction_declare_no_node_dead() {
     let group = Group::new("losses", 5);
--- a/crates/node/tests/operations.rs
+++ b/crates/node/tests/operations.rs
@@ -49,8 +49,8 @@
     response.starts_with("HTTP/1.1 200 ") && response.contains("\r\nConnection: close\r\n")
 }
 
-/// A drain answers requests that have begun and closes their connections, closes idle connections in time, and lets a long
-/// job go on; `resume` takes effect at once.
+/// A drain answers requests that have begun and closes their connections, closes idle connections in time,
+/// and lets a long job go on; `resume` takes effect at once.
 #[test]
 fn a_drain_closes_every_client_connection_and_resume_accepts_again() {
     let workers = FakeWorkers::new(1);
@@ -76,7 +76,8 @@
     assert_eq!(node.admin_call("ready"), "FAILURE drained\n");
     assert_eq!(node.admin_call("drain"), "SUCCESS drained already\n");
     assert!(probe_ready(&node).starts_with("HTTP/1.1 503 "), "the probe fails at once");
-    // A client that connects before the load balancer has seen the probe fail is served, and its connection closed.
+    // A client that connects before the load balancer has seen the probe fail is served, and its connection
+    // closed.
     let mut late = connect(&node);
     late.write_all((request("late").head() + "body").as_bytes()).expect("the bytes are written");
     let received = read_to_end(&mut late);
@@ -128,7 +129,8 @@
     node.terminate();
 }
 
-/// Signals during a drain: a reload does not end it; SIGTERM ends the node, and admitted requests are answered.
+/// Signals during a drain: a reload does not end it; SIGTERM ends the node, and admitted requests are
+/// answered.
 #[test]
 fn a_drain_survives_a_reload_and_sigterm_ends_the_node() {
     let workers = FakeWorkers::new(1);
@@ -161,7 +163,8 @@
     }
 }
 
-/// Many incomplete admin calls beside a full load of clients: the next call is answered before the others time out.
+/// Many incomplete admin calls beside a full load of clients: the next call is answered before the others
+/// time out.
 #[test]
 fn silent_admin_callers_delay_no_other_call() {
     let workers = FakeWorkers::new(2);
@@ -208,8 +211,8 @@
     node.terminate();
 }
 
-/// Admin calls in pieces, unknown, empty, too long, not text, without a line end, and never read: each caller gets an
-/// answer or a close.
+/// Admin calls in pieces, unknown, empty, too long, not text, without a line end, and never read: each caller
+/// gets an answer or a close.
 #[test]
 fn every_malformed_admin_call_gets_an_answer_or_a_close() {
     let workers = FakeWorkers::new(1);
--- a/crates/node/tests/program.rs
+++ b/crates/node/tests/program.rs
@@ -115,8 +115,8 @@
     let (mut job, _) = listener.accept().expect("the job is sent");
     let request = read_until(&mut job, "body");
     assert!(request.starts_with("POST /api?a=b HTTP/1.1\r\n"), "{request}");
-    // The client's timeout starts when it sends, on a new connection with the first packet: an answer that is sent
-    // after it is lost, so the worker gets less time.
+    // The client's timeout starts when it sends, on a new connection with the first packet: an answer that is
+    // sent after it is lost, so the worker gets less time.
     let timeout = request.split("Request-Timeout: ").nth(1).and_then(|rest| rest.split("u\r\n").next());
     let timeout_micros: u64 =
         timeout.expect("the request has a timeout").parse().expect("the timeout is a number");
@@ -146,8 +146,9 @@
     assert!(node.child.wait().expect("the program ends").success());
 }
 
-/// SIGHUP ends nothing: an invalid file is logged by its key and changes nothing, a valid one moves the watch at once,
-/// known workers stay known, and admitted requests are finished, also with a SIGTERM right behind it.
+/// SIGHUP ends nothing: an invalid file is logged by its key and changes nothing, a valid one moves the watch
+/// at once, known workers stay known, and admitted requests are finished, also with a SIGTERM right behind
+/// it.
 #[test]
 fn a_reload_moves_the_watch_and_loses_no_request() {
     let (listener, address) = open_worker();
@@ -233,7 +234,8 @@
     assert!(counters.contains("client_gone=1") && counters.contains("cancelled=1"), "{counters}");
 }
 
-/// The id of a request in progress must not reach a worker twice: the second would be rejected there, or mixed up.
+/// The id of a request in progress must not reach a worker twice: the second would be rejected there, or
+/// mixed up.
 #[test]
 fn a_duplicate_of_an_id_in_progress_is_answered_with_409_and_the_first_goes_on() {
     let (listener, address) = open_worker();
@@ -257,8 +259,8 @@
     assert!(read_until(&mut client, "\r\n\r\n").starts_with("HTTP/1.1 503 "));
 }
 
-/// A client that sends nothing, half a request or far too much gets an error or a close within 3 s of connecting, and a
-/// connection that has served requests stays.
+/// A client that sends nothing, half a request or far too much gets an error or a close within 3 s of
+/// connecting, and a connection that has served requests stays.
 #[test]
 fn an_incomplete_or_too_long_request_gets_an_error_or_a_close_within_three_seconds() {
     let node = Node::start(&config("127.0.0.1:1", "at_most_once"), "bad-client");
@@ -283,7 +285,8 @@
     assert!(read_until(&mut served, "\r\n\r\n").starts_with("HTTP/1.1 404 "));
 }
 
-/// Of many idle connections, those that have sent nothing are evicted first: one that has served requests stays.
+/// Of many idle connections, those that have sent nothing are evicted first: one that has served requests
+/// stays.
 #[test]
 fn silent_connections_are_evicted_before_those_that_have_served() {
     let text =
--- a/crates/node/tests/races/client_disconnect.rs
+++ b/crates/node/tests/races/client_disconnect.rs
@@ -8,8 +8,8 @@
 use sorrelhaven_test_support::{StalledListener, open_listener};
 use std::net::TcpStream;
 
-/// The client disconnects while the connection to the worker is being established: nothing is sent for it, also where
-/// attempts can't be cancelled. The connection carries the next request instead.
+/// The client disconnects while the connection to the worker is being established: nothing is sent for it,
+/// also where attempts can't be cancelled. The connection carries the next request instead.
 #[test]
 fn a_request_whose_client_disconnects_during_connect_is_not_sent() {
     let stalled = StalledListener::new().expect("the listener stalls");
@@ -31,7 +31,8 @@
     assert_eq!((node.counter("sent_after_client_gone"), node.counter("requests_sent")), (0, 1));
 }
 
-/// A request is pending in the node, as no worker accepts work; its client disconnects, and then there is a worker.
+/// A request is pending in the node, as no worker accepts work; its client disconnects, and then there is a
+/// worker.
 #[test]
 fn a_pending_request_whose_client_disconnects_is_not_sent() {
     let (worker, address) = open_listener();
@@ -81,8 +82,8 @@
     }
 }
 
-/// A worker rejects a request, and its client disconnects in the pause before the next attempt: the worker's next request
-/// is another client's.
+/// A worker rejects a request, and its client disconnects in the pause before the next attempt: the worker's
+/// next request is another client's.
 #[test]
 fn a_request_whose_client_disconnects_between_attempts_is_not_sent_again() {
     for manner in Disconnect::ALL {
--- a/crates/node/tests/races/flooding.rs
+++ b/crates/node/tests/races/flooding.rs
@@ -21,8 +21,8 @@
     status: u16,
 }
 
-/// Workers that send without a pause, in lines, in empty lines, after their answer or behind its end, do not keep the node
-/// from other requests.
+/// Workers that send without a pause, in lines, in empty lines, after their answer or behind its end, do not
+/// keep the node from other requests.
 #[test]
 fn an_endless_response_delays_no_other_request() {
     let running = chunk("{\"id\":\"flood\",\"state\":\"running\",\"share\":0.5}\n");
--- a/crates/node/tests/races/peers.rs
+++ b/crates/node/tests/races/peers.rs
@@ -25,8 +25,8 @@
     Disabled,
 }
 
-/// Starts a node with one known worker, `s-1`, and three classes: `safe` (idempotent), `once` (at most once) and `drops`
-/// (deduplicated by workers for [`IDEMPOTENCY_WINDOW_MICROS`]).
+/// Starts a node with one known worker, `s-1`, and three classes: `safe` (idempotent), `once` (at most once)
+/// and `drops` (deduplicated by workers for [`IDEMPOTENCY_WINDOW_MICROS`]).
 pub fn start_node(
     worker: SocketAddr,
     discovery: SocketAddr,
--- a/crates/node/tests/races/shutdown.rs
+++ b/crates/node/tests/races/shutdown.rs
@@ -16,8 +16,9 @@
 /// A node that ends later than this may be killed.
 const SHUTDOWN_LIMIT: Duration = Duration::from_millis(3_700);
 
-/// SIGTERM finds a request half read, which is complete more than 0.7 s later. It must be answered before SIGKILL may
-/// come, whatever its client allows and its worker does; a second signal and a reload change nothing.
+/// SIGTERM finds a request half read, which is complete more than 0.7 s later. It must be answered before
+/// SIGKILL may come, whatever its client allows and its worker does; a second signal and a reload change
+/// nothing.
 #[test]
 fn a_request_that_is_complete_late_after_sigterm_is_answered_before_the_node_may_be_killed() {
     let (worker, address) = open_listener();
@@ -63,8 +64,8 @@
     client
 }
 
-/// SIGTERM comes while the connection to the worker is being established: the request is sent and served, and then the
-/// node ends.
+/// SIGTERM comes while the connection to the worker is being established: the request is sent and served, and
+/// then the node ends.
 #[test]
 fn a_request_whose_connect_ends_after_sigterm_is_served() {
     let stalled = StalledListener::new().expect("the listener stalls");
@@ -83,8 +84,9 @@
     assert!(node.child.wait().expect("the node ends").success());
 }
 
-/// A client goes on to send on its open connections while the node ends. A request before a connection's last answer is
-/// answered on that connection; one that crosses its end is never sent to a worker, so that the client may send it again.
+/// A client goes on to send on its open connections while the node ends. A request before a connection's last
+/// answer is answered on that connection; one that crosses its end is never sent to a worker, so that the
+/// client may send it again.
 #[test]
 fn a_request_that_crosses_the_end_of_its_client_connection_is_not_sent() {
     let (worker, address) = open_listener();
@@ -111,7 +113,8 @@
     respond(&mut connection, &done_response("three"));
     let response = read_response(&mut client);
     assert_eq!((response.status, response.connection_close), (200, true));
-    // The node closes the idle connection; a request that is written at that moment meets a closed connection.
+    // The node closes the idle connection; a request that is written at that moment meets a closed
+    // connection.
     let mut end = [0];
     assert!(matches!(idle_client.read(&mut end), Ok(0) | Err(_)), "the idle connection ends");
     let _ = send(&mut idle_client, "five");
--- a/crates/node/tests/races/worker_changes.rs
+++ b/crates/node/tests/races/worker_changes.rs
@@ -27,8 +27,9 @@
     assert_eq!((node.counter("connect_failed"), node.counter("requests_sent")), (1, 0));
 }
 
-/// Workers drop a retry within a stated time. A retry that was begun within it, on a connection that is established after
-/// it, would run twice: it is not sent, and its client is told in time that it may try again.
+/// Workers drop a retry within a stated time. A retry that was begun within it, on a connection that is
+/// established after it, would run twice: it is not sent, and its client is told in time that it may try
+/// again.
 #[test]
 fn a_retry_whose_connect_ends_after_the_idempotency_window_is_not_sent() {
     let (worker, address) = open_listener();
--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -214,7 +214,8 @@
     old.terminate();
 }
 
-/// The old process is killed: its requests in progress end with their connections, and the new process serves the rest.
+/// The old process is killed: its requests in progress end with their connections, and the new process serves
+/// the rest.
 #[test]
 fn after_the_old_process_is_killed_the_new_one_serves_the_accept_queue() {
     let platform = Platform::new("killed");
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,5 +1,5 @@
-//! Clients of a soak. Most are well-behaved and must get an answer to each request; some disconnect early or send
-//! malformed requests.
+//! Clients of a soak. Most are well-behaved and must get an answer to each request; some disconnect early or
+//! send malformed requests.
 
 use crate::node_history::{Incarnation, NodeHistory};
 use fastrand::Rng;
@@ -95,7 +95,8 @@
                 self.check_time(request, &response);
                 self.record_answer(request, &response, stream)
             }
-            // What a killed process had read may have run: a request that must not run twice is not sent again.
+            // What a killed process had read may have run: a request that must not run twice is not sent
+            // again.
             Err(_) if self.node.was_killed(&incarnation) => None,
             // The node may close an idle connection while the request is under way to it.
             Err(error) if was_idle && error.kind() != ErrorKind::WouldBlock => {
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -13,8 +13,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Descriptors of each node, the fewest that it works with: list entries by the thousand have a connection each, so that
-/// nodes run short of them.
+/// Descriptors of each node, the fewest that it works with: list entries by the thousand have a connection
+/// each, so that nodes run short of them.
 const DESCRIPTOR_LIMIT: usize = 256;
 /// How long a worker runs a job.
 const JOB_MILLIS: u64 = 5;
@@ -118,7 +118,8 @@
         node.program = Some(program);
     }
 
-    /// Ends a node with SIGTERM. A thread waits for its end and checks its last counters, so that the soak goes on.
+    /// Ends a node with SIGTERM. A thread waits for its end and checks its last counters, so that the soak
+    /// goes on.
     fn terminate_node(&mut self, number: usize) {
         let node = &mut self.nodes[number];
         node.history.record_end(EndCause::Terminated(Instant::now()));
--- a/crates/soak/src/node_history.rs
+++ b/crates/soak/src/node_history.rs
@@ -69,8 +69,8 @@
         matches!(self.end_of(incarnation), Some(EndCause::Killed))
     }
 
-    /// Whether an incarnation may close a connection without an answer to a request that was begun at `request_begun`:
-    /// it was killed, or had got SIGTERM more than `accept_period` before.
+    /// Whether an incarnation may close a connection without an answer to a request that was begun at
+    /// `request_begun`: it was killed, or had got SIGTERM more than `accept_period` before.
     pub fn may_close(
         &self,
         incarnation: &Incarnation,
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -107,8 +107,8 @@
     pub systems: Vec<SystemFaults>,
 }
 
-/// Errors that pass, by call. Failures of `epoll_ctl` are not drawn: they are known to stop a node (docs/incidents,
-/// open).
+/// Errors that pass, by call. Failures of `epoll_ctl` are not drawn: they are known to stop a node
+/// (docs/incidents, open).
 const TRANSIENT_ERRORS: [&str; 10] = [
     "recv:EINTR:20",
     "send:EINTR:20",
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Copies bytes in one direction until either side ends, or all connections are reset: then there have been more
-    /// resets than `resets_at_start`.
+    /// Copies bytes in one direction until either side ends, or all connections are reset: then there have
+    /// been more resets than `resets_at_start`.
     fn pump(&self, mut from: TcpStream, mut to: TcpStream, direction: Direction, resets_at_start: u64) {
         let _ = from.set_read_timeout(Some(POLL_INTERVAL));
         let _ = from.set_nodelay(true);
--- a/crates/test-support/src/checker.rs
+++ b/crates/test-support/src/checker.rs
@@ -27,7 +27,8 @@
     pub served: usize,
 }
 
-/// Records what clients send and receive, from any number of threads, and finds violations of the delivery rules.
+/// Records what clients send and receive, from any number of threads, and finds violations of the delivery
+/// rules.
 #[derive(Default)]
 pub struct Checker {
     /// By request id.
@@ -64,8 +65,9 @@
         CheckerTotals { requested: records.len(), served }
     }
 
-    /// Each violation of a delivery rule, a line each: a run without a request, or with another body; an at-most-once
-    /// job that ran twice, or ran and was rejected; a request with two answers, or served without a run.
+    /// Each violation of a delivery rule, a line each: a run without a request, or with another body; an
+    /// at-most-once job that ran twice, or ran and was rejected; a request with two answers, or served
+    /// without a run.
     pub fn violations(&self, executed: &[ExecutedRequest]) -> Vec<String> {
         let records = self.records();
         let mut violations = Vec::new();
--- a/crates/test-support/src/chunked.rs
+++ b/crates/test-support/src/chunked.rs
@@ -27,7 +27,8 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// Reads the head of one request and sends the head of a chunked response to it. Returns the request's target.
+/// Reads the head of one request and sends the head of a chunked response to it. Returns the request's
+/// target.
 ///
 /// # Panics
 /// As [`read_request_target`], and if the response can't be sent.
--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -6,7 +6,8 @@
 
 /// The timeout that a request states if the test does not say otherwise.
 const DEFAULT_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// For so long after the stated timeout the client still waits, so that a late answer shows as late and not as lost.
+/// For so long after the stated timeout the client still waits, so that a late answer shows as late and not
+/// as lost.
 const READ_GRACE: Duration = Duration::from_secs(5);
 /// Length of the chunks in which a chunked body is sent.
 const BODY_CHUNK_BYTES: usize = 10_000;
@@ -81,8 +82,8 @@
         self.send_on(&mut stream)
     }
 
-    /// Sends the request on an open connection and reads the answer. With `Expect: 100-continue`, a final answer in
-    /// place of 100 is returned and the body is not sent.
+    /// Sends the request on an open connection and reads the answer. With `Expect: 100-continue`, a final
+    /// answer in place of 100 is returned and the body is not sent.
     ///
     /// # Errors
     /// Those of the connection, if it ends without an answer.
@@ -99,8 +100,8 @@
         self.send_body_and_read(stream, sent_at)
     }
 
-    /// Writes the body while it reads the answer: one that comes before the body is written would be lost to the
-    /// reset of the connection if the client read only afterwards.
+    /// Writes the body while it reads the answer: one that comes before the body is written would be lost to
+    /// the reset of the connection if the client read only afterwards.
     fn send_body_and_read(&self, stream: &mut TcpStream, sent_at: Instant) -> io::Result<TestResponse> {
         let mut body_stream = stream.try_clone()?;
         std::thread::scope(|scope| {
--- a/crates/test-support/src/cpu_share.rs
+++ b/crates/test-support/src/cpu_share.rs
@@ -11,8 +11,8 @@
 /// How often the processor time of the running process is read.
 const SAMPLE_INTERVAL: Duration = Duration::from_micros(250);
 
-/// Limits a process to a share of one core, as on a machine that many share: the process is stopped with SIGSTOP
-/// whenever it has used more. Dropping this lifts the limit.
+/// Limits a process to a share of one core, as on a machine that many share: the process is stopped with
+/// SIGSTOP whenever it has used more. Dropping this lifts the limit.
 pub struct CpuShare {
     lifted: Arc<AtomicBool>,
     limiter: Option<thread::JoinHandle<()>>,
--- a/crates/test-support/src/fake_discovery.rs
+++ b/crates/test-support/src/fake_discovery.rs
@@ -14,7 +14,8 @@
 
 /// What one watch sends next.
 pub enum WatchStep {
-    /// These updates, each a line of JSON that ends with a line feed; with none, an empty line when one is due.
+    /// These updates, each a line of JSON that ends with a line feed; with none, an empty line when one is
+    /// due.
     Send(Vec<String>),
     /// Nothing at all, not even the head of the response if it has not been sent.
     StaySilent,
@@ -22,8 +23,8 @@
     Close,
 }
 
-/// Serves watches on loopback until the process ends, and returns the address. `new_watch` is called once for each
-/// request that arrives, and what it returns is polled for that watch's next step.
+/// Serves watches on loopback until the process ends, and returns the address. `new_watch` is called once for
+/// each request that arrives, and what it returns is polled for that watch's next step.
 ///
 /// # Panics
 /// If the listener can't be opened.
@@ -41,7 +42,8 @@
     address
 }
 
-/// One version of the worker list in discovery's format: all entries if `whole`, or only those that have changed.
+/// One version of the worker list in discovery's format: all entries if `whole`, or only those that have
+/// changed.
 pub fn worker_list(version: u64, whole: bool, entries: &[String]) -> String {
     format!(r#"{{"seq":{version},"whole":{whole},"hosts":[{}]}}"#, entries.join(","))
 }
--- a/crates/test-support/src/fake_workers.rs
+++ b/crates/test-support/src/fake_workers.rs
@@ -41,8 +41,8 @@
     released: bool,
 }
 
-/// Workers, numbered from 0, that share one script and one record. They serve until the process ends; clones are the
-/// same workers.
+/// Workers, numbered from 0, that share one script and one record. They serve until the process ends; clones
+/// are the same workers.
 #[derive(Clone)]
 pub struct FakeWorkers {
     state: Arc<Mutex<State>>,
--- a/crates/test-support/src/fake_workers/behavior.rs
+++ b/crates/test-support/src/fake_workers/behavior.rs
@@ -1,7 +1,7 @@
 //! What a fake worker does with a request.
 
-/// What a fake worker does with one request. The names follow the engine's `AttemptEnd` where the behaviour leads to
-/// one of its variants.
+/// What a fake worker does with one request. The names follow the engine's `AttemptEnd` where the behaviour
+/// leads to one of its variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerBehavior {
     /// Runs the job and answers with its result, the length and checksum of the body.
--- a/crates/test-support/src/fault_proxy.rs
+++ b/crates/test-support/src/fault_proxy.rs
@@ -1,7 +1,8 @@
 //! A UDP proxy between processes: it loses, delays, duplicates, reorders and blocks datagrams.
 //!
-//! Every process reaches each other process at a proxy address of its own, so that each direction of each pair can be
-//! disturbed by itself. What happens to the datagrams of a direction follows from the seed and their sequence alone.
+//! Every process reaches each other process at a proxy address of its own, so that each direction of each
+//! pair can be disturbed by itself. What happens to the datagrams of a direction follows from the seed and
+//! their sequence alone.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -54,8 +55,8 @@
 }
 
 impl Direction {
-    /// The delay of each copy of the next datagram; empty if it is lost. The number of draws is always the same, so
-    /// that switching on one fault does not change what another does later.
+    /// The delay of each copy of the next datagram; empty if it is lost. The number of draws is always the
+    /// same, so that switching on one fault does not change what another does later.
     fn draw_copy_delays(&mut self) -> Vec<Duration> {
         let lost = self.rng.f64() < self.faults.loss;
         let duplicated = self.rng.f64() < self.faults.duplication;
@@ -95,8 +96,8 @@
     /// Signals a new datagram in flight, or the end.
     changed: Condvar,
     stopped: AtomicBool,
-    /// The socket at which process `i` reaches process `j` has the index `i * process_count + j`, or `j` if each
-    /// process has one address for all others.
+    /// The socket at which process `i` reaches process `j` has the index `i * process_count + j`, or `j` if
+    /// each process has one address for all others.
     sockets: Vec<UdpSocket>,
     process_count: usize,
     addressing: Addressing,
@@ -145,8 +146,8 @@
 }
 
 impl FaultProxy {
-    /// Starts a proxy between `process_count` processes, on loopback ports that the system chooses, with an address
-    /// for each pair of processes. Equal seeds disturb alike.
+    /// Starts a proxy between `process_count` processes, on loopback ports that the system chooses, with an
+    /// address for each pair of processes. Equal seeds disturb alike.
     ///
     /// # Errors
     /// Those of the socket calls.
@@ -154,8 +155,8 @@
         FaultProxy::start(process_count, seed, Addressing::PerPair)
     }
 
-    /// The same with one address for each process, which processes may pass on to each other. Senders are identified by
-    /// their source address, so each has to send from where it listens, and be registered with
+    /// The same with one address for each process, which processes may pass on to each other. Senders are
+    /// identified by their source address, so each has to send from where it listens, and be registered with
     /// [`FaultProxy::register_listener`] first.
     ///
     /// # Errors
@@ -203,7 +204,8 @@
         self.shared.socket(from, to).local_addr()
     }
 
-    /// Sets where a process listens, for the first time or after a restart; what is sent to it before is lost.
+    /// Sets where a process listens, for the first time or after a restart; what is sent to it before is
+    /// lost.
     pub fn register_listener(&self, process: usize, address: SocketAddr) {
         self.shared.state().listeners[process] = Some(address);
     }
--- a/crates/test-support/src/node_config.rs
+++ b/crates/test-support/src/node_config.rs
@@ -13,8 +13,8 @@
     )
 }
 
-/// The file of a node with these known workers, `s-0` and up, and three classes: `renewal-check` (idempotent),
-/// `licence-issue` (deduplicated by key) and `fee-charge` (at most once).
+/// The file of a node with these known workers, `s-0` and up, and three classes: `renewal-check`
+/// (idempotent), `licence-issue` (deduplicated by key) and `fee-charge` (at most once).
 pub fn workers_config(workers: &[SocketAddr]) -> String {
     let host = |(number, dial): (usize, &SocketAddr)| {
         format!(r#"{{"host":"s-{number}","dial":"{dial}","health":"in_service"}}"#)
--- a/crates/test-support/src/program.rs
+++ b/crates/test-support/src/program.rs
@@ -36,9 +36,9 @@
 }
 
 impl Program {
-    /// Starts `command` with the platform's file `config`, and with `operator`'s if there is one, and waits until
-    /// the program logs that it is ready. Of the variables that the program reads it gets only those that
-    /// `command` sets.
+    /// Starts `command` with the platform's file `config`, and with `operator`'s if there is one, and waits
+    /// until the program logs that it is ready. Of the variables that the program reads it gets only those
+    /// that `command` sets.
     ///
     /// # Panics
     /// If the program does not start, or ends before it is ready.
@@ -189,8 +189,8 @@
     line.split_whitespace().find_map(|field| field.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// Kills the process unless `ended` is closed within [`SHUTDOWN_TIMEOUT`], so that a program that never ends does
-/// not hold up the tests: its log ends with it.
+/// Kills the process unless `ended` is closed within [`SHUTDOWN_TIMEOUT`], so that a program that never ends
+/// does not hold up the tests: its log ends with it.
 fn kill_unless_ended(process_id: u32, ended: &Receiver<()>) {
     if ended.recv_timeout(SHUTDOWN_TIMEOUT) == Err(RecvTimeoutError::Timeout) {
         let _ = Command::new("kill").args(["-s", "KILL", &process_id.to_string()]).status();
--- a/crates/test-support/src/refusing_port.rs
+++ b/crates/test-support/src/refusing_port.rs
@@ -5,7 +5,8 @@
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// A bound port without a listener: connections to it are refused, and no other process can bind it meanwhile.
+/// A bound port without a listener: connections to it are refused, and no other process can bind it
+/// meanwhile.
 pub struct RefusingPort {
     _socket: OwnedFd,
     /// The address that refuses connections.
--- a/crates/test-support/src/stalled_listener.rs
+++ b/crates/test-support/src/stalled_listener.rs
@@ -28,7 +28,8 @@
         rustix::net::listen(&listener, 0)?;
         let address = listener.local_addr()?;
         let mut queued = Vec::new();
-        // How many connections the system queues is its own affair: the first that waits shows that it is full.
+        // How many connections the system queues is its own affair: the first that waits shows that it is
+        // full.
         while let Ok(stream) = TcpStream::connect_timeout(&address, QUEUE_FULL_TIMEOUT) {
             queued.push(stream);
         }
--- a/crates/test-support/tests/fault_proxy.rs
+++ b/crates/test-support/tests/fault_proxy.rs
@@ -15,7 +15,8 @@
     (proxy, endpoints)
 }
 
-/// Sends the numbers up to `count` from one endpoint and returns those that arrive at the other, as they arrive.
+/// Sends the numbers up to `count` from one endpoint and returns those that arrive at the other, as they
+/// arrive.
 fn send(proxy: &FaultProxy, endpoints: &[UdpSocket; 2], from: usize, count: u8) -> Vec<u8> {
     let to = proxy.address(from, 1 - from).expect("the socket has an address");
     (0..count).for_each(|n| _ = endpoints[from].send_to(&[n], to).expect("the datagram is sent"));
