--- /dev/null
+++ b/crates/node/tests/program/node.rs
@@ -0,0 +1,67 @@
+//! A node under test, and its peers.
+
+use sorrelhaven_test_support::{Program, ScratchDir, chunk, open_listener};
+use std::io::{Read, Write};
+use std::net::{TcpListener, TcpStream};
+use std::process::Command;
+
+/// The file of a node with one known worker and the classes `issue` (idempotent) and `fee`, with this effect.
+pub fn config(worker: &str, effect: &str) -> String {
+    format!(
+        r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","more":[1],
+            "known":{{"seq":1,"hosts":[{{"host":"s-1","dial":"{worker}","health":"in_service"}}]}},
+            "settings":{{"balancers":1,"ceilings":{{"maxAttempts":3,"retryAfter":true,"maxRetryAfter":2000000}},
+                "invariants":{{}},"familyInfo":{{"tellsStart":true}},
+                "grades":[{{"name":"issue","aim":200000,"deadline":5000000,"effect":"idempotent"}},
+                    {{"name":"fee","aim":200000,"deadline":5000000,"effect":"{effect}","lateValue":0.5}}]}}}}"#
+    )
+}
+
+/// A running program, with its file where a reload finds it.
+pub struct Node {
+    pub program: Program,
+    pub scratch: ScratchDir,
+}
+
+impl Node {
+    pub fn start(config: &str, name: &str) -> Node {
+        Node::start_with(Command::new(env!("CARGO_BIN_EXE_sorrelhaven")), config, name)
+    }
+
+    pub fn start_with(command: Command, config: &str, name: &str) -> Node {
+        let scratch = ScratchDir::new(name);
+        let program = Program::start(command, &scratch.write("node.json", config), None);
+        Node { program, scratch }
+    }
+
+    /// A client connection on which a request has been sent, always with the id `q-1`.
+    pub fn send_request(&self, class: &str, timeout: &str) -> TcpStream {
+        let mut stream = TcpStream::connect(&self.program.address).expect("the node accepts");
+        let head = format!("POST /api?a=b HTTP/1.1\r\nRequest-Id: q-1\r\nRequest-Class: {class}\r\n");
+        let rest =
+            format!("Request-Timeout: {timeout}\r\nIdempotency-Key: k\r\nContent-Length: 4\r\n\r\nbody");
+        stream.write_all((head + &rest).as_bytes()).expect("the node reads");
+        stream
+    }
+}
+
+/// Reads up to and with the text `end`, or to the end of the connection.
+pub fn read_until(stream: &mut TcpStream, end: &str) -> String {
+    let mut received = String::new();
+    let mut byte = [0];
+    while !received.ends_with(end) && stream.read(&mut byte).expect("the connection can be read") > 0 {
+        received.push(byte[0] as char);
+    }
+    received
+}
+
+/// A listener in place of a worker, and its address.
+pub fn open_worker() -> (TcpListener, String) {
+    let (listener, address) = open_listener();
+    (listener, address.to_string())
+}
+
+/// One line of a worker's response, as a chunk.
+pub fn line_chunk(line: &str) -> String {
+    chunk(&format!("{line}\n"))
+}
--- a/crates/test-support/src/program.rs
+++ b/crates/test-support/src/program.rs
@@ -104,7 +104,7 @@
     /// Sends `call` to the admin listener and returns its answer.
     ///
     /// # Panics
-    /// If no answer comes within [`ADMIN_CALL_TIMEOUT`].
+    /// If no answer comes within 20 s.
     pub fn admin_call(&self, call: &str) -> String {
         let mut stream = TcpStream::connect(&self.admin_address).expect("the admin listener accepts");
         stream.write_all(format!("{call}\n").as_bytes()).expect("the admin listener reads");
