--- a/crates/body-store/src/reader.rs
+++ b/crates/body-store/src/reader.rs
@@ -44,7 +44,7 @@
                 ReadStep::End => return Ok(false),
                 ReadStep::Wait => changed.await,
                 ReadStep::ReadFile(stored) => {
-                    let block = stored.read(&self.shared.store).await?;
+                    let block = stored.read(&self.shared.resources).await?;
                     let already_read = (self.offset - stored.offset) as usize;
                     out.extend_from_slice(&block[already_read..]);
                     self.offset = stored.end();
@@ -61,7 +61,7 @@
 
     fn step(&mut self, out: &mut Vec<u8>) -> Result<ReadStep, BodyReadError> {
         let state = &mut *self.shared.state.borrow_mut();
-        if let Some(end) = state.end.filter(|end| !end.is_whole()) {
+        if let Some(end) = state.end.filter(|end| !end.is_complete()) {
             return Err(BodyReadError::Ended(end));
         }
         if state.consumer == Some(self.id) {
@@ -75,7 +75,7 @@
             self.shared.consume(state, self.id, self.offset)?;
         }
         if self.offset < state.memory.start() {
-            let stored = state.stored_block(self.offset).ok_or(BodyReadError::PassedOn)?;
+            let stored = state.stored_block(self.offset).ok_or(BodyReadError::Consumed)?;
             return Ok(ReadStep::ReadFile(stored));
         }
         let piece = state.next_piece(self.offset);
--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -1,10 +1,18 @@
-//! All decisions of a dispatcher. Its interface, types, events and actions, is in [`crate::interface`].
+//! All decisions of a dispatcher. The types of its settings, events and actions are in `interface`.
 //!
-//! The ordinary path is OXTHAS: workers rank by their Estimated Processing Capacity (EPC), thresholds in
-//! integer progression over S_max give each job a lane by its size, and the lane's worker is compared with
-//! one random rival. Each departure from it says what it guards against and when it acts. [`Dispatcher`]
-//! routes events; the modules below it hold the decisions, one concern each, and each owns its part of the
-//! state.
+//! The ordinary path is the paper's OXTHAS: workers rank by their Estimated Processing Capacity (EPC),
+//! thresholds in integer progression over S_max give each job a lane by its size, and the lane's worker is
+//! compared with one random rival. Each departure from it says what it guards against and when it acts.
+//!
+//! [`Dispatcher`] routes events; the modules below it hold the decisions, one concern each:
+//!
+//! - Workers: `worker_table`, `worker`, `machine_kind`, and what their answers show: `observations`,
+//!   `worker_evidence`, `capacity`, `health`, `slow_start`.
+//! - The choice of a worker: `subset` and `ranking` narrow the list, `affinity` adds the workers of a key,
+//!   `selection` chooses by `prediction` among those that `permission` allows. All read the state through
+//!   `context`.
+//! - Requests: `requests` is their life, `pending` and `pending_queue` hold those that wait,
+//!   `attempt_timers` and `attempt_timeout` look after those that were sent, `retry_budget` bounds retries.
 
 mod affinity;
 mod arrival_statistics;
@@ -15,6 +23,7 @@
 mod capacity;
 mod context;
 mod decayed_mean;
+mod decayed_wait;
 mod discovery_retry;
 mod health;
 mod machine_kind;
@@ -32,6 +41,7 @@
 mod slow_start;
 mod subset;
 mod worker;
+mod worker_evidence;
 mod worker_list;
 mod worker_table;
 
@@ -54,12 +64,12 @@
 use subset::WorkerSubset;
 use worker_table::WorkerTable;
 
-/// The token of the timer for all times set for requests.
+/// The token of the timer for the checks of requests.
 const ATTEMPT_TIMER: u64 = 0;
-/// The token of the timer after which the worker list is asked for again.
+/// The token of the timer after which the worker list is requested again.
 const DISCOVERY_TIMER: u64 = 1;
 
-/// Decides for one dispatcher.
+/// The decisions of one dispatcher: takes events, and answers with actions.
 #[derive(Default)]
 pub struct Dispatcher {
     settings: Settings,
@@ -79,9 +89,10 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows its settings and nothing else; equal seeds and events give equal actions.
+    /// Creates a dispatcher that knows its settings and nothing else. Equal seeds and events give equal
+    /// actions.
     pub fn new(mut settings: Settings, seed: u64) -> Self {
-        // A class out of range is the host's error: the strictest one stands in, so that the rules hold.
+        // Requests of a class out of range, which is an error of the host, get the strictest class.
         settings.classes.push(Class { late_fraction: 1.0, ..Class::default() });
         let classes = settings.classes.len();
         Dispatcher {
@@ -96,7 +107,7 @@
         }
     }
 
-    /// Takes one event and appends what is to be done about it, in order.
+    /// Handles one event and appends the actions that follow, in order.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         if let Event::Timer(token) = event
             && token != DISCOVERY_TIMER
@@ -166,7 +177,7 @@
         }
     }
 
-    /// What decisions are made from.
+    /// Returns the state that decisions depend on.
     fn context(&self) -> DecisionContext<'_> {
         DecisionContext {
             settings: &self.settings,
@@ -177,7 +188,7 @@
         }
     }
 
-    /// How this dispatcher regards the workers in the list at this moment.
+    /// Counts the workers in the list by their present status.
     pub fn worker_counts(&self, now: Micros) -> WorkerCounts {
         self.workers
             .ids()
--- a/crates/dispatcher/src/dispatcher/worker.rs
+++ b/crates/dispatcher/src/dispatcher/worker.rs
@@ -3,49 +3,27 @@
 use crate::dispatcher::attempt::{Attempt, AttemptId};
 use crate::dispatcher::cached_keys::CachedKeys;
 use crate::dispatcher::capacity::EstimatedCapacity;
+use crate::dispatcher::decayed_wait::DecayedWait;
 use crate::dispatcher::health::WorkerHealth;
 use crate::dispatcher::slow_start::SlowStartDebt;
 use crate::interface::{Lifecycle, Micros, WorkerEntry};
 
-/// After this time half of a worker's known wait is taken to be gone, in microseconds.
-const WAIT_HALF_LIFE: f64 = 2_000_000.0;
-
-/// How long jobs of one class were last seen to wait for their start; it weighs less as time passes.
-#[derive(Clone, Copy, Default)]
-pub(super) struct DecayedWait {
-    /// In microseconds.
-    wait: f64,
-    measured_at: Micros,
-}
-
-impl DecayedWait {
-    /// The weight that the measured wait still has, from 1 down to 0.
-    fn weight(&self, now: Micros) -> f64 {
-        (-((now - self.measured_at) as f64) / WAIT_HALF_LIFE).exp2()
-    }
-
-    /// The wait at this moment, between the measured one and the expected one.
-    fn at(&self, now: Micros, expected: f64) -> f64 {
-        expected + (self.wait - expected) * self.weight(now)
-    }
-}
-
-/// A worker, its outstanding attempts, and what its answers have shown.
+/// A worker: its list entry, its outstanding attempts, and what its answers have shown.
 #[derive(Default)]
 pub(super) struct Worker {
     pub(super) entry: WorkerEntry,
     pub(super) capacity: EstimatedCapacity,
     pub(super) health: WorkerHealth,
-    pub(super) slow_start_debt: SlowStartDebt,
-    pub(super) cached_keys: CachedKeys,
-    pub(super) in_flight: Vec<Attempt>,
+    slow_start_debt: SlowStartDebt,
+    cached_keys: CachedKeys,
+    outstanding: Vec<Attempt>,
     /// By class.
     waits: Vec<DecayedWait>,
 }
 
 impl Worker {
-    /// Takes its line of the worker list in. A later start time means a new process: what the old one did
-    /// says nothing of it, and it begins slow start with this debt.
+    /// Applies an entry of the worker list. A later start time means a new process: the health of the old
+    /// one is cleared, and slow start begins with this debt.
     pub(super) fn apply(&mut self, entry: WorkerEntry, classes: usize, initial_debt: f64) {
         self.capacity.resize(classes);
         self.health.resize(classes);
@@ -58,58 +36,80 @@
         self.entry = entry;
     }
 
-    /// Whether the worker list says that it takes new work.
+    /// Returns whether the worker accepts new work, according to the worker list.
     pub(super) fn is_ready(&self) -> bool {
         self.entry.lifecycle == Lifecycle::Ready
     }
 
-    /// The slots taken by all outstanding attempts.
+    /// Records an attempt that is sent to the worker: the key of its job, the worker's slots, and the
+    /// slow-start debt after it.
+    pub(super) fn record_send(&mut self, attempt: Attempt, key: u64, slots: f64, debt: SlowStartDebt) {
+        self.outstanding.push(attempt);
+        self.cached_keys.record_sent(key, slots);
+        self.slow_start_debt = debt;
+    }
+
+    /// Returns the attempts that have no outcome yet.
+    pub(super) fn outstanding(&self) -> &[Attempt] {
+        &self.outstanding
+    }
+
+    /// Returns whether the worker is expected to have the data of this key.
+    pub(super) fn has_key(&self, key: u64) -> bool {
+        self.cached_keys.contains(key)
+    }
+
+    /// Returns the slow-start debt when it was last updated.
+    pub(super) fn slow_start_debt(&self) -> SlowStartDebt {
+        self.slow_start_debt
+    }
+
+    /// Returns the slots used by all outstanding attempts.
     pub(super) fn outstanding_slots(&self) -> f64 {
-        self.in_flight.iter().map(|attempt| attempt.slots).sum()
+        self.outstanding.iter().map(|attempt| attempt.slots).sum()
     }
 
-    /// The slots taken by the attempts that have started.
+    /// Returns the slots used by the attempts that have started.
     pub(super) fn running_slots(&self) -> f64 {
-        self.in_flight
+        self.outstanding
             .iter()
             .filter(|attempt| attempt.started_at.is_some())
             .map(|attempt| attempt.slots)
             .sum()
     }
 
-    /// The attempts that have not started, as far as is known.
+    /// Returns the attempts without a start notice.
     pub(super) fn unstarted(&self) -> impl Iterator<Item = &Attempt> {
-        self.in_flight.iter().filter(|attempt| attempt.started_at.is_none())
+        self.outstanding.iter().filter(|attempt| attempt.started_at.is_none())
     }
 
-    /// The outstanding attempt of this id.
+    /// Returns the outstanding attempt with this id.
     pub(super) fn attempt_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
-        self.in_flight.iter_mut().find(|attempt| attempt.id == id)
+        self.outstanding.iter_mut().find(|attempt| attempt.id == id)
     }
 
-    /// Removes the outstanding attempt of this id.
+    /// Removes and returns the outstanding attempt with this id.
     pub(super) fn take_attempt(&mut self, id: AttemptId) -> Option<Attempt> {
-        let index = self.in_flight.iter().position(|attempt| attempt.id == id)?;
-        Some(self.in_flight.swap_remove(index))
+        let index = self.outstanding.iter().position(|attempt| attempt.id == id)?;
+        Some(self.outstanding.swap_remove(index))
     }
 
-    /// How long a job sent now would wait for its start, in microseconds: the measured wait, which fades to
-    /// the expected one, or the wait of an attempt that has not started, whichever is longer.
+    /// Returns how long a job that is sent now would wait for its start, in microseconds: the measured
+    /// wait, which fades to the expected one, or the wait of an attempt that has not started, whichever is
+    /// longer.
     pub(super) fn current_wait(&self, class: usize, now: Micros, expected: f64) -> f64 {
         let measured = self.waits[class].at(now, expected);
         self.unstarted().map(|attempt| attempt.waited(now)).fold(measured, f64::max)
     }
 
-    /// Averages a measured wait, in microseconds, with the earlier ones.
+    /// Records a measured wait, in microseconds, and averages it with earlier ones.
     pub(super) fn record_wait(&mut self, class: usize, now: Micros, waited: f64) {
-        let known = &mut self.waits[class];
-        let weight = known.weight(now);
-        *known = DecayedWait { wait: (known.wait * weight + waited) / (1.0 + weight), measured_at: now };
+        self.waits[class].record(now, waited);
     }
 
-    /// Sets the wait to at least this, in microseconds.
+    /// Raises the wait to at least this, in microseconds.
     pub(super) fn raise_wait(&mut self, class: usize, now: Micros, at_least: f64) {
         let wait = self.current_wait(class, now, 0.0).max(at_least);
-        self.waits[class] = DecayedWait { wait, measured_at: now };
+        self.waits[class].set(now, wait);
     }
 }
--- a/crates/engine/src/invariants.rs
+++ b/crates/engine/src/invariants.rs
@@ -6,7 +6,7 @@
 //! on any.
 
 use crate::attempt_end::AttemptEnd;
-use crate::count::Count;
+use crate::metric::Counter;
 use sorrelhaven_dispatcher::Outcome;
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -48,7 +48,7 @@
         Invariant::OneOutcomePerAttempt,
     ];
 
-    /// The invariant's name in logs and metrics; operators' alerts depend on it, so it stays as it is.
+    /// The invariant's name in logs and metrics, which does not follow renames in the code.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::OneFinalAnswer => "one_final_answer",
@@ -65,7 +65,7 @@
 /// Counts the violations of each invariant.
 #[derive(Default)]
 pub struct Invariants {
-    violations: [Count; Invariant::ALL.len()],
+    violations: [Counter; Invariant::ALL.len()],
 }
 
 impl Invariants {
--- a/crates/engine/src/tests/attempt_ends.rs
+++ b/crates/engine/src/tests/attempt_ends.rs
@@ -20,12 +20,12 @@
         AttemptEnd::RequestConcluded => AttemptEnd::DeadlineTooClose,
         AttemptEnd::DeadlineTooClose => AttemptEnd::IdempotencyWindowExpired,
         AttemptEnd::IdempotencyWindowExpired => {
-            AttemptEnd::BodyUnavailable(BodyReadError::Ended(BodyEnd::ClientBroke))
+            AttemptEnd::BodyUnavailable(BodyReadError::Ended(BodyEnd::ClientDisconnected))
         }
         AttemptEnd::BodyUnavailable(BodyReadError::Ended(_)) => {
-            AttemptEnd::BodyUnavailable(BodyReadError::PassedOn)
+            AttemptEnd::BodyUnavailable(BodyReadError::Consumed)
         }
-        AttemptEnd::BodyUnavailable(BodyReadError::PassedOn) => {
+        AttemptEnd::BodyUnavailable(BodyReadError::Consumed) => {
             AttemptEnd::BodyUnavailable(BodyReadError::Failed)
         }
         AttemptEnd::BodyUnavailable(BodyReadError::Failed) => {
--- a/crates/node/src/check.rs
+++ b/crates/node/src/check.rs
@@ -33,12 +33,12 @@
 fn summary(config: &Config) -> String {
     let BodySettings { largest_bytes, memory, files, not_stored, .. } = &config.operator.bodies;
     let mut line = format!(
-        "{} listens on {}; {} classes, {} tenants, {} boxes known; bodies of at most {}",
+        "{} listens on {}; {} classes, {} tenants, {} workers known; bodies of at most {}",
         config.name,
         config.listen,
         config.classes.len(),
         config.tenants.len(),
-        config.known.hosts.len(),
+        config.known_workers.workers.len(),
         size(*largest_bytes),
     );
     let _ = write!(line, ", in memory {} each, {} in all", size(memory.each_bytes), size(memory.total_bytes));
--- a/crates/node/tests/bodies/installation.rs
+++ b/crates/node/tests/bodies/installation.rs
@@ -7,7 +7,8 @@
 
 pub const KIB: usize = 1024;
 pub const MIB: usize = 1024 * KIB;
-/// Time limits on sockets are exceeded by at most so much; the whole set of tests may have one core's time between them.
+/// Time limits on sockets are exceeded by at most so much; the whole set of tests may have one core's time
+/// between them.
 pub const SOCKET_TIMEOUT_SLACK: Duration = Duration::from_millis(50);
 
 /// The limits on stored bodies, in bytes.
@@ -24,12 +25,12 @@
 }
 
 impl BodyLimits {
-    pub const DEFAULT: BodyLimits = BodyLimits::new([16 * KIB, 8 * MIB, 256 * KIB, 64 * MIB]);
-
-    /// The limits in the order of the fields.
-    pub const fn new([memory_each, memory_total, file_each, file_total]: [usize; 4]) -> BodyLimits {
-        BodyLimits { memory_each, memory_total, file_each, file_total }
-    }
+    pub const DEFAULT: BodyLimits = BodyLimits {
+        memory_each: 16 * KIB,
+        memory_total: 8 * MIB,
+        file_each: 256 * KIB,
+        file_total: 64 * MIB,
+    };
 }
 
 /// The files and workers of a node under test.
@@ -47,8 +48,8 @@
         installation
     }
 
-    /// Writes the operators' file: the limits, the largest body that is accepted, and what becomes of a body that can't be
-    /// stored, `stream` or `refuse`.
+    /// Writes the operators' file: the limits, the largest body that is accepted, and what becomes of a body
+    /// that can't be stored, `stream` or `refuse`.
     pub fn write_operator_file(&self, limits: BodyLimits, largest: usize, not_stored: &str) {
         let BodyLimits { memory_each, memory_total, file_each, file_total } = limits;
         let spool = self.scratch.path("spool").display().to_string();
--- a/crates/node/tests/bodies/limits.rs
+++ b/crates/node/tests/bodies/limits.rs
@@ -7,17 +7,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// With `unkept` = `refuse`, a body that can't be stored is rejected before anything is sent, with `Retry-After`.
+/// With `unkept` = `refuse`, a body that can't be stored is rejected before anything is sent, with
+/// `Retry-After`.
 #[test]
 fn a_body_that_cannot_be_stored_is_rejected_if_the_operators_say_so() {
     let _running_alone = run_alone();
     let installation = Installation::new("refuse", 1);
     // Reserved for each of three tenants: a sixth of the files' total.
-    installation.write_operator_file(
-        BodyLimits::new([16 * KIB, MIB, 256 * KIB, 256 * KIB]),
-        256 * KIB,
-        "refuse",
-    );
+    let limits =
+        BodyLimits { memory_each: 16 * KIB, memory_total: MIB, file_each: 256 * KIB, file_total: 256 * KIB };
+    installation.write_operator_file(limits, 256 * KIB, "refuse");
     let mut node = installation.start();
     for (length, status) in [(100 * KIB, 200), (250 * KIB, 503)] {
         for chunked in [false, true] {
@@ -49,14 +48,16 @@
     assert_eq!(response.status, 413);
     let mut request = TestRequest::new("q-2", "fee-charge", sample_bytes(2 * MIB, 1));
     request.chunked = true;
-    // The unread rest of the body resets the connection, which could lose the answer; a run would show in any case.
+    // The unread rest of the body resets the connection, which could lose the answer; a run would show in any
+    // case.
     assert!(request.send(&node.address).is_ok_and(|response| response.status == 413));
     thread::sleep(Duration::from_millis(50));
     assert_eq!(installation.workers.executed_requests(), []);
     assert_eq!(node.counter("body_too_large"), 2);
 }
 
-/// `Expect: 100-continue`: 100 is sent if the body is accepted; a rejected or too long one gets its final answer instead.
+/// `Expect: 100-continue`: 100 is sent if the body is accepted; a rejected or too long one gets its final
+/// answer instead.
 #[test]
 fn expect_continue_is_answered_with_100_only_if_the_body_is_accepted() {
     let _running_alone = run_alone();
--- a/crates/node/tests/races/flooding.rs
+++ b/crates/node/tests/races/flooding.rs
@@ -1,10 +1,10 @@
 //! Workers that never stop sending.
 
 use crate::peers::{
-    Cancellation, WAIT_TIMEOUT, done_response, first_request, no_discovery, open_listener, read_response,
-    send_request, start_node,
+    Cancellation, WAIT_TIMEOUT, done_response, first_request, no_discovery, read_response, send_request,
+    start_node,
 };
-use sorrelhaven_test_support::{CHUNKED_RESPONSE_HEAD, TestResponse, chunk};
+use sorrelhaven_test_support::{CHUNKED_RESPONSE_HEAD, TestResponse, chunk, open_listener};
 use std::io::Write;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -21,8 +21,8 @@
     status: u16,
 }
 
-/// Workers that send without a pause, in lines, in empty lines, after their answer or behind its end, do not keep the node
-/// from other requests.
+/// Workers that send without a pause, in lines, in empty lines, after their answer or behind its end, do not
+/// keep the node from other requests.
 #[test]
 fn an_endless_response_delays_no_other_request() {
     let running = chunk("{\"id\":\"flood\",\"state\":\"running\",\"share\":0.5}\n");
--- a/crates/test-support/src/fake_discovery.rs
+++ b/crates/test-support/src/fake_discovery.rs
@@ -1,8 +1,9 @@
 //! A fake discovery service: streams versions of the worker list to every node that watches it.
 
 use crate::chunked::{CHUNKED_RESPONSE_HEAD, chunk};
+use crate::listener::open_listener;
 use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpStream};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -13,7 +14,8 @@
 
 /// What one watch sends next.
 pub enum WatchStep {
-    /// These updates, each a line of JSON that ends with a line feed; with none, an empty line when one is due.
+    /// These updates, each a line of JSON that ends with a line feed; with none, an empty line when one is
+    /// due.
     Send(Vec<String>),
     /// Nothing at all, not even the head of the response if it has not been sent.
     StaySilent,
@@ -21,8 +23,8 @@
     Close,
 }
 
-/// Serves watches on loopback until the process ends, and returns the address. `new_watch` is called once for each
-/// request that arrives, and what it returns is polled for that watch's next step.
+/// Serves watches on loopback until the process ends, and returns the address. `new_watch` is called once for
+/// each request that arrives, and what it returns is polled for that watch's next step.
 ///
 /// # Panics
 /// If the listener can't be opened.
@@ -30,8 +32,7 @@
 where
     Watch: FnMut() -> WatchStep,
 {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let address = listener.local_addr().expect("the listener has an address");
+    let (listener, address) = open_listener();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let new_watch = new_watch.clone();
@@ -41,7 +42,8 @@
     address
 }
 
-/// One version of the worker list in discovery's format: all entries if `whole`, or only those that have changed.
+/// One version of the worker list in discovery's format: all entries if `whole`, or only those that have
+/// changed.
 pub fn worker_list(version: u64, whole: bool, entries: &[String]) -> String {
     format!(r#"{{"seq":{version},"whole":{whole},"hosts":[{}]}}"#, entries.join(","))
 }
