--- a/crates/dispatcher/src/dispatcher/rendezvous.rs
+++ b/crates/dispatcher/src/dispatcher/rendezvous.rs
@@ -14,6 +14,8 @@
 const MAX_WORKERS_PER_KEY: usize = 32;
 /// Up to this many workers, the complete order of a key is cached.
 const SHORT_LIST: usize = 256;
+/// A cached order has room for a set that is larger by one part in this many.
+const GROWTH_DIVISOR: usize = 4;
 /// Lower bound of a weight that is divided by.
 const MIN_WEIGHT: f64 = 1e-6;
 
@@ -121,7 +123,7 @@
             return CachedOrder { max_set_size: usize::MAX, order: self.nearest(key, self.candidates.len()) };
         }
         // More than requested, since the share of a popular key varies a little all the time.
-        let max_set_size = set_size + set_size / 4;
+        let max_set_size = set_size + set_size / GROWTH_DIVISOR;
         let nearest = self.nearest(key, max_set_size + SPARE_WORKERS);
         if set_size <= MAX_WORKERS_PER_KEY {
             return CachedOrder { max_set_size, order: nearest };
--- a/crates/dispatcher/src/dispatcher/slow_start.rs
+++ b/crates/dispatcher/src/dispatcher/slow_start.rs
@@ -18,6 +18,8 @@
 const MAX_SINGLE_JOB_SHARE: f64 = 0.8;
 /// Lower bound of a send's cost, relative to the mean size: a hint far below the mean is likely wrong.
 const MIN_COST_SHARE: f64 = 0.25;
+/// A worker is late with a job that has been outstanding for longer than this multiple of its expected time.
+const LATE_JOB_FACTOR: f64 = 2.0;
 /// Lower bound of the capacity fraction.
 const MIN_CAPACITY_FRACTION: f64 = 0.01;
 
@@ -72,14 +74,14 @@
         let rate = self.slow_start_rate(id, now);
         let window = self.settings.slow_start.overload_window as f64;
         let debt = self.slow_start_debt(id, now);
-        // A worker that is late with its jobs has less capacity than assumed.
-        let is_behind = worker
-            .outstanding()
-            .iter()
-            .any(|attempt| attempt.waited(now) > 2.0 * attempt.size / rate.capacity + START_GRACE as f64);
+        // A worker that is late with a job has less capacity than assumed.
+        let is_late = worker.outstanding().iter().any(|attempt| {
+            let expected = LATE_JOB_FACTOR * attempt.size / rate.capacity;
+            attempt.waited(now) > expected + START_GRACE as f64
+        });
         let fits_share = debt.max(0.0) + cost <= rate.share * window;
         let fits_on_credit = debt <= 0.0 && cost <= rate.capacity * window * MAX_SINGLE_JOB_SHARE;
-        !is_behind && (fits_share || fits_on_credit)
+        !is_late && (fits_share || fits_on_credit)
     }
 
     /// Returns the work that a send of this request adds to the debt.
--- a/crates/dispatcher/src/dispatcher/worker_evidence.rs
+++ b/crates/dispatcher/src/dispatcher/worker_evidence.rs
@@ -9,6 +9,9 @@
 /// If a worker is alive after this multiple of a job's size, the job's missing answer was lost.
 const LOST_ANSWER_FACTOR: Micros = 3;
 
+/// A withdrawn attempt that waited for a shorter time shows nothing about its worker.
+const MIN_CONCLUSIVE_WAIT: Micros = 3 * START_GRACE;
+
 /// What the end of an attempt shows about its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WorkerEvidence {
@@ -42,7 +45,7 @@
     }
 
     fn of_withdrawn(worker: &Worker, attempt: &Attempt, now: Micros) -> WorkerEvidence {
-        if attempt.started_at.is_some() || now - attempt.sent_at < 3 * START_GRACE {
+        if attempt.started_at.is_some() || now - attempt.sent_at < MIN_CONCLUSIVE_WAIT {
             return WorkerEvidence::Neutral;
         }
         if worker.health.has_shown_life_since(attempt.sent_at) {
