--- a/crates/dispatcher/tests/pending_and_timers.rs
+++ b/crates/dispatcher/tests/pending_and_timers.rs
@@ -67,6 +67,17 @@
     assert!(count < 2_500, "{count} timers for 400 requests");
 }
 
+/// A timer that fires too early, since an earlier one was set in the meantime or it was set for a request that is gone.
+#[test]
+fn timer_that_fires_before_the_next_check_sets_no_further_timer() {
+    let mut harness = DispatcherHarness::new(settings(), 0);
+    let (_, actions) = harness.arrive(SEC, 1, 100 * MS);
+    let Some(&Action::SetTimer { delay, token }) = actions.first() else { panic!("no timer: {actions:?}") };
+    assert!(delay > MS);
+    assert_eq!(harness.dispatch(SEC + MS, Event::Timer(token)), []);
+    assert!(!harness.dispatch(SEC + delay, Event::Timer(token)).is_empty(), "the check takes place");
+}
+
 #[test]
 fn failed_discovery_watch_is_renewed_with_backoff() {
     let mut settings = settings();
