--- a/crates/deferred-jobs/src/graph.rs
+++ b/crates/deferred-jobs/src/graph.rs
@@ -1,8 +1,8 @@
 //! Which job waits for which: the decision part of conditions. No I/O, no clock.
 //!
-//! A job may wait for several others and is released once all of them were served. Where one of them ends in
-//! any other way, all that wait for it, however far down, are refused in the same moment, each with the name
-//! of the job that broke the chain.
+//! A job may wait for several others and is released once all of them were served. Where one of them ends in any other
+//! way, all that wait for it, however far down, are refused in the same moment, each with the name of the job that
+//! broke the chain.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -17,15 +17,13 @@
     Served,
     /// It was refused: it never ran, or a repeat is harmless.
     Refused,
-    /// It failed; it may have run. What waits for it is not released, for it may or may not have taken
-    /// effect.
+    /// It failed; it may have run. What waits for it is not released, for it may or may not have taken effect.
     MayHaveRun,
     /// Its client left, or withdrew it, before it was sent.
     Withdrawn,
 }
 
-/// What becomes of a job that waits for a name which this node does not know. Nodes share nothing: another
-/// may know it.
+/// What becomes of a job that waits for a name which this node does not know. Nodes share nothing: another may know it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unknown {
     /// It is refused.
@@ -192,8 +190,8 @@
         Ok(free)
     }
 
-    /// A job has ended, or a name that is only awaited is given up. Gives what follows for all that waited
-    /// for it, the nearest first.
+    /// A job has ended, or a name that is only awaited is given up. Gives what follows for all that waited for it, the
+    /// nearest first.
     pub fn settle(&mut self, name: &Name, fate: Fate) -> Vec<Effect> {
         let mut effects = Vec::new();
         let mut ends = VecDeque::from([(name.clone(), fate)]);
@@ -279,8 +277,7 @@
         self.layers(first, |job| job.dependents.clone())
     }
 
-    /// How many steps a walk from `first` can take, counting `first`: a chain's length, as there are no
-    /// circles.
+    /// How many steps a walk from `first` can take, counting `first`: a chain's length, as there are no circles.
     fn layers(&self, first: Vec<Name>, step: impl Fn(&Job) -> Vec<Name>) -> usize {
         let mut depth = 0;
         let mut layer: HashSet<Name> = first.into_iter().collect();
--- a/crates/deferred-jobs/src/release.rs
+++ b/crates/deferred-jobs/src/release.rs
@@ -1,16 +1,15 @@
 //! In which order, and how fast, what is due is let go: the decision part of ageing. No I/O, time passed in.
 //!
-//! *Order.* A job's priority rises by one with each `step` that it has waited. As all rise alike, the order
-//! never changes: a job of priority `p` that was due at `d` stands at `d - p * step`. A job due at `d` can so
-//! be passed only by jobs due before `d + most * step`, where `most` is the highest priority: that is the
-//! stated bound, after which no fresh job passes it.
+//! *Order.* A job's priority rises by one with each `step` that it has waited. As all rise alike, the order never
+//! changes: a job of priority `p` that was due at `d` stands at `d - p * step`. A job due at `d` can so be passed only
+//! by jobs due before `d + most * step`, where `most` is the highest priority: that is the stated bound, after which no
+//! fresh job passes it.
 //!
-//! *Shares.* Each party (class and state office) has its own queue; the next job is taken from the party that
-//! has been let go least, by its weight, while it had something to let go. A party that comes back from being
-//! idle starts level.
+//! *Shares.* Each party (class and state office) has its own queue; the next job is taken from the party that has been
+//! let go least, by its weight, while it had something to let go. A party that comes back from being idle starts level.
 //!
-//! *Pace.* So many jobs may be let go and not ended: a window that grows by one in each round of ends that
-//! were in time, and halves, at most once a round, where a job was turned away or late.
+//! *Pace.* So many jobs may be let go and not ended: a window that grows by one in each round of ends that were in
+//! time, and halves, at most once a round, where a job was turned away or late.
 
 use std::collections::BTreeMap;
 
--- a/crates/deferred-jobs/tests/release.rs
+++ b/crates/deferred-jobs/tests/release.rs
@@ -90,8 +90,8 @@
     assert!(counts.iter().zip([100, 100, 300]).all(|(c, e): (&i32, i32)| (c - e).abs() <= 1), "{counts:?}");
 }
 
-/// The window finds what the boxes can do and stays near it: 5,000 jobs due in one second, and boxes that
-/// finish 40 at a time and turn the rest away.
+/// The window finds what the boxes can do and stays near it: 5,000 jobs due in one second, and boxes that finish 40
+/// at a time and turn the rest away.
 #[test]
 fn the_pace_follows_what_the_boxes_finish() {
     let mut release = Release::new(rules(4, (4.0, 1_000.0)));
--- a/crates/dispatcher/tests/pending_and_timers.rs
+++ b/crates/dispatcher/tests/pending_and_timers.rs
@@ -67,7 +67,7 @@
     assert!(count < 2_500, "{count} timers for 400 requests");
 }
 
-/// A timer that fires too early, since an earlier one was set in the meantime or it was set for a request that is gone.
+/// A timer may fire too early: an earlier one was set in the meantime, or its request is gone.
 #[test]
 fn timer_that_fires_before_the_next_check_sets_no_further_timer() {
     let mut harness = DispatcherHarness::new(settings(), 0);
--- a/crates/fault-shim/src/calls.rs
+++ b/crates/fault-shim/src/calls.rs
@@ -22,8 +22,8 @@
     unsafe { *libc::__errno_location() = errno };
 }
 
-/// Defines one intercepted call: its C name, the name in plans, its parameters and result. The body before it
-/// goes on may return early.
+/// Defines one intercepted call: its C name, the name in plans, its parameters and result. The body before it goes on
+/// may return early.
 macro_rules! intercept {
     ($name:ident as $plan:literal ($($arg:ident: $type:ty),*) -> $result:ty) => {
         intercept!($name as $plan ($($arg: $type),*) -> $result, |fault| {
@@ -55,9 +55,8 @@
     };
 }
 
-/// Whether calls on this descriptor may fail: not the log, and not the local socket pair through which a
-/// signal handler wakes its own process, on which a call that does not block is never interrupted
-/// (signal(7)).
+/// Whether calls on this descriptor may fail: not the log, and not the local socket pair through which a signal handler
+/// wakes its own process, on which a call that does not block is never interrupted (signal(7)).
 fn may_fail(fd: c_int) -> bool {
     // SAFETY: an all-zero address is valid, and its size is told.
     let mut address: libc::sockaddr_storage = unsafe { std::mem::zeroed() };
@@ -89,46 +88,23 @@
 transfer!(pwrite as "pwrite" (fd, count; fd: c_int, buffer: *const c_void, count: size_t, offset: off_t));
 transfer!(pwrite64 as "pwrite" (fd, count; fd: c_int, buffer: *const c_void, count: size_t, offset: off_t));
 
-intercept!(recvfrom as "recvfrom" (
-    fd: c_int, buffer: *mut c_void, length: size_t, flags: c_int, address: *mut sockaddr, size: *mut
-    socklen_t
-) -> ssize_t);
-intercept!(sendto as "sendto" (
-    fd: c_int, buffer: *const c_void, length: size_t, flags: c_int, address: *const sockaddr, size:
-    socklen_t
-) -> ssize_t);
+intercept!(recvfrom as "recvfrom" (fd: c_int, buffer: *mut c_void, length: size_t, flags: c_int, address: *mut sockaddr, size: *mut socklen_t) -> ssize_t);
+intercept!(sendto as "sendto" (fd: c_int, buffer: *const c_void, length: size_t, flags: c_int, address: *const sockaddr, size: socklen_t) -> ssize_t);
 intercept!(sendmsg as "sendmsg" (fd: c_int, message: *const msghdr, flags: c_int) -> ssize_t);
-intercept!(accept4 as "accept" (
-    fd: c_int, address: *mut sockaddr, size: *mut socklen_t, flags: c_int
-) -> c_int);
+intercept!(accept4 as "accept" (fd: c_int, address: *mut sockaddr, size: *mut socklen_t, flags: c_int) -> c_int);
 intercept!(accept as "accept" (fd: c_int, address: *mut sockaddr, size: *mut socklen_t) -> c_int);
 intercept!(socket as "socket" (domain: c_int, kind: c_int, protocol: c_int) -> c_int);
 intercept!(bind as "bind" (fd: c_int, address: *const sockaddr, size: socklen_t) -> c_int);
 intercept!(listen as "listen" (fd: c_int, backlog: c_int) -> c_int);
 intercept!(shutdown as "shutdown" (fd: c_int, how: c_int) -> c_int);
-intercept!(setsockopt as "setsockopt" (
-    fd: c_int, level: c_int, name: c_int, value: *const c_void, size: socklen_t
-) -> c_int);
+intercept!(setsockopt as "setsockopt" (fd: c_int, level: c_int, name: c_int, value: *const c_void, size: socklen_t) -> c_int);
 intercept!(poll as "poll" (descriptors: *mut pollfd, count: nfds_t, timeout: c_int) -> c_int);
-intercept!(ppoll as "poll" (
-    descriptors: *mut pollfd, count: nfds_t, timeout: *const timespec, mask: *const c_void
-) -> c_int);
-intercept!(epoll_ctl as "epoll_ctl" (
-    fd: c_int, operation: c_int, other: c_int, event: *mut libc::epoll_event
-) -> c_int);
-intercept!(epoll_wait as "epoll_wait" (
-    fd: c_int, events: *mut libc::epoll_event, count: c_int, timeout: c_int
-) -> c_int);
-intercept!(epoll_pwait as "epoll_wait" (
-    fd: c_int, events: *mut libc::epoll_event, count: c_int, timeout: c_int, mask: *const c_void
-) -> c_int);
-intercept!(epoll_pwait2 as "epoll_wait" (
-    fd: c_int, events: *mut libc::epoll_event, count: c_int, timeout: *const timespec, mask: *const
-    c_void
-) -> c_int);
-intercept!(timerfd_settime as "timerfd_settime" (
-    fd: c_int, flags: c_int, new: *const c_void, old: *mut c_void
-) -> c_int);
+intercept!(ppoll as "poll" (descriptors: *mut pollfd, count: nfds_t, timeout: *const timespec, mask: *const c_void) -> c_int);
+intercept!(epoll_ctl as "epoll_ctl" (fd: c_int, operation: c_int, other: c_int, event: *mut libc::epoll_event) -> c_int);
+intercept!(epoll_wait as "epoll_wait" (fd: c_int, events: *mut libc::epoll_event, count: c_int, timeout: c_int) -> c_int);
+intercept!(epoll_pwait as "epoll_wait" (fd: c_int, events: *mut libc::epoll_event, count: c_int, timeout: c_int, mask: *const c_void) -> c_int);
+intercept!(epoll_pwait2 as "epoll_wait" (fd: c_int, events: *mut libc::epoll_event, count: c_int, timeout: *const timespec, mask: *const c_void) -> c_int);
+intercept!(timerfd_settime as "timerfd_settime" (fd: c_int, flags: c_int, new: *const c_void, old: *mut c_void) -> c_int);
 intercept!(open as "open" (path: *const c_char, flags: c_int, mode: mode_t) -> c_int);
 intercept!(open64 as "open" (path: *const c_char, flags: c_int, mode: mode_t) -> c_int);
 intercept!(openat as "open" (at: c_int, path: *const c_char, flags: c_int, mode: mode_t) -> c_int);
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -9,8 +9,8 @@
 //! | `FAULT_CLOCK` | `at_ms:step_ms` items, separated by `;`: steps of `CLOCK_REALTIME`, from the start of the process |
 //! | `FAULT_COUNTS` | file to which `call errno count` lines are written when the process exits normally |
 //!
-//! This is the one crate with `unsafe` code: it stands between a program and the C library. It is never part
-//! of the product.
+//! This is the one crate with `unsafe` code: it stands between a program and the C library. It is never part of the
+//! product.
 
 mod calls;
 mod plan;
--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -67,8 +67,7 @@
 ];
 
 impl Plan {
-    /// Reads the plan. A rule that does not read ends the process: a test that injects nothing proves
-    /// nothing.
+    /// Reads the plan. A rule that does not read ends the process: a test that injects nothing proves nothing.
     pub fn from_environment(variable: impl Fn(&str) -> Option<String>) -> Plan {
         let items = |name: &str| -> Vec<String> {
             let text = variable(name).unwrap_or_default();
--- a/crates/node/benches/bodies.rs
+++ b/crates/node/benches/bodies.rs
@@ -1,5 +1,5 @@
-//! Large bodies through the program, against what the machine does without it. Prints a table; `cargo bench
-//! -p sorrelhaven --bench bodies`.
+//! Large bodies through the program, against what the machine does without it. Prints a table; `cargo bench -p
+//! sorrelhaven --bench bodies`.
 //!
 //! - throughput of 8 MB bodies by step;
 //! - bodies into files against a plain sequential write of the same bytes;
@@ -84,8 +84,7 @@
     served as f64 * BODY as f64 / 1e6 / took
 }
 
-/// Bodies into files, 8 at once, against a plain sequential write of the same bytes; three rounds, the middle
-/// one.
+/// Bodies into files, 8 at once, against a plain sequential write of the same bytes; three rounds, the middle one.
 fn files(scratch: &ScratchDir) {
     let count = 64;
     let block = vec![7; 64 * 1024];
--- a/crates/node/benches/scrape.rs
+++ b/crates/node/benches/scrape.rs
@@ -1,5 +1,5 @@
-//! What `show-stat` costs: its time to answer under load, and the service with 10 scrapes a second beside the
-//! same service without, phase by phase in the same run, at 10, 200 and 1,000 executors.
+//! What `show-stat` costs: its time to answer under load, and the service with 10 scrapes a second beside the same
+//! service without, phase by phase in the same run, at 10, 200 and 1,000 executors.
 //!
 //!     cargo bench -p sorrelhaven --bench scrape
 
--- a/crates/node/tests/bodies.rs
+++ b/crates/node/tests/bodies.rs
@@ -1,5 +1,4 @@
-//! Bodies through the program: what each step means, byte for byte, and what a disk, a client or a signal may
-//! do.
+//! Bodies through the program: what each step means, byte for byte, and what a disk, a client or a signal may do.
 
 use sorrelhaven_test_support::{
     FakeWorkers, Program, ScratchDir, TestRequest, TestResponse, WorkerBehavior, checksum, sample_bytes,
@@ -133,8 +132,7 @@
     silent.into_iter().for_each(check);
 }
 
-/// On sockets every time limit is so much longer; the whole set of tests may have one core's time between
-/// them.
+/// On sockets every time limit is so much longer; the whole set of tests may have one core's time between them.
 const SLACK: Duration = Duration::from_millis(50);
 
 /// A cell: its name, the class, the body's length, where it ends, what the box does, and what the page says.
@@ -177,8 +175,7 @@
     format!("{}, {} run{}", reply.status, runs.len(), if runs.len() == 1 { "" } else { "s" })
 }
 
-/// A `licence-issue` of 8 MB in a file: its first box resets after the last byte; it is sent again byte for
-/// byte.
+/// A `licence-issue` of 8 MB in a file: its first box resets after the last byte; it is sent again byte for byte.
 #[test]
 fn a_long_body_is_sent_again_from_its_file() {
     let _alone = alone();
@@ -203,8 +200,8 @@
     assert_eq!(site.scratch.names("spool"), [""; 0], "a file has no name");
 }
 
-/// A `fee-charge` whose body is not kept meets every ending that a box can bring about: one run at most, one
-/// answer, at once, and a refusal only where it never ran.
+/// A `fee-charge` whose body is not kept meets every ending that a box can bring about: one run at most, one answer,
+/// at once, and a refusal only where it never ran.
 #[test]
 fn a_payment_that_is_not_kept_has_one_run_and_one_plain_answer() {
     let _alone = alone();
@@ -324,8 +321,7 @@
     assert_eq!(node.figure("body_too_large"), 2);
 }
 
-/// `Expect: 100-continue`: told to send where the body is taken; what is refused or too long is told without
-/// it.
+/// `Expect: 100-continue`: told to send where the body is taken; what is refused or too long is told without it.
 #[test]
 fn a_client_that_asks_first_sends_only_what_is_wanted() {
     let _alone = alone();
@@ -357,8 +353,7 @@
     assert_eq!(site.boxes.runs().len(), 3);
 }
 
-/// A client that stops in mid-body frees everything at once, and its box sees a broken request, never a whole
-/// one.
+/// A client that stops in mid-body frees everything at once, and its box sees a broken request, never a whole one.
 #[test]
 fn a_client_that_stops_in_mid_body_leaves_nothing_behind() {
     let _alone = alone();
@@ -395,8 +390,8 @@
     assert_eq!(reply.status, 200);
 }
 
-/// Clients that send 1 byte a second of large bodies: they have an answer within 3 s, what they hold stays in
-/// budget, and usual clients keep their turn.
+/// Clients that send 1 byte a second of large bodies: they have an answer within 3 s, what they hold stays in budget,
+/// and usual clients keep their turn.
 #[test]
 fn five_hundred_slow_clients_keep_no_one_waiting() {
     let _alone = alone();
@@ -444,8 +439,7 @@
     assert_eq!(site.boxes.runs().len(), usual as usize, "no slow one ran");
 }
 
-/// SIGHUP shrinks the budgets under load, a bad file changes nothing, and SIGTERM with files open finishes
-/// all.
+/// SIGHUP shrinks the budgets under load, a bad file changes nothing, and SIGTERM with files open finishes all.
 #[test]
 fn budgets_shrink_under_load_and_a_term_finishes_what_has_files() {
     let _alone = alone();
@@ -464,9 +458,8 @@
         let address = address.clone();
         thread::spawn(move || (ask.send(&address).expect("an answer"), expected))
     };
-    // Long ones first, each whole before the next: on its way to its file a body holds memory too, and which
-    // of those that come at once has how much of it is chance. The boxes hold their answers, so all of it
-    // stands until the end.
+    // Long ones first, each whole before the next: on its way to its file a body holds memory too, and which of those
+    // that come at once has how much of it is chance. The boxes hold their answers, so all of it stands until the end.
     let until = Instant::now() + Duration::from_secs(5);
     let mut clients = Vec::new();
     for (i, ask) in asks.by_ref().take(16).enumerate() {
@@ -506,8 +499,7 @@
     assert!(rest.contains("memory_bytes=0 file_bytes=0"), "{rest}");
 }
 
-/// A real bound on files, as an ordinary user may have it: bodies step down, none is corrupt, and the node
-/// lives.
+/// A real bound on files, as an ordinary user may have it: bodies step down, none is corrupt, and the node lives.
 #[test]
 fn a_bound_on_the_size_of_files_is_a_full_disk() {
     let _alone = alone();
@@ -557,8 +549,7 @@
     assert_eq!((node.figure("body_streamed"), node.figure("not_stored_disk_full")), (1, 1));
 }
 
-/// A directory that can't be used ends the start with one line that names the key, and a reload changes
-/// nothing.
+/// A directory that can't be used ends the start with one line that names the key, and a reload changes nothing.
 #[test]
 fn a_directory_that_cannot_be_used_is_named_by_its_key() {
     let _alone = alone();
--- a/crates/node/tests/command.rs
+++ b/crates/node/tests/command.rs
@@ -78,8 +78,7 @@
     assert!(text(&output.stderr).starts_with("sorrelhaven: --log: "), "{output:?}");
 }
 
-/// With `--log-format json` all that is written to standard error is JSON, a line each, the counters among
-/// them.
+/// With `--log-format json` all that is written to standard error is JSON, a line each, the counters among them.
 #[test]
 fn the_log_is_json_where_it_is_asked_for() {
     let mut command = Command::new(env!("CARGO_BIN_EXE_sorrelhaven"));
--- a/crates/node/tests/crash.rs
+++ b/crates/node/tests/crash.rs
@@ -1,8 +1,7 @@
-//! The node killed with bodies half written, at random points: the next start finds nothing that looks whole,
-//! and no payment runs twice.
+//! The node killed with bodies half written, at random points: the next start finds nothing that looks whole, and no
+//! payment runs twice.
 //!
-//! `SORRELHAVEN_KILLS` sets how often it is killed (12 where it is not set); the points come from a fixed
-//! seed.
+//! `SORRELHAVEN_KILLS` sets how often it is killed (12 where it is not set); the points come from a fixed seed.
 
 use sorrelhaven_test_support::{
     AT_MOST_ONCE_CLASS, Checker, FakeWorkers, Program, ScratchDir, TestRequest, workers_config,
--- a/crates/node/tests/crossings.rs
+++ b/crates/node/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Moments at which two things cross, each forced: one side is held until the other was seen to have acted.
-//! The rows of `docs/attempt-ends.md` name these tests.
+//! Moments at which two things cross, each forced: one side is held until the other was seen to have acted. The rows of
+//! `docs/attempt-ends.md` name these tests.
 
 use sorrelhaven_test_support::{
     CHUNKED_RESPONSE_HEAD, Program, ScratchDir, StalledListener, TestRequest, TestResponse, chunk,
@@ -117,8 +117,7 @@
     }
 }
 
-/// The head and body of the next request that comes to an executor; `None` where the node ends the
-/// connection.
+/// The head and body of the next request that comes to an executor; `None` where the node ends the connection.
 fn next(stream: &mut TcpStream) -> Option<String> {
     stream.set_read_timeout(Some(BOUND)).expect("a socket");
     let mut got = Vec::new();
@@ -163,8 +162,8 @@
     send_chunk(watch, &list);
 }
 
-/// A link takes its time to come up, and the client leaves meanwhile: nothing is sent for it, also where
-/// attempts can't be called off. The link carries the next request instead.
+/// A link takes its time to come up, and the client leaves meanwhile: nothing is sent for it, also where attempts can't
+/// be called off. The link carries the next request instead.
 #[test]
 fn a_client_that_leaves_while_its_link_comes_up_is_not_sent_on() {
     let held = StalledListener::new().expect("a listener");
@@ -254,8 +253,8 @@
     }
 }
 
-/// SIGTERM finds a request half read. What comes of it more than 0.7 s later must be answered before SIGKILL
-/// may come, whatever its client allows and its executor does; a second signal and a reload change nothing.
+/// SIGTERM finds a request half read. What comes of it more than 0.7 s later must be answered before SIGKILL may come,
+/// whatever its client allows and its executor does; a second signal and a reload change nothing.
 #[test]
 fn a_request_that_is_whole_late_after_sigterm_is_answered_before_the_node_may_be_killed() {
     let (executor, dial) = listener();
@@ -297,8 +296,8 @@
     drop(scratch);
 }
 
-/// Executors that say something without a pause, in lines, in empty lines, after their answer or behind its
-/// end, do not keep the node from others.
+/// Executors that say something without a pause, in lines, in empty lines, after their answer or behind its end, do not
+/// keep the node from others.
 #[test]
 fn an_answer_that_never_ends_keeps_no_one_waiting() {
     let line = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
@@ -332,8 +331,8 @@
     }
 }
 
-/// An executor turns a request away unstarted, and its client leaves in the pause before another attempt: the
-/// executor's next request is another's.
+/// An executor turns a request away unstarted, and its client leaves in the pause before another attempt: the executor's
+/// next request is another's.
 #[test]
 fn a_client_that_leaves_between_two_attempts_is_not_sent_on() {
     for way in WAYS {
@@ -360,8 +359,7 @@
     }
 }
 
-/// SIGTERM comes while a link to the executor comes up: the request is sent on and served, and then the node
-/// ends.
+/// SIGTERM comes while a link to the executor comes up: the request is sent on and served, and then the node ends.
 #[test]
 fn a_request_whose_link_comes_up_after_sigterm_is_served() {
     let held = StalledListener::new().expect("a listener");
@@ -379,9 +377,8 @@
     assert!(node.child.wait().expect("it ends").success());
 }
 
-/// A client goes on sending on its open links while the node ends. What comes before a link's last answer is
-/// answered, on the link that it came on; what crosses the end of a link is never sent on, so that the client
-/// may send it again.
+/// A client goes on sending on its open links while the node ends. What comes before a link's last answer is answered,
+/// on the link that it came on; what crosses the end of a link is never sent on, so that the client may send it again.
 #[test]
 fn what_crosses_the_end_of_a_client_link_is_not_sent_on() {
     let (executor, dial) = listener();
@@ -415,8 +412,8 @@
     assert!(node.child.wait().expect("it ends").success());
 }
 
-/// Executors drop a repeat for a stated time. One that was begun within it, on a link that comes up after it,
-/// would run twice: it is not written, and its client hears in time that it may try again.
+/// Executors drop a repeat for a stated time. One that was begun within it, on a link that comes up after it, would run
+/// twice: it is not written, and its client hears in time that it may try again.
 #[test]
 fn a_repeat_whose_link_comes_up_after_its_window_is_not_sent() {
     let (executor, dial) = listener();
--- a/crates/node/tests/faults.rs
+++ b/crates/node/tests/faults.rs
@@ -33,8 +33,8 @@
         Node::start(name, plan, executors, &config)
     }
 
-    /// Sends so many payments, each on a new connection and `pause` after it was opened, from eight clients;
-    /// how each one ended that was not served.
+    /// Sends so many payments, each on a new connection and `pause` after it was opened, from eight clients; how each
+    /// one ended that was not served.
     fn pay(&self, requests: u64, pause: Duration) -> (Arc<Checker>, Vec<String>) {
         let (next, checker) = (Arc::new(AtomicU64::new(0)), Arc::<Checker>::default());
         let client = |_| {
@@ -143,8 +143,7 @@
     }
 }
 
-/// Signals come in series while transfers are short, those of the node to itself too: none is lost, and it
-/// ends.
+/// Signals come in series while transfers are short, those of the node to itself too: none is lost, and it ends.
 #[test]
 fn short_transfers_lose_no_signal() {
     let plan = FaultPlan::calls("send:SHORT:2;recv:SHORT:2");
--- a/crates/node/tests/large_fleet.rs
+++ b/crates/node/tests/large_fleet.rs
@@ -1,5 +1,5 @@
-//! A node with thousands of executors on a small share of a core: each request has its answer in time,
-//! whatever the list and the executors do.
+//! A node with thousands of executors on a small share of a core: each request has its answer in time, whatever the list
+//! and the executors do.
 
 use sorrelhaven_test_support::{
     CHUNKED_RESPONSE_HEAD, CpuShare, FakeWorkers, Program, ScratchDir, TestRequest, WorkerBehavior, chunk,
@@ -195,8 +195,7 @@
     Seen { heard, used, counters: program.end() }
 }
 
-/// One piece of a release that replaces half of the list: old executors begin to drain, new ones are in
-/// service.
+/// One piece of a release that replaces half of the list: old executors begin to drain, new ones are in service.
 fn replaced(piece: usize, executors: usize, servers: &[SocketAddr]) -> String {
     let part = executors / 2 / PIECES;
     let places = piece * part..(piece + 1) * part;
@@ -218,8 +217,7 @@
     clients.into_iter().for_each(|client| client.join().expect("a client"));
 }
 
-/// What the same traffic needs before the usual number of executors, as processor time, by this build on this
-/// machine.
+/// What the same traffic needs before the usual number of executors, as processor time, by this build on this machine.
 fn usual_need() -> Duration {
     static NEED: OnceLock<Duration> = OnceLock::new();
     *NEED.get_or_init(|| {
@@ -239,8 +237,8 @@
     assert!(seen.used <= allowed, "{:?} used, {allowed:?} allowed: {}", seen.used, seen.counters);
 }
 
-/// A node whose share of a core is [`SHARE_OF_NEED`] times what it needs in the mean with the usual number of
-/// executors answers everything in time with thousands.
+/// A node whose share of a core is [`SHARE_OF_NEED`] times what it needs in the mean with the usual number of executors
+/// answers everything in time with thousands.
 #[test]
 fn with_thousands_of_executors_each_request_is_answered_in_time_on_a_small_share_of_a_core() {
     let share = (usual_need().div_duration_f64(LASTS) * SHARE_OF_NEED).min(0.9);
--- a/crates/node/tests/many.rs
+++ b/crates/node/tests/many.rs
@@ -72,8 +72,8 @@
     line.trim_matches(|c: char| !c.is_ascii_digit()).parse().expect("a figure")
 }
 
-/// The whole list is known from the start, comes again indented, and then a change for each executor: all but
-/// one leave, then all are back. Jobs are answered through all of it.
+/// The whole list is known from the start, comes again indented, and then a change for each executor: all but one
+/// leave, then all are back. Jobs are answered through all of it.
 #[test]
 fn a_node_among_1024_with_1025_executors_keeps_to_32_mb_and_256_descriptors() {
     let boxes = FakeWorkers::new(8).addresses;
@@ -131,9 +131,8 @@
     assert_eq!(named, 1, "{log}");
 }
 
-/// A node starts with a list of which four in five are gone, and discovery says nothing yet: each request has
-/// an answer at once, served or refused unrun, until the node has learned who is there; then all are served.
-/// The true list ends it.
+/// A node starts with a list of which four in five are gone, and discovery says nothing yet: each request has an answer at
+/// once, served or refused unrun, until the node has learned who is there; then all are served. The true list ends it.
 #[test]
 fn a_known_list_that_is_mostly_gone_is_answered_from_and_put_right() {
     let boxes = FakeWorkers::new(4);
--- a/crates/node/tests/members.rs
+++ b/crates/node/tests/members.rs
@@ -32,8 +32,7 @@
         group
     }
 
-    /// Suspects have longer than by default: a machine that is busy with other tests must not be taken for
-    /// dead.
+    /// Suspects have longer than by default: a machine that is busy with other tests must not be taken for dead.
     fn start(&self, n: usize) -> Program {
         let address = |n| self.between.address(0, n).expect("an address");
         let operator = format!(
@@ -135,8 +134,7 @@
     group.until("all know all", |g| (0..COUNT).all(|n| g.holds(n) == ["alive"; COUNT]));
 }
 
-/// One that is asleep for longer than its suspicion is dead at the others; it wakes, and does not hold them
-/// for dead.
+/// One that is asleep for longer than its suspicion is dead at the others; it wakes, and does not hold them for dead.
 #[test]
 fn a_sleeper_comes_back_as_another_life_and_accuses_no_one() {
     let group = Group::new("sleeper", 2);
@@ -174,8 +172,8 @@
     group.until("n3 has left", |g| g.all_hold(&[0, 1, 2, 4], 3, "left"));
 }
 
-/// A fifth of all datagrams is lost both ways, then two fifths of what one sends; then one does not hear
-/// another. The probes through others keep all alive.
+/// A fifth of all datagrams is lost both ways, then two fifths of what one sends; then one does not hear another. The
+/// probes through others keep all alive.
 #[test]
 fn losses_and_a_cut_in_one_direction_kill_no_one() {
     let group = Group::new("losses", 5);
--- a/crates/node/tests/operations.rs
+++ b/crates/node/tests/operations.rs
@@ -41,8 +41,8 @@
     rest(&mut stream)
 }
 
-/// Every kind of client link through a drain: what has begun is answered and sent away, what idles ends in
-/// time, a long job lives on; and `resume` is heard at once.
+/// Every kind of client link through a drain: what has begun is answered and sent away, what idles ends in time, a
+/// long job lives on; and `resume` is heard at once.
 #[test]
 fn a_drain_empties_every_kind_of_link_and_resume_takes_clients_again() {
     let boxes = FakeWorkers::new(1);
@@ -120,8 +120,7 @@
     node.end();
 }
 
-/// Signals in the midst of a drain: a reload does not end it, SIGTERM ends the node and all that was taken is
-/// answered.
+/// Signals in the midst of a drain: a reload does not end it, SIGTERM ends the node and all that was taken is answered.
 #[test]
 fn a_drain_lives_through_a_reload_and_a_term_signal_ends_it() {
     let boxes = FakeWorkers::new(1);
@@ -154,8 +153,8 @@
     }
 }
 
-/// A crowd that holds the operators' address without a whole call, beside a full load of clients: the next
-/// call is answered while the crowd still has its time.
+/// A crowd that holds the operators' address without a whole call, beside a full load of clients: the next call is
+/// answered while the crowd still has its time.
 #[test]
 fn a_crowd_of_silent_callers_does_not_keep_an_operator_waiting() {
     let boxes = FakeWorkers::new(2);
@@ -202,8 +201,7 @@
     node.end();
 }
 
-/// Lines in pieces, no call, no line, no end, no text, and a caller that never reads: each has its answer or
-/// its end.
+/// Lines in pieces, no call, no line, no end, no text, and a caller that never reads: each has its answer or its end.
 #[test]
 fn every_odd_caller_has_its_answer_or_its_end() {
     let boxes = FakeWorkers::new(1);
@@ -245,8 +243,7 @@
     node.end();
 }
 
-/// A descriptor that is none to listen on, an address that is none: the start ends with a line that names the
-/// key.
+/// A descriptor that is none to listen on, an address that is none: the start ends with a line that names the key.
 #[test]
 fn a_faulty_address_or_descriptor_is_named() {
     let scratch = ScratchDir::new("ops-faults");
--- a/crates/node/tests/program.rs
+++ b/crates/node/tests/program.rs
@@ -113,8 +113,8 @@
     let (mut job, _) = listener.accept().expect("the job comes");
     let got = read(&mut job, "body");
     assert!(got.starts_with("POST /api?a=b HTTP/1.1\r\n"), "{got}");
-    // The client counts from its sending, on a new connection from its first packet: the answer must be on
-    // its way before that time is up, or the client hears nothing at all.
+    // The client counts from its sending, on a new connection from its first packet: the answer must be on its
+    // way before that time is up, or the client hears nothing at all.
     let left = got.split("Request-Timeout: ").nth(1).and_then(|l| l.split("u\r\n").next()).expect("a time");
     assert!(left.parse::<u64>().expect("a number") <= 4_997_000, "{got}");
     assert!(got.contains("Request-Id: q-1\r\n") && got.contains("Idempotency-Key: k\r\n"), "{got}");
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -1,7 +1,6 @@
 //! Real processes under faults that overlap; `crates/soak` says what is drawn and how it is judged.
 //!
-//! `SORRELHAVEN_SOAK=from..to` plays these seeds at the large size; without it two fixed seeds run at the
-//! small one.
+//! `SORRELHAVEN_SOAK=from..to` plays these seeds at the large size; without it two fixed seeds run at the small one.
 
 use sorrelhaven_soak::{Plan, Size, run};
 use std::path::Path;
--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -57,8 +57,8 @@
 }
 
 impl Load {
-    /// `again` says whether a request whose link ended without an answer is sent once more on a new link, as
-    /// clients do whose link was closed between requests.
+    /// `again` says whether a request whose link ended without an answer is sent once more on a new link, as clients
+    /// do whose link was closed between requests.
     fn begin(platform: &Platform, again: bool) -> Load {
         let address = platform.listener.local_addr().expect("its address").to_string();
         let (stop, answered, checker) =
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -66,8 +66,7 @@
             }
             (!reply.close).then_some(stream)
         }
-        // What a killed process had read may have run: it is not sent again, for it may be one that must not
-        // run twice.
+        // What a killed process had read may have run: it is not sent again, for it may be one that must not run twice.
         Err(_) if place.was_killed(&life) => None,
         // A close between requests that crosses this one: it is sent once more on a new connection.
         Err(error) if was_resting && error.kind() != ErrorKind::WouldBlock => {
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -18,8 +18,8 @@
 /// Clients of each node.
 const CLIENTS: usize = 3;
 
-/// Descriptors of each node, the least that it has to do with: entries by the thousand have a connection
-/// each, so that nodes run short of them.
+/// Descriptors of each node, the least that it has to do with: entries by the thousand have a connection each, so that
+/// nodes run short of them.
 const SOCKETS: usize = 256;
 
 /// One process in a node's place.
@@ -75,8 +75,8 @@
         matches!(self.lives().ended[life.number], Some(Ended::Killed))
     }
 
-    /// Whether a process may have closed a connection without an answer on which a request was begun then: it
-    /// was killed, or told to end `door` before.
+    /// Whether a process may have closed a connection without an answer on which a request was begun then: it was killed,
+    /// or told to end `door` before.
     pub fn may_close(&self, life: &Life, begun: Instant, door: Duration) -> bool {
         match self.lives().ended[life.number] {
             Some(Ended::Killed) => true,
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -93,8 +93,8 @@
     pub systems: Vec<System>,
 }
 
-/// Errors that pass, call by call. Failures of `epoll_ctl` are not drawn: they are known to stop a node
-/// (docs/incidents, open).
+/// Errors that pass, call by call. Failures of `epoll_ctl` are not drawn: they are known to stop a node (docs/incidents,
+/// open).
 const PASSING: [&str; 10] = [
     "recv:EINTR:20",
     "send:EINTR:20",
--- a/crates/test-support/src/checker.rs
+++ b/crates/test-support/src/checker.rs
@@ -44,8 +44,8 @@
         (asked.len(), asked.values().filter(|a| a.answers.contains(&200)).count())
     }
 
-    /// Each broken rule, a line each: a run of what no one asked, or of half a body; a payment that ran
-    /// twice, or ran and was refused; a request with two answers, or served and not run.
+    /// Each broken rule, a line each: a run of what no one asked, or of half a body; a payment that ran twice, or ran
+    /// and was refused; a request with two answers, or served and not run.
     pub fn faults(&self, runs: &[ExecutedRequest]) -> Vec<String> {
         let asked = self.asked_so_far();
         let mut faults = Vec::new();
--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -78,8 +78,7 @@
                 return Ok(reply);
             }
         }
-        // The answer may come before the body is written: whoever does not read while it writes could miss
-        // it.
+        // The answer may come before the body is written: whoever does not read while it writes could miss it.
         let mut writing = stream.try_clone()?;
         std::thread::scope(|scope| {
             let writer = scope.spawn(move || self.write_body(&mut writing));
--- a/crates/test-support/src/fault_proxy.rs
+++ b/crates/test-support/src/fault_proxy.rs
@@ -1,8 +1,7 @@
 //! What lies between processes that speak UDP: a stand-in that loses, delays, repeats, reorders and cuts.
 //!
 //! Every process reaches each other one at an address of its own, so that each direction of each pair can be
-//! spoilt by itself. What happens to the datagrams of a direction follows from the seed and from how many it
-//! has carried.
+//! spoilt by itself. What happens to the datagrams of a direction follows from the seed and from how many it has carried.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -70,8 +69,8 @@
     state: Mutex<State>,
     news: Condvar,
     over: AtomicBool,
-    /// The socket at which process `i` reaches process `j` is number `i * count + j`, or `j` where each
-    /// process has one address for all.
+    /// The socket at which process `i` reaches process `j` is number `i * count + j`, or `j` where each process has
+    /// one address for all.
     sockets: Vec<UdpSocket>,
     count: usize,
     one_address: bool,
@@ -99,9 +98,8 @@
         FaultProxy::make(count, seed, false)
     }
 
-    /// The same where all reach a process at one address of it, which they tell each other. Who sent a
-    /// datagram shows in where it came from, so each has to send from where it listens, and to be told by
-    /// `listens` before it does.
+    /// The same where all reach a process at one address of it, which they tell each other. Who sent a datagram shows
+    /// in where it came from, so each has to send from where it listens, and to be told by `listens` before it does.
     pub fn with_one_address_each(count: usize, seed: u64) -> io::Result<FaultProxy> {
         FaultProxy::make(count, seed, true)
     }
@@ -190,8 +188,8 @@
 }
 
 impl Direction {
-    /// How long each copy of the next datagram takes; none if it is lost. The number of draws is always the
-    /// same, so that one fault switched on does not change what another does later.
+    /// How long each copy of the next datagram takes; none if it is lost. The number of draws is always the same, so
+    /// that one fault switched on does not change what another does later.
     fn fate(&mut self) -> Vec<Duration> {
         let (lost, twice) = (self.rng.f64() < self.faults.loss, self.rng.f64() < self.faults.twice);
         let Faults { cut, delay, jitter, .. } = self.faults;
--- a/crates/test-support/src/program.rs
+++ b/crates/test-support/src/program.rs
@@ -71,8 +71,8 @@
 }
 
 impl Program {
-    /// Starts `command` with a platform's file, and an operators' if there is one, and waits until it is
-    /// ready. Of the variables that it reads it has those that the command sets, and no others.
+    /// Starts `command` with a platform's file, and an operators' if there is one, and waits until it is ready. Of
+    /// the variables that it reads it has those that the command sets, and no others.
     pub fn start(mut command: Command, config: &Path, operator: Option<&Path>) -> Program {
         let set: Vec<_> = command.get_envs().map(|(name, _)| name.to_os_string()).collect();
         for name in VARIABLES.into_iter().filter(|name| !set.iter().any(|s| s == name)) {
--- a/crates/test-support/src/settings.rs
+++ b/crates/test-support/src/settings.rs
@@ -13,8 +13,8 @@
     )
 }
 
-/// A node's file that knows these boxes and three classes: `renewal-check` (a repeat is harmless),
-/// `licence-issue` (keyed) and `fee-charge` (must not run twice).
+/// A node's file that knows these boxes and three classes: `renewal-check` (a repeat is harmless), `licence-issue`
+/// (keyed) and `fee-charge` (must not run twice).
 pub fn workers_config(boxes: &[SocketAddr]) -> String {
     let host = |(i, dial): (usize, &SocketAddr)| {
         format!(r#"{{"host":"s-{i}","dial":"{dial}","health":"in_service"}}"#)
--- a/crates/test-support/src/share.rs
+++ b/crates/test-support/src/share.rs
@@ -11,8 +11,8 @@
 /// How often the processor time used is looked at while the process runs.
 const LOOK: Duration = Duration::from_micros(250);
 
-/// Holds a process to a share of one core: it is stopped whenever it has used more, as on a machine that many
-/// share. It is not, once this is dropped.
+/// Holds a process to a share of one core: it is stopped whenever it has used more, as on a machine that many share. It
+/// is not, once this is dropped.
 pub struct CpuShare {
     done: Arc<AtomicBool>,
     keeper: Option<thread::JoinHandle<()>>,
--- a/crates/test-support/src/unreachable.rs
+++ b/crates/test-support/src/unreachable.rs
@@ -30,8 +30,8 @@
         Ok(StalledListener { listener, queue, address })
     }
 
-    /// Lets connections come up from now on: those that wait within the system's time for sending a packet
-    /// again, about a second.
+    /// Lets connections come up from now on: those that wait within the system's time for sending a packet again,
+    /// about a second.
     ///
     /// # Errors
     /// Those of the sockets.
@@ -44,8 +44,7 @@
     }
 }
 
-/// A port that is taken and at which nobody listens: whoever connects is refused, and nobody else gets it
-/// meanwhile.
+/// A port that is taken and at which nobody listens: whoever connects is refused, and nobody else gets it meanwhile.
 pub struct RefusingPort {
     _socket: OwnedFd,
     /// Where nobody listens.
