--- a/crates/node/tests/large_fleet.rs
+++ b/crates/node/tests/large_fleet.rs
@@ -20,6 +20,8 @@
 const HANGING_SERVERS: usize = 14;
 /// The size of a list that processor time is compared with.
 const USUAL_WORKERS: usize = 200;
+/// How often the use with that list is measured; an odd number.
+const USUAL_MEASUREMENTS: usize = 3;
 const REQUESTS_PER_SECOND: usize = 40;
 /// For so long requests arrive.
 const LOAD_DURATION: Duration = Duration::from_secs(12);
@@ -140,9 +142,14 @@
     counters: String,
 }
 
+/// Held while a node is measured: the usual use is measured on its own, and so are those that are compared
+/// with it. Two loaded nodes at a time would cost each other processor time.
+static MEASURING: Mutex<()> = Mutex::new(());
+
 /// Loads a node for [`LOAD_DURATION`]. From [`FAULT_START`] to [`FAULT_END`] most workers hang and a release
 /// replaces half of the list.
 fn measure(scenario: &Scenario) -> Measurement {
+    let _alone = MEASURING.lock().unwrap_or_else(PoisonError::into_inner);
     let workers = FakeWorkers::new(SERVERS);
     workers.set_default_behavior(WorkerBehavior::DoneAfterMillis(40));
     let discovery = Discovery::new();
@@ -209,16 +216,23 @@
     clients.into_iter().for_each(|client| client.join().expect("the client ends"));
 }
 
-/// The processor time that the same load takes with [`USUAL_WORKERS`] workers, by this build on this machine.
+/// The processor time that the same load takes with [`USUAL_WORKERS`] workers, by this build on this machine:
+/// the median of [`USUAL_MEASUREMENTS`], since one reading alone would move the bounds by a fifth.
 fn usual_cpu_time() -> Duration {
     static CPU_TIME: OnceLock<Duration> = OnceLock::new();
     *CPU_TIME.get_or_init(|| {
-        let measured = measure(&Scenario { workers: USUAL_WORKERS, cpu_share: None });
-        assert_eq!(measured.requests.lost.load(Ordering::Relaxed), 0, "{measured:?}");
-        measured.cpu_time
+        let mut cpu_times: Vec<Duration> = (0..USUAL_MEASUREMENTS).map(|_| measure_usual()).collect();
+        cpu_times.sort_unstable();
+        cpu_times[USUAL_MEASUREMENTS / 2]
     })
 }
 
+fn measure_usual() -> Duration {
+    let measured = measure(&Scenario { workers: USUAL_WORKERS, cpu_share: None });
+    assert_eq!(measured.requests.lost.load(Ordering::Relaxed), 0, "{measured:?}");
+    measured.cpu_time
+}
+
 /// The operators allow, for more workers, 1.4 times the usual time, and 0.02 s and 0.03 s for each thousand.
 #[test]
 fn thousands_of_workers_cost_no_more_processor_time_than_allowed() {
