--- a/crates/node/tests/members.rs
+++ b/crates/node/tests/members.rs
@@ -5,6 +5,7 @@
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
 use std::process::Command;
+use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -13,6 +14,10 @@
 const WAIT_TIMEOUT: Duration = Duration::from_secs(25);
 const ALL_ALIVE: [&str; NODE_COUNT] = ["alive"; NODE_COUNT];
 
+/// Held while a group of processes runs. A test calls its processes without a pause, so that several at a
+/// time take the processors from each other and from the datagrams that are to arrive within a time.
+static RUNNING: Mutex<()> = Mutex::new(());
+
 /// The processes, each behind its address of the proxy.
 struct Group {
     proxy: FaultProxy,
@@ -20,13 +25,21 @@
     nodes: Vec<Option<Program>>,
     /// Where each process listens, behind the proxy.
     listeners: RefCell<BTreeMap<usize, SocketAddr>>,
+    /// Released once the processes have ended.
+    _alone: MutexGuard<'static, ()>,
 }
 
 impl Group {
     fn new(name: &str, seed: u64) -> Group {
+        let alone = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
         let proxy = FaultProxy::with_one_address_each(NODE_COUNT, seed).expect("the proxy has its sockets");
-        let mut group =
-            Group { proxy, scratch: ScratchDir::new(name), nodes: Vec::new(), listeners: RefCell::default() };
+        let mut group = Group {
+            proxy,
+            scratch: ScratchDir::new(name),
+            nodes: Vec::new(),
+            listeners: RefCell::default(),
+            _alone: alone,
+        };
         group.scratch.write("key", "a key of the tests alone\n");
         for number in 0..NODE_COUNT {
             let node = group.start(number);
