--- a/crates/admin/tests/metrics_consistency.rs
+++ b/crates/admin/tests/metrics_consistency.rs
@@ -56,7 +56,7 @@
 }
 
 fn job(engine: &Rc<Engine>, number: usize, case: Case) -> Job {
-    let mut writer = engine.bodies.begin(0, Some(4)).ok().expect("a body that is accepted");
+    let mut writer = engine.bodies.begin_upload(0, Some(4)).ok().expect("a body that is accepted");
     let body = writer.body();
     let stored = async {
         writer.push(b"body").await?;
--- a/crates/body-store/src/body.rs
+++ b/crates/body-store/src/body.rs
@@ -4,8 +4,8 @@
 use crate::body_end::{BodyEnd, BodyReadError};
 use crate::body_file::{BodyFile, StoredBlock};
 use crate::decision::StorageTier;
-use crate::plan::{BodyId, Plan};
-use crate::resources::{Permit, SharedResources};
+use crate::plan::{BodyId, StoragePlan};
+use crate::resources::{FilePermit, SharedResources};
 use event_listener::Event;
 use std::cell::{RefCell, RefMut};
 use std::collections::HashMap;
@@ -61,7 +61,7 @@
 /// The file of a body, with its descriptor's share of the node's budget.
 pub(crate) struct OpenFile {
     pub(crate) file: Arc<BodyFile>,
-    pub(crate) _permit: Permit,
+    pub(crate) _permit: FilePermit,
 }
 
 /// A block in memory that can be written to the file.
@@ -159,7 +159,7 @@
         self.changed.notify(usize::MAX);
     }
 
-    pub(crate) fn plan(&self) -> RefMut<'_, Plan> {
+    pub(crate) fn plan(&self) -> RefMut<'_, StoragePlan> {
         self.resources.plan()
     }
 
--- a/crates/body-store/src/body_end.rs
+++ b/crates/body-store/src/body_end.rs
@@ -59,7 +59,7 @@
     }
 
     /// The end of a body that is rejected because it can't be stored.
-    pub fn not_stored(reason: NotStoredReason) -> BodyEnd {
+    pub fn rejected(reason: NotStoredReason) -> BodyEnd {
         match reason {
             NotStoredReason::Budget => BodyEnd::BudgetExhausted,
             NotStoredReason::DiskFull => BodyEnd::DiskFull,
@@ -82,7 +82,7 @@
     }
 
     /// The name of its counter.
-    pub fn name(self) -> &'static str {
+    pub fn metric_name(self) -> &'static str {
         match self {
             BodyEnd::InMemory => "body_in_memory",
             BodyEnd::InFile => "body_in_file",
@@ -116,7 +116,7 @@
 impl fmt::Display for BodyReadError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BodyReadError::Ended(end) => write!(f, "the body is not complete: {}", end.name()),
+            BodyReadError::Ended(end) => write!(f, "the body is not complete: {}", end.metric_name()),
             BodyReadError::Consumed => f.write_str("a part of the body was streamed to another attempt"),
             BodyReadError::Failed => f.write_str("the body's file can't be read"),
             BodyReadError::Corrupt => f.write_str("the body's file is corrupt"),
--- a/crates/body-store/src/budget.rs
+++ b/crates/body-store/src/budget.rs
@@ -31,17 +31,17 @@
     /// Changes the total. Bytes held beyond it stay held until they are released.
     pub fn resize(&mut self, total: u64) {
         self.total = total;
-        let share = self.share();
+        let share = self.guaranteed_per_group();
         self.unused_guarantees = self.used_by_tenant.iter().map(|&used| share.saturating_sub(used)).sum();
     }
 
     /// The bytes guaranteed to each tenant.
-    pub fn share(&self) -> u64 {
+    pub fn guaranteed_per_group(&self) -> u64 {
         self.total / 2 / self.used_by_tenant.len() as u64
     }
 
     /// The number of tenants.
-    pub fn tenants(&self) -> usize {
+    pub fn group_count(&self) -> usize {
         self.used_by_tenant.len()
     }
 
@@ -58,7 +58,7 @@
     /// The bytes that a tenant holds.
     ///
     /// # Panics
-    /// `tenant` is not below [`Budget::tenants`].
+    /// `tenant` is not below [`Budget::group_count`].
     pub fn used_by(&self, tenant: usize) -> u64 {
         self.used_by_tenant[tenant]
     }
@@ -67,9 +67,9 @@
     /// reserves nothing, if the budget has no room for them.
     ///
     /// # Panics
-    /// `tenant` is not below [`Budget::tenants`].
+    /// `tenant` is not below [`Budget::group_count`].
     pub fn try_reserve(&mut self, tenant: usize, held: u64, more: u64) -> bool {
-        let share = self.share();
+        let share = self.guaranteed_per_group();
         let used_by_tenant = self.used_by_tenant[tenant];
         let guaranteed = share.saturating_sub(used_by_tenant);
         let guaranteed_to_others = self.unused_guarantees - guaranteed;
@@ -90,9 +90,9 @@
     /// Releases bytes that a body of `tenant` held.
     ///
     /// # Panics
-    /// `tenant` is not below [`Budget::tenants`].
+    /// `tenant` is not below [`Budget::group_count`].
     pub fn release(&mut self, tenant: usize, bytes: u64) {
-        let share = self.share();
+        let share = self.guaranteed_per_group();
         let before = self.used_by_tenant[tenant];
         let after = before.saturating_sub(bytes);
         self.used -= before - after;
--- a/crates/body-store/src/counters.rs
+++ b/crates/body-store/src/counters.rs
@@ -47,7 +47,7 @@
     pub(crate) fn metrics(&self, usage: StorageUsage) -> Vec<(&'static str, u64)> {
         let ends = BodyEnd::ALL.iter().zip(&self.ends);
         let not_stored = NotStoredReason::ALL.iter().zip(&self.not_stored);
-        let mut metrics: Vec<_> = ends.map(|(end, counter)| (end.name(), counter.get())).collect();
+        let mut metrics: Vec<_> = ends.map(|(end, counter)| (end.metric_name(), counter.get())).collect();
         metrics.extend(not_stored.map(|(reason, counter)| (reason.metric_name(), counter.get())));
         metrics.extend([
             ("body_files", self.files_created.get()),
--- a/crates/body-store/src/decision.rs
+++ b/crates/body-store/src/decision.rs
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StorageDecision {
     /// Store it in this tier.
-    Keep(StorageTier),
+    Store(StorageTier),
     /// Store nothing more of this body.
     NotStored(NotStoredReason),
     /// Reject the body: it is larger than any that is accepted.
--- a/crates/body-store/src/directory.rs
+++ b/crates/body-store/src/directory.rs
@@ -102,7 +102,7 @@
             next_file_number: AtomicU64::new(0),
             was_full: false,
         };
-        let test_write = directory.create().and_then(|file| file.write_at(&[0; TEST_WRITE_BYTES], 0));
+        let test_write = directory.create_file().and_then(|file| file.write_at(&[0; TEST_WRITE_BYTES], 0));
         match test_write {
             Ok(()) => {}
             Err(full) if is_disk_full(&full) => directory.was_full = true,
@@ -112,7 +112,7 @@
     }
 
     /// Whether the file system was full when the directory was opened.
-    pub fn is_full(&self) -> bool {
+    pub fn was_full_at_open(&self) -> bool {
         self.was_full
     }
 
@@ -121,7 +121,7 @@
     ///
     /// # Errors
     /// Those of the operating system.
-    pub fn sweep(&self) -> io::Result<usize> {
+    pub fn delete_leftover_files(&self) -> io::Result<usize> {
         let mut deleted = 0;
         for entry in fs::Dir::read_from(&self.descriptor)? {
             let entry = entry?;
@@ -139,7 +139,7 @@
 }
 
 impl Disk for Directory {
-    fn create(&self) -> io::Result<Box<dyn DiskFile>> {
+    fn create_file(&self) -> io::Result<Box<dyn DiskFile>> {
         let number = self.next_file_number.fetch_add(1, Ordering::Relaxed);
         let name = format!("{}{}.{number}.part", self.name_prefix, std::process::id());
         let flags = OFlags::CREATE | OFlags::EXCL | OFlags::RDWR | OFlags::NOFOLLOW | OFlags::CLOEXEC;
@@ -151,7 +151,7 @@
         }
     }
 
-    fn free(&self) -> io::Result<u64> {
+    fn free_bytes(&self) -> io::Result<u64> {
         let stat = fs::fstatvfs(&self.descriptor)?;
         Ok(stat.f_bavail.saturating_mul(stat.f_frsize))
     }
--- a/crates/body-store/src/disk.rs
+++ b/crates/body-store/src/disk.rs
@@ -8,13 +8,13 @@
     ///
     /// # Errors
     /// Those of the operating system.
-    fn create(&self) -> io::Result<Box<dyn DiskFile>>;
+    fn create_file(&self) -> io::Result<Box<dyn DiskFile>>;
 
     /// The bytes that an unprivileged user may still write.
     ///
     /// # Errors
     /// Those of the operating system.
-    fn free(&self) -> io::Result<u64>;
+    fn free_bytes(&self) -> io::Result<u64>;
 }
 
 /// A file on a [`Disk`]. Calls may block.
--- a/crates/body-store/src/lib.rs
+++ b/crates/body-store/src/lib.rs
@@ -1,6 +1,6 @@
 //! Stores the bodies of requests so that a request can be retried: in memory, then in files, then not at all.
 //!
-//! A [`BodyWriter`] takes a body in as it arrives. Any number of [`StoredBodyReader`]s read it from the first
+//! A [`BodyWriter`] takes a body in as it arrives. Any number of [`RequestBodyReader`]s read it from the first
 //! byte on, also while it is still being uploaded. A body is a sequence of blocks: those at its front may be
 //! in a file, with a checksum each, and the rest is in memory. A body that is stored nowhere is streamed to
 //! one reader.
@@ -25,12 +25,12 @@
 //!
 //! let store = BodyStore::new(&Default::default(), 1, None, || None);
 //! async_io::block_on(async {
-//!     let mut writer = store.begin(0, Some(4)).map_err(|(end, _)| end)?;
+//!     let mut writer = store.begin_upload(0, Some(4)).map_err(|(end, _)| end)?;
 //!     let body = writer.body();
 //!     writer.push(b"body").await?;
 //!     assert_eq!(writer.finish().await, BodyEnd::InMemory);
 //!     let (mut reader, mut out) = (body.reader(), Vec::new());
-//!     while reader.next(&mut out).await.expect("all of it is stored") {}
+//!     while reader.read_next(&mut out).await.expect("all of it is stored") {}
 //!     assert_eq!(out, b"body");
 //!     Ok::<(), BodyEnd>(())
 //! })?;
@@ -63,9 +63,9 @@
 pub use decision::{NotStoredReason, StorageDecision, StorageTier, Timestamp};
 pub use directory::{Directory, DirectoryError};
 pub use disk::{Disk, DiskFile, is_disk_full};
-pub use plan::{BodyId, DiskFailure, FileLimits, Limits, Plan, RegisteredBody, StorageUsage};
-pub use reader::StoredBodyReader;
+pub use plan::{BodyId, DiskFailure, FileLimits, RegisteredBody, StorageLimits, StoragePlan, StorageUsage};
+pub use reader::RequestBodyReader;
 pub use request_body::RequestBody;
-pub use resources::Permit;
+pub use resources::FilePermit;
 pub use store::BodyStore;
 pub use writer::BodyWriter;
--- a/crates/body-store/src/plan.rs
+++ b/crates/body-store/src/plan.rs
@@ -2,7 +2,7 @@
 //!
 //! A body moves up the tiers as it grows: memory while it fits its own limit and the budget, then a file that
 //! takes over what memory held, then not stored. It never moves back down. The caller reserves room for each
-//! piece before it takes it in ([`Plan::reserve`]), carries the decision out, and reports what it has
+//! piece before it takes it in ([`StoragePlan::reserve`]), carries the decision out, and reports what it has
 //! released.
 
 use crate::budget::{Budget, SMALL_BODY_BYTES};
@@ -48,7 +48,7 @@
 
 /// The limits that the plan enforces, in bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Limits {
+pub struct StorageLimits {
     /// The largest body that is accepted.
     pub max_body_bytes: u64,
     /// The largest part of one body in memory.
@@ -87,8 +87,8 @@
 
 /// Decides where each body is stored, and counts what all of them hold.
 #[derive(Debug)]
-pub struct Plan {
-    limits: Limits,
+pub struct StoragePlan {
+    limits: StorageLimits,
     memory: Budget,
     files: Budget,
     disk: DiskHealth,
@@ -97,10 +97,10 @@
     active_spills: usize,
 }
 
-impl Plan {
+impl StoragePlan {
     /// A plan for the bodies of `tenants` tenants (class and state office); 0 counts as 1.
-    pub fn new(limits: Limits, tenants: usize) -> Plan {
-        Plan {
+    pub fn new(limits: StorageLimits, tenants: usize) -> StoragePlan {
+        StoragePlan {
             memory: Budget::new(limits.max_memory_bytes, tenants),
             files: Budget::new(limits.max_file_bytes(), tenants),
             limits,
@@ -111,9 +111,9 @@
         }
     }
 
-    /// Changes the limits. Bodies in memory beyond a lower limit are spilled by [`Plan::next_to_spill`]; what
+    /// Changes the limits. Bodies in memory beyond a lower limit are spilled by [`StoragePlan::begin_spill`]; what
     /// can't be moved stays until its request ends.
-    pub fn configure(&mut self, limits: Limits) {
+    pub fn configure(&mut self, limits: StorageLimits) {
         self.memory.resize(limits.max_memory_bytes);
         self.files.resize(limits.max_file_bytes());
         if limits.files != self.limits.files {
@@ -123,7 +123,7 @@
     }
 
     /// The limits in force.
-    pub fn limits(&self) -> &Limits {
+    pub fn limits(&self) -> &StorageLimits {
         &self.limits
     }
 
@@ -137,7 +137,7 @@
         let id = BodyId(self.next_id);
         self.next_id += 1;
         let account = BodyAccount {
-            tenant: tenant.min(self.memory.tenants() - 1),
+            tenant: tenant.min(self.memory.group_count() - 1),
             tier: StorageTier::Memory,
             length: 0,
             memory_bytes: 0,
@@ -151,7 +151,7 @@
             Some(length) if length > self.limits.max_memory_bytes_per_body => {
                 self.move_out_of_memory(now, id, length)
             }
-            _ => StorageDecision::Keep(StorageTier::Memory),
+            _ => StorageDecision::Store(StorageTier::Memory),
         };
         RegisteredBody { id, decision }
     }
@@ -178,7 +178,7 @@
         let fits = length <= self.limits.max_memory_bytes_per_body;
         if fits && self.memory.try_reserve(body.tenant, body.memory_bytes, more) {
             body.memory_bytes += more;
-            return StorageDecision::Keep(StorageTier::Memory);
+            return StorageDecision::Store(StorageTier::Memory);
         }
         self.move_out_of_memory(now, id, length)
     }
@@ -191,7 +191,7 @@
             return StorageDecision::NotStored(NotStoredReason::Budget);
         }
         body.file_bytes += more;
-        StorageDecision::Keep(StorageTier::File)
+        StorageDecision::Store(StorageTier::File)
     }
 
     /// Moves a body that memory can't hold to a file that takes all of it, or stops storing it.
@@ -209,7 +209,7 @@
         }
         body.tier = StorageTier::File;
         body.file_bytes = body.length;
-        StorageDecision::Keep(StorageTier::File)
+        StorageDecision::Store(StorageTier::File)
     }
 
     /// Whether a file may be created: there is a directory, and no recent failure disables the disk.
@@ -238,7 +238,7 @@
     ) -> DiskFailure {
         let is_first = self.disk.record_failure(now, reason);
         if self.finish_spill(id) {
-            return DiskFailure { decision: StorageDecision::Keep(StorageTier::File), is_first };
+            return DiskFailure { decision: StorageDecision::Store(StorageTier::File), is_first };
         }
         self.stop_storing(id);
         DiskFailure { decision: StorageDecision::NotStored(reason), is_first }
@@ -288,8 +288,8 @@
     }
 
     /// Chooses a complete body to move from memory to a file, if memory is short: the largest of the tenant
-    /// that holds most of it, except for small ones. It counts as held in both until [`Plan::finish_spill`].
-    pub fn next_to_spill(&mut self, now: Timestamp) -> Option<BodyId> {
+    /// that holds most of it, except for small ones. It counts as held in both until [`StoragePlan::finish_spill`].
+    pub fn begin_spill(&mut self, now: Timestamp) -> Option<BodyId> {
         if !self.has_memory_pressure() || self.active_spills >= MAX_CONCURRENT_SPILLS {
             return None;
         }
@@ -356,7 +356,7 @@
     }
 }
 
-impl Limits {
+impl StorageLimits {
     fn max_file_bytes(&self) -> u64 {
         self.files.as_ref().map_or(0, |files| files.max_bytes)
     }
--- a/crates/body-store/src/reader.rs
+++ b/crates/body-store/src/reader.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 /// Reads a body, for one attempt.
-pub struct StoredBodyReader {
+pub struct RequestBodyReader {
     shared: Rc<SharedBody>,
     id: ReaderId,
     /// The offset of the next byte to read.
@@ -25,9 +25,9 @@
     End,
 }
 
-impl StoredBodyReader {
-    pub(crate) fn new(shared: Rc<SharedBody>, id: ReaderId) -> StoredBodyReader {
-        StoredBodyReader { shared, id, offset: 0 }
+impl RequestBodyReader {
+    pub(crate) fn new(shared: Rc<SharedBody>, id: ReaderId) -> RequestBodyReader {
+        RequestBodyReader { shared, id, offset: 0 }
     }
 
     /// Appends the next piece, at most a block, to `out`, and waits for it if it has not arrived. Returns
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     /// The body can't be read to its end; what was read before must not be taken for a complete body.
-    pub async fn next(&mut self, out: &mut Vec<u8>) -> Result<bool, BodyReadError> {
+    pub async fn read_next(&mut self, out: &mut Vec<u8>) -> Result<bool, BodyReadError> {
         loop {
             // Listens before it looks, so that no change in between is missed.
             let changed = self.shared.changed.listen();
@@ -55,7 +55,7 @@
     }
 
     /// Whether this reader was given bytes that are not stored.
-    pub fn consumes(&self) -> bool {
+    pub fn is_consumer(&self) -> bool {
         self.shared.state.borrow().consumer == Some(self.id)
     }
 
--- a/crates/body-store/src/request_body.rs
+++ b/crates/body-store/src/request_body.rs
@@ -3,7 +3,7 @@
 use crate::body::SharedBody;
 use crate::body_end::BodyEnd;
 use crate::decision::StorageTier;
-use crate::reader::StoredBodyReader;
+use crate::reader::RequestBodyReader;
 use std::rc::Rc;
 
 /// A body as a request holds it. Its storage is released when the request, the writer and all readers have
@@ -43,7 +43,7 @@
     }
 
     /// A reader that begins at the first byte.
-    pub fn reader(&self) -> StoredBodyReader {
-        StoredBodyReader::new(self.0.clone(), self.0.new_reader_id())
+    pub fn reader(&self) -> RequestBodyReader {
+        RequestBodyReader::new(self.0.clone(), self.0.new_reader_id())
     }
 }
--- a/crates/body-store/src/resources.rs
+++ b/crates/body-store/src/resources.rs
@@ -4,7 +4,7 @@
 use crate::counters::Counters;
 use crate::decision::{NotStoredReason, Timestamp};
 use crate::disk::Disk;
-use crate::plan::{BodyId, Plan};
+use crate::plan::{BodyId, StoragePlan};
 use crate::settings;
 use event_listener::Event;
 use sorrelhaven_config::{BodySettings, NotStoredPolicy};
@@ -15,14 +15,14 @@
 use tracing::warn;
 
 /// A descriptor's share of the node's budget, which is returned when it is dropped.
-pub type Permit = Box<dyn Any>;
+pub type FilePermit = Box<dyn Any>;
 
 /// Shared by the store, its writers and its readers.
 pub(crate) struct SharedResources {
-    plan: RefCell<Plan>,
+    plan: RefCell<StoragePlan>,
     disk: RefCell<Option<Arc<dyn Disk>>>,
     rejects_unstorable: Cell<bool>,
-    acquire_permit: Box<dyn Fn() -> Option<Permit>>,
+    acquire_permit: Box<dyn Fn() -> Option<FilePermit>>,
     pub(crate) pool: BlockingPool,
     started_at: Instant,
     /// Notified when there may be a body to spill.
@@ -35,11 +35,11 @@
         settings: &BodySettings,
         tenants: usize,
         disk: Option<Arc<dyn Disk>>,
-        acquire_permit: impl Fn() -> Option<Permit> + 'static,
+        acquire_permit: impl Fn() -> Option<FilePermit> + 'static,
     ) -> SharedResources {
         let limits = settings::limits(settings, disk.is_some());
         SharedResources {
-            plan: RefCell::new(Plan::new(limits, tenants)),
+            plan: RefCell::new(StoragePlan::new(limits, tenants)),
             disk: RefCell::new(disk),
             rejects_unstorable: Cell::new(settings.not_stored == NotStoredPolicy::Reject),
             acquire_permit: Box::new(acquire_permit),
@@ -58,7 +58,7 @@
         self.memory_pressure.notify(1);
     }
 
-    pub(crate) fn plan(&self) -> RefMut<'_, Plan> {
+    pub(crate) fn plan(&self) -> RefMut<'_, StoragePlan> {
         self.plan.borrow_mut()
     }
 
@@ -70,7 +70,7 @@
         self.disk.borrow().clone()
     }
 
-    pub(crate) fn acquire_permit(&self) -> Option<Permit> {
+    pub(crate) fn acquire_permit(&self) -> Option<FilePermit> {
         (self.acquire_permit)()
     }
 
--- a/crates/body-store/src/settings.rs
+++ b/crates/body-store/src/settings.rs
@@ -1,17 +1,17 @@
 //! Converts the operators' settings to the limits of the plan.
 
-use crate::plan::{FileLimits, Limits};
+use crate::plan::{FileLimits, StorageLimits};
 use sorrelhaven_config::BodySettings;
 
 /// The limits that these settings make; `has_disk` says whether there is a directory for files.
-pub(crate) fn limits(settings: &BodySettings, has_disk: bool) -> Limits {
+pub(crate) fn limits(settings: &BodySettings, has_disk: bool) -> StorageLimits {
     let BodySettings { largest_bytes, memory, files, .. } = settings;
     let file_limits = FileLimits {
         max_bytes_per_body: files.each_bytes,
         max_bytes: files.total_bytes,
         min_free_bytes: files.leave_free_bytes,
     };
-    Limits {
+    StorageLimits {
         max_body_bytes: *largest_bytes,
         max_memory_bytes_per_body: memory.each_bytes,
         max_memory_bytes: memory.total_bytes,
--- a/crates/body-store/src/spiller.rs
+++ b/crates/body-store/src/spiller.rs
@@ -13,7 +13,7 @@
             // Listens before it looks, so that no change in between is missed.
             let pressure = self.resources.memory_pressure.listen();
             let now = self.resources.now();
-            let next = self.resources.plan().next_to_spill(now);
+            let next = self.resources.plan().begin_spill(now);
             match next {
                 Some(id) => self.spill_to_disk(id).await,
                 None => pressure.await,
--- a/crates/body-store/src/store.rs
+++ b/crates/body-store/src/store.rs
@@ -5,7 +5,7 @@
 use crate::disk::Disk;
 use crate::plan::StorageUsage;
 use crate::request_body::RequestBody;
-use crate::resources::{Permit, SharedResources};
+use crate::resources::{FilePermit, SharedResources};
 use crate::writer::BodyWriter;
 use sorrelhaven_config::BodySettings;
 use std::cell::Cell;
@@ -28,7 +28,7 @@
         settings: &BodySettings,
         tenants: usize,
         disk: Option<Arc<dyn Disk>>,
-        acquire_permit: impl Fn() -> Option<Permit> + 'static,
+        acquire_permit: impl Fn() -> Option<FilePermit> + 'static,
     ) -> Rc<BodyStore> {
         Rc::new(BodyStore {
             resources: Rc::new(SharedResources::new(settings, tenants, disk, acquire_permit)),
@@ -61,7 +61,7 @@
     /// # Errors
     /// How the body has ended, and the body: it is too long, or it can't be stored and such bodies are
     /// rejected.
-    pub fn begin(
+    pub fn begin_upload(
         &self,
         tenant: usize,
         declared_length: Option<u64>,
--- a/crates/body-store/src/writer.rs
+++ b/crates/body-store/src/writer.rs
@@ -41,7 +41,7 @@
     }
 
     /// The bytes that have arrived.
-    pub fn received(&self) -> u64 {
+    pub fn received_bytes(&self) -> u64 {
         self.shared.state.borrow().received
     }
 
@@ -51,7 +51,7 @@
     /// How the body has ended, if it is rejected.
     pub(crate) fn start(&self, decision: StorageDecision) -> Result<(), BodyEnd> {
         match decision {
-            StorageDecision::Keep(tier) => {
+            StorageDecision::Store(tier) => {
                 self.shared.state.borrow_mut().tier = tier;
                 Ok(())
             }
@@ -70,7 +70,7 @@
         let decision = self.shared.plan().reserve(now, self.shared.id, bytes.len() as u64);
         match decision {
             StorageDecision::TooLarge => return Err(self.end(BodyEnd::TooLarge)),
-            StorageDecision::Keep(tier) => self.store_piece(bytes, tier).await?,
+            StorageDecision::Store(tier) => self.store_piece(bytes, tier).await?,
             StorageDecision::NotStored(reason) => {
                 self.stop_storing(reason)?;
                 self.wait_for_reader().await;
@@ -159,7 +159,7 @@
         let resources = &self.shared.resources;
         self.shared.plan().stop_storing(self.shared.id);
         resources.counters.record_not_stored(reason);
-        if resources.rejects_unstorable() { Err(self.end(BodyEnd::not_stored(reason))) } else { Ok(()) }
+        if resources.rejects_unstorable() { Err(self.end(BodyEnd::rejected(reason))) } else { Ok(()) }
     }
 
     /// Waits until the reader has read enough of a body that is not stored.
@@ -201,8 +201,8 @@
         let disk = resources.disk().ok_or(NotStoredReason::Budget)?;
         let permit = resources.acquire_permit().ok_or(NotStoredReason::Budget)?;
         let call = move || {
-            let free_bytes = disk.free()?;
-            Ok::<_, io::Error>((free_bytes, disk.create()?))
+            let free_bytes = disk.free_bytes()?;
+            Ok::<_, io::Error>((free_bytes, disk.create_file()?))
         };
         let deadline = Instant::now() + DISK_CALL_TIMEOUT;
         let completed = resources.pool.run(deadline, call).await.map_err(|_| self.record_slow_disk())?;
@@ -276,6 +276,6 @@
         if has_ended {
             return;
         }
-        self.end(if self.received() == 0 { BodyEnd::NeverStarted } else { BodyEnd::RequestConcluded });
+        self.end(if self.received_bytes() == 0 { BodyEnd::NeverStarted } else { BodyEnd::RequestConcluded });
     }
 }
--- a/crates/body-store/tests/compatibility.rs
+++ b/crates/body-store/tests/compatibility.rs
@@ -47,11 +47,11 @@
 }
 
 impl Disk for RecordedDisk {
-    fn create(&self) -> io::Result<Box<dyn DiskFile>> {
+    fn create_file(&self) -> io::Result<Box<dyn DiskFile>> {
         Ok(Box::new(self.clone()))
     }
 
-    fn free(&self) -> io::Result<u64> {
+    fn free_bytes(&self) -> io::Result<u64> {
         Ok(u64::MAX)
     }
 }
@@ -86,7 +86,7 @@
 }
 
 async fn write_to_file(store: &Rc<BodyStore>, bytes: &[u8]) -> RequestBody {
-    let mut writer = store.begin(0, Some(bytes.len() as u64)).ok().expect("a body within the bounds");
+    let mut writer = store.begin_upload(0, Some(bytes.len() as u64)).ok().expect("a body within the bounds");
     let body = writer.body();
     for piece in bytes.chunks(30_000) {
         writer.push(piece).await.expect("room in the file");
@@ -97,7 +97,7 @@
 
 async fn read_all(body: &RequestBody) -> Vec<u8> {
     let (mut reader, mut bytes) = (body.reader(), Vec::new());
-    while reader.next(&mut bytes).await.expect("a file that passes its checksums") {}
+    while reader.read_next(&mut bytes).await.expect("a file that passes its checksums") {}
     bytes
 }
 
@@ -119,7 +119,7 @@
     let store = store(&RecordedDisk::new(damaged));
     block_on(async {
         let body = write_to_file(&store, BODY).await;
-        assert_eq!(body.reader().next(&mut Vec::new()).await, Err(BodyReadError::Corrupt));
+        assert_eq!(body.reader().read_next(&mut Vec::new()).await, Err(BodyReadError::Corrupt));
     });
 }
 
@@ -148,6 +148,6 @@
     let scratch = ScratchDir::new("compatibility");
     std::fs::write(scratch.path(RECORDED_NAME), recorded_file()).expect("a file");
     let directory = Directory::open(scratch.root(), "node-a").expect("a usable directory");
-    assert_eq!(directory.sweep().expect("a listing"), 1);
+    assert_eq!(directory.delete_leftover_files().expect("a listing"), 1);
     assert!(scratch.file_names(".").is_empty());
 }
--- a/crates/body-store/tests/directory.rs
+++ b/crates/body-store/tests/directory.rs
@@ -54,16 +54,19 @@
     }
     let directory = Directory::open(scratch.root(), "n0").expect("a usable directory");
     assert_eq!(scratch.file_names(".").len(), 5, "opening it deletes nothing");
-    assert_eq!((directory.sweep().expect("a listing"), directory.is_full()), (2, false));
+    assert_eq!(
+        (directory.delete_leftover_files().expect("a listing"), directory.was_full_at_open()),
+        (2, false)
+    );
     assert_eq!(scratch.file_names("."), ["notes.txt", others[1], others[0]]);
-    let file = directory.create().expect("a file");
+    let file = directory.create_file().expect("a file");
     file.write_at(b"a body", 0).expect("room");
     assert_eq!(scratch.file_names(".").len(), 3, "a file has no name");
     let mut back = [0; 4];
     file.read_at(&mut back, 2).expect("it was written");
     assert_eq!(&back, b"body");
     assert!(file.read_at(&mut back, 4).is_err(), "no more than was written");
-    assert!(directory.free().expect("a file system") > 0);
+    assert!(directory.free_bytes().expect("a file system") > 0);
     let other = Directory::open(scratch.root(), "n0.").expect("a usable directory");
-    assert_eq!(other.sweep().expect("a listing"), 1);
+    assert_eq!(other.delete_leftover_files().expect("a listing"), 1);
 }
--- a/crates/body-store/tests/plan.rs
+++ b/crates/body-store/tests/plan.rs
@@ -2,17 +2,17 @@
 
 use proptest::prelude::*;
 use sorrelhaven_body_store::{
-    BodyId, Budget, DiskFailure, FileLimits, Limits, NotStoredReason, Plan, RegisteredBody, SMALL_BODY_BYTES,
-    StorageDecision, StorageTier, StorageUsage, Timestamp,
+    BodyId, Budget, DiskFailure, FileLimits, NotStoredReason, RegisteredBody, SMALL_BODY_BYTES,
+    StorageDecision, StorageLimits, StoragePlan, StorageTier, StorageUsage, Timestamp,
 };
 use sorrelhaven_test_support::check_cases;
 use std::time::Duration;
 
 const KIB: u64 = 1024;
 
-fn limits(files: bool) -> Limits {
+fn limits(files: bool) -> StorageLimits {
     let file = FileLimits { max_bytes_per_body: 512 * KIB, max_bytes: 2_048 * KIB, min_free_bytes: 0 };
-    Limits {
+    StorageLimits {
         max_body_bytes: 1_024 * KIB,
         max_memory_bytes_per_body: 64 * KIB,
         max_memory_bytes: 512 * KIB,
@@ -59,7 +59,7 @@
 
 /// A plan, and what is expected of it.
 struct Model {
-    plan: Plan,
+    plan: StoragePlan,
     has_files: bool,
     bodies: Vec<ModelBody>,
     spilling: Option<BodyId>,
@@ -70,7 +70,7 @@
 impl Model {
     fn new(has_files: bool) -> Model {
         Model {
-            plan: Plan::new(limits(has_files), 6),
+            plan: StoragePlan::new(limits(has_files), 6),
             has_files,
             bodies: Vec::new(),
             spilling: None,
@@ -117,7 +117,7 @@
                 prop_assert!(body.length + more > 1_024 * KIB);
                 return Ok(());
             }
-            StorageDecision::Keep(next) => next,
+            StorageDecision::Store(next) => next,
             StorageDecision::NotStored(_) => StorageTier::NotStored,
         };
         body.length += more;
@@ -135,7 +135,7 @@
     }
 
     fn begin_spill(&mut self, now: Timestamp) -> Result<(), TestCaseError> {
-        let next = self.plan.next_to_spill(now);
+        let next = self.plan.begin_spill(now);
         prop_assert!(next.is_none() || self.spilling.is_none(), "one spill at a time");
         self.spilling = next.or(self.spilling);
         if let Some(id) = next {
@@ -166,7 +166,7 @@
 
     fn lower_limits(&mut self) {
         let memory_bytes = self.plan.usage().memory_bytes;
-        self.plan.configure(Limits { max_memory_bytes: 256 * KIB, ..limits(self.has_files) });
+        self.plan.configure(StorageLimits { max_memory_bytes: 256 * KIB, ..limits(self.has_files) });
         self.max_usage.memory_bytes = self.max_usage.memory_bytes.min(memory_bytes.max(256 * KIB));
     }
 
@@ -231,7 +231,7 @@
             }
             prop_assert!(budget.used() <= budget.total());
         }
-        let remaining = budget.share().saturating_sub(budget.used_by(own_tenant));
+        let remaining = budget.guaranteed_per_group().saturating_sub(budget.used_by(own_tenant));
         let is_granted = remaining == 0 || budget.try_reserve(own_tenant, 0, remaining);
         prop_assert!(is_granted, "{} bytes of its share rejected", remaining);
         Ok(())
@@ -249,16 +249,19 @@
         small += 1;
     }
     assert!(small >= 6, "only {small} more");
-    assert!(budget.try_reserve(1, 0, budget.share()), "and the other tenant has all of its share");
+    assert!(
+        budget.try_reserve(1, 0, budget.guaranteed_per_group()),
+        "and the other tenant has all of its share"
+    );
 }
 
 /// A body with a declared length that memory can't hold goes to a file from its first byte; if there are no
 /// files, it is known before that byte that the body can't be stored.
 #[test]
 fn a_declared_length_decides_before_the_first_byte() {
-    let first = |files, length| Plan::new(limits(files), 1).register(NOW, 0, Some(length)).decision;
-    assert_eq!(first(true, 64 * KIB), StorageDecision::Keep(StorageTier::Memory));
-    assert_eq!(first(true, 64 * KIB + 1), StorageDecision::Keep(StorageTier::File));
+    let first = |files, length| StoragePlan::new(limits(files), 1).register(NOW, 0, Some(length)).decision;
+    assert_eq!(first(true, 64 * KIB), StorageDecision::Store(StorageTier::Memory));
+    assert_eq!(first(true, 64 * KIB + 1), StorageDecision::Store(StorageTier::File));
     assert_eq!(first(true, 513 * KIB), StorageDecision::NotStored(NotStoredReason::Budget));
     assert_eq!(first(false, 64 * KIB + 1), StorageDecision::NotStored(NotStoredReason::Budget));
     assert_eq!(first(true, 1_025 * KIB), StorageDecision::TooLarge);
@@ -267,14 +270,14 @@
 /// Each failure disables the disk for twice as long, up to a limit, and one successful write enables it.
 #[test]
 fn a_failing_disk_is_disabled_with_exponential_backoff() {
-    let mut plan = Plan::new(limits(true), 1);
+    let mut plan = StoragePlan::new(limits(true), 1);
     let mut now = NOW;
     let declared_length = Some(100 * KIB);
     for backoff in [1, 2, 4, 8, 16, 30, 30] {
         let RegisteredBody { id, decision } = plan.register(now, 0, declared_length);
         assert_eq!(
             decision,
-            StorageDecision::Keep(StorageTier::File),
+            StorageDecision::Store(StorageTier::File),
             "after the backoff one body tries again"
         );
         let failure = plan.record_disk_failure(now, id, NotStoredReason::DiskFailed);
@@ -290,5 +293,5 @@
     let RegisteredBody { id, .. } = plan.register(now, 0, declared_length);
     plan.record_disk_failure(now, id, NotStoredReason::DiskFull);
     let RegisteredBody { decision, .. } = plan.register(now + Duration::from_secs(1), 0, declared_length);
-    assert_eq!(decision, StorageDecision::Keep(StorageTier::File));
+    assert_eq!(decision, StorageDecision::Store(StorageTier::File));
 }
--- a/crates/body-store/tests/store.rs
+++ b/crates/body-store/tests/store.rs
@@ -4,8 +4,8 @@
 use futures_lite::future::{block_on, or, poll_once, zip};
 use proptest::prelude::*;
 use sorrelhaven_body_store::{
-    BLOCK_BYTES, BodyEnd, BodyReadError, BodyStore, BodyWriter, RequestBody, StorageTier, StorageUsage,
-    StoredBodyReader,
+    BLOCK_BYTES, BodyEnd, BodyReadError, BodyStore, BodyWriter, RequestBody, RequestBodyReader, StorageTier,
+    StorageUsage,
 };
 use sorrelhaven_config::{BodyFiles, BodyMemory, BodySettings, NotStoredPolicy};
 use sorrelhaven_test_support::{FakeDisk, check_cases, sample_bytes};
@@ -52,14 +52,14 @@
     Ok(writer.finish().await)
 }
 
-async fn read(mut reader: StoredBodyReader) -> Result<Vec<u8>, BodyReadError> {
+async fn read(mut reader: RequestBodyReader) -> Result<Vec<u8>, BodyReadError> {
     let mut out = Vec::new();
-    while reader.next(&mut out).await? {}
+    while reader.read_next(&mut out).await? {}
     Ok(out)
 }
 
 fn upload(store: &Rc<BodyStore>, bytes: &[u8]) -> (RequestBody, BodyEnd) {
-    let writer = store.begin(0, Some(bytes.len() as u64)).ok().expect("not too long");
+    let writer = store.begin_upload(0, Some(bytes.len() as u64)).ok().expect("not too long");
     let body = writer.body();
     let end = block_on(write(writer, bytes, 30_000)).expect("it is stored");
     (body, end)
@@ -121,7 +121,7 @@
         settings.not_stored = if reject { NotStoredPolicy::Reject } else { NotStoredPolicy::Stream };
         let store = store(&settings, &disk);
         let sent = sample_bytes(length, seed);
-        let begun = store.begin(0, is_declared.then_some(length as u64));
+        let begun = store.begin_upload(0, is_declared.then_some(length as u64));
         let Ok(writer) = begun else {
             prop_assert!(reject && length as u64 > 100 * KIB);
             return Ok(());
@@ -144,7 +144,7 @@
         let store = store.clone();
         executor.spawn(async move {
             let sent = sample_bytes(400_000, 100 + index);
-            let writer = store.begin(0, Some(sent.len() as u64)).ok().expect("not too long");
+            let writer = store.begin_upload(0, Some(sent.len() as u64)).ok().expect("not too long");
             let body = writer.body();
             let (end, got) = zip(write(writer, &sent, 20_000), read(body.reader())).await;
             assert_eq!(got.expect("its only reader gets all of it"), sent, "body {index}");
@@ -166,7 +166,7 @@
     let deadline = Instant::now() + Duration::from_secs(8);
     loop {
         let sent = sample_bytes(300_000, 7);
-        let writer = store.begin(0, Some(sent.len() as u64)).ok().expect("not too long");
+        let writer = store.begin_upload(0, Some(sent.len() as u64)).ok().expect("not too long");
         let body = writer.body();
         let (end, got) = block_on(zip(write(writer, &sent, 20_000), read(body.reader())));
         assert_eq!(got, Ok(sent));
@@ -207,14 +207,14 @@
     disk.set(|faults| faults.hangs = true);
     let sent = sample_bytes(1_000_000, 3);
     let started_at = Instant::now();
-    let writer = store.begin(0, None).ok().expect("no length");
+    let writer = store.begin_upload(0, None).ok().expect("no length");
     let body = writer.body();
     let (end, got) = block_on(zip(write(writer, &sent, 20_000), read(body.reader())));
     assert_eq!((end, got), (Ok(BodyEnd::Streamed), Ok(sent)));
     assert!(started_at.elapsed() < Duration::from_secs(1), "{:?}", started_at.elapsed());
     assert_eq!(metric(&store, "not_stored_disk_slow"), 1);
     // While the disk is disabled no other body waits for it at all.
-    let writer = store.begin(0, Some(500_000)).ok().expect("not too long");
+    let writer = store.begin_upload(0, Some(500_000)).ok().expect("not too long");
     assert_eq!(writer.body().tier(), StorageTier::NotStored);
     disk.set(|faults| faults.hangs = false);
 }
@@ -231,7 +231,7 @@
     let (mut reader, mut out) = (body.reader(), Vec::new());
     let error = block_on(async {
         loop {
-            match reader.next(&mut out).await {
+            match reader.read_next(&mut out).await {
                 Ok(true) => {}
                 other => return other,
             }
@@ -249,7 +249,7 @@
     let disk = FakeDisk::new(64 * MIB);
     let store = store(&settings(tier(64 * KIB, MIB), tier(8 * MIB, 64 * MIB)), &disk);
     let sent = sample_bytes(700_000, 4);
-    let mut writer = store.begin(0, None).ok().expect("no length");
+    let mut writer = store.begin_upload(0, None).ok().expect("no length");
     let body = writer.body();
     let end = block_on(async {
         writer.push(&sent[..300_000]).await?;
@@ -274,24 +274,28 @@
     block_on(or(store.clone().run_spiller(), async {
         let (mut reader, mut cancelled) = (body.reader(), body.reader());
         let mut out = Vec::new();
-        assert_eq!(reader.next(&mut out).await, Ok(true));
-        assert_eq!(cancelled.next(&mut Vec::new()).await, Ok(true));
+        assert_eq!(reader.read_next(&mut out).await, Ok(true));
+        assert_eq!(cancelled.read_next(&mut Vec::new()).await, Ok(true));
         // The operators lower the limits under load.
         store
             .configure(&settings(tier(64 * KIB, MIB), tier(8 * MIB, 64 * MIB)), Some(Arc::new(disk.clone())));
         while metric(&store, "bodies_spilled") == 0 {
-            assert_eq!(reader.next(&mut out).await, Ok(true), "it is spilled before it is read to its end");
+            assert_eq!(
+                reader.read_next(&mut out).await,
+                Ok(true),
+                "it is spilled before it is read to its end"
+            );
             futures_lite::future::yield_now().await;
             async_io::Timer::after(Duration::from_millis(5)).await;
         }
         let usage = StorageUsage { memory_bytes: 0, file_bytes: 1_500_000 };
         assert_eq!((body.tier(), store.usage()), (StorageTier::File, usage));
         // Its read from the file is started and not waited for.
-        let _ = poll_once(cancelled.next(&mut Vec::new())).await;
+        let _ = poll_once(cancelled.read_next(&mut Vec::new())).await;
         drop(cancelled);
         let (first, second) = zip(read(body.reader()), read(body.reader())).await;
         assert!(first.as_ref() == Ok(&sent) && second.as_ref() == Ok(&sent), "two readers of one file");
-        while reader.next(&mut out).await == Ok(true) {}
+        while reader.read_next(&mut out).await == Ok(true) {}
         assert_eq!(out, sent, "the part from memory and the part from the file");
     }));
 }
@@ -300,7 +304,7 @@
 #[test]
 fn a_body_that_is_not_stored_waits_for_its_reader() {
     let store = BodyStore::new(&settings(tier(64 * KIB, MIB), tier(MIB, MIB)), 1, None, || None);
-    let mut writer = store.begin(0, Some(10 * MIB)).ok().expect("not too long");
+    let mut writer = store.begin_upload(0, Some(10 * MIB)).ok().expect("not too long");
     let body = writer.body();
     assert_eq!(body.tier(), StorageTier::NotStored);
     let sent = sample_bytes(BLOCK_BYTES, 1);
@@ -308,9 +312,9 @@
         writer.push(&sent).await.expect("there is room");
         assert!(poll_once(writer.push(&sent)).await.is_none(), "no room for a second block");
         let (mut reader, mut out) = (body.reader(), Vec::new());
-        assert_eq!(reader.next(&mut out).await, Ok(true));
-        assert!(reader.consumes() && body.is_consumed());
-        assert!(poll_once(reader.next(&mut out)).await.is_none());
+        assert_eq!(reader.read_next(&mut out).await, Ok(true));
+        assert!(reader.is_consumer() && body.is_consumed());
+        assert!(poll_once(reader.read_next(&mut out)).await.is_none());
         writer.push(&sent).await.expect("what was read has made room");
         assert_eq!(
             read(body.reader()).await,
@@ -327,7 +331,7 @@
     let disk = FakeDisk::new(64 * MIB);
     let settings = settings(tier(64 * KIB, MIB), tier(8 * MIB, 64 * MIB));
     let store = BodyStore::new(&settings, 1, Some(Arc::new(disk.clone())), || None);
-    let mut writer = store.begin(0, None).ok().expect("no length");
+    let mut writer = store.begin_upload(0, None).ok().expect("no length");
     let body = writer.body();
     let sent = sample_bytes(BLOCK_BYTES, 1);
     block_on(async {
@@ -346,7 +350,7 @@
 #[test]
 fn the_stored_front_of_a_body_can_be_read_again() {
     let store = BodyStore::new(&settings(tier(128 * KIB, 128 * KIB), tier(MIB, MIB)), 1, None, || None);
-    let mut writer = store.begin(0, None).ok().expect("no length");
+    let mut writer = store.begin_upload(0, None).ok().expect("no length");
     let body = writer.body();
     let sent = sample_bytes(200_000, 2);
     block_on(async {
@@ -355,7 +359,7 @@
         }
         let mut dropped = body.reader();
         let mut discarded = Vec::new();
-        assert_eq!(dropped.next(&mut discarded).await, Ok(true));
+        assert_eq!(dropped.read_next(&mut discarded).await, Ok(true));
         drop(dropped);
         assert!(!body.is_consumed());
         let (end, got) = zip(write(writer, &sent[120_000..], 10_000), read(body.reader())).await;
@@ -369,7 +373,7 @@
 fn a_client_that_disconnects_releases_everything_at_once() {
     let disk = FakeDisk::new(64 * MIB);
     let store = store(&settings(tier(64 * KIB, MIB), tier(8 * MIB, 64 * MIB)), &disk);
-    let mut writer = store.begin(0, Some(MIB)).ok().expect("not too long");
+    let mut writer = store.begin_upload(0, Some(MIB)).ok().expect("not too long");
     let body = writer.body();
     block_on(writer.push(&sample_bytes(500_000, 1))).expect("it is stored");
     assert_eq!((disk.files(), store.usage().file_bytes), (1, 500_000));
@@ -389,14 +393,14 @@
     rejecting.not_stored = NotStoredPolicy::Reject;
     let store = BodyStore::new(&rejecting, 1, None, || None);
     for (length, end) in [(MIB + 1, BodyEnd::TooLarge), (MIB, BodyEnd::BudgetExhausted)] {
-        let (found, body) = store.begin(0, Some(length)).err().expect("it is rejected");
+        let (found, body) = store.begin_upload(0, Some(length)).err().expect("it is rejected");
         assert_eq!((found, body.end()), (end, Some(end)));
     }
-    drop(store.begin(0, Some(9)));
-    let mut writer = store.begin(0, Some(9)).ok().expect("it fits");
+    drop(store.begin_upload(0, Some(9)));
+    let mut writer = store.begin_upload(0, Some(9)).ok().expect("it fits");
     block_on(writer.push(b"some")).expect("it fits");
     drop(writer);
-    store.begin(0, Some(9)).ok().expect("it fits").end(BodyEnd::TooSlow);
+    store.begin_upload(0, Some(9)).ok().expect("it fits").end(BodyEnd::TooSlow);
     for (name, count) in [
         ("body_too_large", 1),
         ("body_budget_exhausted", 1),
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -19,7 +19,7 @@
 use crate::worker_registry::WorkerRegistry;
 use async_channel::Receiver;
 use async_io::Timer;
-use sorrelhaven_body_store::{BodyStore, Disk, Permit as FilePermit};
+use sorrelhaven_body_store::{BodyStore, Disk, FilePermit};
 use sorrelhaven_config::{Config, DiscoveryList};
 use sorrelhaven_dispatcher::{Event, Idempotency, Lifecycle, WorkerId, WorkerListUpdate};
 use std::cell::RefCell;
--- a/crates/engine/src/request_writer.rs
+++ b/crates/engine/src/request_writer.rs
@@ -45,9 +45,9 @@
         let mut consumption_reported = false;
         let mut more = true;
         while more {
-            more = body.next(&mut chunk).await.map_err(AttemptEnd::BodyUnavailable)?;
+            more = body.read_next(&mut chunk).await.map_err(AttemptEnd::BodyUnavailable)?;
             self.spec.check_sendable().await?;
-            if !consumption_reported && body.consumes() {
+            if !consumption_reported && body.is_consumer() {
                 consumption_reported = true;
                 let _ = self.messages.try_send(RequestMessage::BodyConsumed);
             }
--- a/crates/engine/src/tests/fixtures.rs
+++ b/crates/engine/src/tests/fixtures.rs
@@ -85,7 +85,8 @@
 
 /// The payload of a request `r1` with this body, stored in memory.
 pub fn payload(engine: &Rc<Engine>, target: &str, bytes: &[u8]) -> RequestPayload {
-    let mut writer = engine.bodies.begin(0, Some(bytes.len() as u64)).ok().expect("a body that is accepted");
+    let mut writer =
+        engine.bodies.begin_upload(0, Some(bytes.len() as u64)).ok().expect("a body that is accepted");
     let body = writer.body();
     let stored = async {
         writer.push(bytes).await?;
--- a/crates/frontend-http1/src/body_reader.rs
+++ b/crates/frontend-http1/src/body_reader.rs
@@ -83,7 +83,8 @@
     }
 
     fn is_ready_to_stream(&self) -> bool {
-        self.writer.received() >= MIN_STREAMED_BYTES && self.writer.body().tier() == StorageTier::NotStored
+        self.writer.received_bytes() >= MIN_STREAMED_BYTES
+            && self.writer.body().tier() == StorageTier::NotStored
     }
 
     async fn finish(self, connection: &mut Connection) {
@@ -105,7 +106,7 @@
         for block in chunk.chunks(BLOCK_BYTES) {
             self.write_block(connection, block).await?;
         }
-        if self.writer.received() >= BLOCK_BYTES as u64 {
+        if self.writer.received_bytes() >= BLOCK_BYTES as u64 {
             frontend.engine.tasks.yield_to_small_requests().await;
         }
         Ok(Transfer::More)
@@ -120,7 +121,7 @@
     ) -> Result<bool, BodyEnd> {
         let bodies = &frontend.engine.bodies;
         let upload_deadline =
-            bodies.upload_deadline(self.read_started_at, REQUEST_READ_TIMEOUT, self.writer.received());
+            bodies.upload_deadline(self.read_started_at, REQUEST_READ_TIMEOUT, self.writer.received_bytes());
         let deadline = upload_deadline.min(self.client_deadline);
         match timeout_at(deadline, connection.read_body_chunk(&mut self.framing, chunk)).await {
             None => Err(BodyEnd::TooSlow),
--- a/crates/frontend-http1/src/job_exchange.rs
+++ b/crates/frontend-http1/src/job_exchange.rs
@@ -93,7 +93,7 @@
         let writer = frontend
             .engine
             .bodies
-            .begin(budget_index, declared_length(self.framing))
+            .begin_upload(budget_index, declared_length(self.framing))
             .map_err(|(end, body)| ReceiveError::Incomplete { body, end })?;
         let body = writer.body();
         if self.expects_continue && connection.write(CONTINUE).await.is_err() {
--- a/crates/node/benches/bodies.rs
+++ b/crates/node/benches/bodies.rs
@@ -187,8 +187,10 @@
                 let bodies = bodies.clone();
                 executor.spawn(async move {
                     for _ in 0..FILE_BODIES / FILE_WRITERS {
-                        let mut writer =
-                            bodies.begin(0, Some(BODY_BYTES as u64)).ok().expect("the body is not too long");
+                        let mut writer = bodies
+                            .begin_upload(0, Some(BODY_BYTES as u64))
+                            .ok()
+                            .expect("the body is not too long");
                         for _ in 0..BODY_BYTES / block.len() {
                             writer.push(block).await.expect("the body is stored");
                         }
--- a/crates/node/src/body_directory.rs
+++ b/crates/node/src/body_directory.rs
@@ -47,9 +47,9 @@
 /// The directory cannot be opened, written in or listed.
 pub fn open_as_disk(config: &Config) -> Result<Option<Arc<dyn Disk>>, BodyDirectoryError> {
     let Some(directory) = open(config)? else { return Ok(None) };
-    let swept = directory.sweep().map_err(BodyDirectoryError::Sweep)?;
+    let swept = directory.delete_leftover_files().map_err(BodyDirectoryError::Sweep)?;
     info!(swept, "body directory opened");
-    if directory.is_full() {
+    if directory.was_full_at_open() {
         warn!("{DIRECTORY_KEY}: it is full; files are used once there is room");
     }
     Ok(Some(Arc::new(directory)))
--- a/crates/test-support/src/fake_disk.rs
+++ b/crates/test-support/src/fake_disk.rs
@@ -78,12 +78,12 @@
 }
 
 impl Disk for FakeDisk {
-    fn create(&self) -> io::Result<Box<dyn DiskFile>> {
+    fn create_file(&self) -> io::Result<Box<dyn DiskFile>> {
         self.state().files += 1;
         Ok(Box::new(FakeFile { disk: self.clone(), content: Mutex::default() }))
     }
 
-    fn free(&self) -> io::Result<u64> {
+    fn free_bytes(&self) -> io::Result<u64> {
         let state = self.state();
         Ok(state.faults.capacity.saturating_sub(state.used_bytes))
     }
