--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -108,10 +108,10 @@
         match timeout_at(self.spec.deadline, head).await {
             None => Err(AttemptEnd::ResponseTimeout),
             Some(Err(AttemptEnd::Reset | AttemptEnd::Truncated))
-                if let Some(idle) = upstream.idle
+                if let Some(idle_time) = upstream.idle_time
                     && sent_at.elapsed() < STALE_CONNECTION_WINDOW =>
             {
-                self.upstreams.pool.record_stale(idle);
+                self.upstreams.pool.record_stale(idle_time);
                 Err(AttemptEnd::StaleConnection)
             }
             Some(result) => result,
--- a/crates/engine/src/attempt_spec.rs
+++ b/crates/engine/src/attempt_spec.rs
@@ -1,7 +1,7 @@
 //! What one attempt is: where it goes, how long it may wait, and when it must not be sent any more.
 
 use crate::attempt_end::AttemptEnd;
-use crate::invariants::{Drain, SentAttempt};
+use crate::invariants::{SentAttempt, WorkerDrain};
 use crate::job::RequestState;
 use crate::upstreams::Upstreams;
 use async_io::Timer;
@@ -39,14 +39,14 @@
         let request = &self.request;
         request.fully_sent.set(true);
         self.fully_sent.set(true);
-        let client_left_at = request.client_left_at.get();
-        upstreams.counters.request_sent(client_left_at);
+        let client_disconnected_at = request.client_disconnected_at.get();
+        upstreams.counters.request_sent(client_disconnected_at);
         let drain = upstreams
             .registry
             .draining_since(self.worker)
-            .map(|since| Drain { since, grace: upstreams.drain_grace });
-        let sent = SentAttempt { client_left_at, send_by: self.send_by, drain };
-        request.guard.request_sent(&upstreams.counters.invariants, request_id, &sent);
+            .map(|since| WorkerDrain { since, grace: upstreams.drain_grace });
+        let sent = SentAttempt { client_disconnected_at, send_by: self.send_by, drain };
+        request.checks.request_sent(&upstreams.counters.invariants, request_id, &sent);
     }
 
     /// Checks whether the request may be sent at this moment.
@@ -58,7 +58,7 @@
     ///
     /// How the attempt ends where nothing may be sent.
     pub async fn check_sendable(&self) -> Result<(), AttemptEnd> {
-        while self.request.client_gone() {
+        while self.request.has_unreported_disconnect() {
             Timer::after(DISCONNECT_POLL_INTERVAL).await;
         }
         if self.request.concluded.get() {
--- a/crates/engine/src/body_admission.rs
+++ b/crates/engine/src/body_admission.rs
@@ -39,10 +39,10 @@
     pub async fn acquire(&self, deadline: Instant) -> Option<BodyPermit> {
         let guard = timeout_at(deadline, self.semaphore.acquire_arc()).await?;
         let guard = Rc::new(RefCell::new(Some(guard)));
-        let timed_guard = Rc::downgrade(&guard);
+        let weak_guard = Rc::downgrade(&guard);
         self.tasks.spawn(async move {
             Timer::after(PERMIT_TIMEOUT).await;
-            if let Some(guard) = timed_guard.upgrade() {
+            if let Some(guard) = weak_guard.upgrade() {
                 guard.borrow_mut().take();
             }
         });
--- a/crates/engine/src/connection_pool.rs
+++ b/crates/engine/src/connection_pool.rs
@@ -17,14 +17,14 @@
 /// The idle timeout is no shorter than this, however soon connections go stale.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(50);
 /// How long a shorter idle timeout applies after a stale connection.
-const STALE_FINDING_DURATION: Duration = Duration::from_secs(60);
+const SHORTENED_IDLE_TIMEOUT_DURATION: Duration = Duration::from_secs(60);
 
 /// A connection to a worker, with the permit for its descriptor.
 pub struct PooledConnection {
     /// The connection.
     pub connection: Connection,
     /// How long it had been idle when it was checked out of the pool; `None` for a new one.
-    pub idle: Option<Duration>,
+    pub idle_time: Option<Duration>,
     /// The worker's address, which the connection goes to.
     pub address: SocketAddr,
     _permit: DescriptorPermit,
@@ -44,7 +44,7 @@
 
 /// A shorter idle timeout, since a connection went stale.
 #[derive(Clone, Copy)]
-struct StaleFinding {
+struct ShortenedIdleTimeout {
     idle_timeout: Duration,
     valid_until: Instant,
 }
@@ -55,7 +55,7 @@
     pub descriptors: Rc<DescriptorBudget>,
     /// The idle timeout by the settings.
     configured_idle_timeout: Duration,
-    stale_finding: Cell<Option<StaleFinding>>,
+    shortened_idle_timeout: Cell<Option<ShortenedIdleTimeout>>,
     /// The idle connections to each worker, the longest idle first.
     idle: RefCell<HashMap<WorkerId, Vec<IdleConnection>>>,
     counters: Rc<Counters>,
@@ -72,7 +72,7 @@
         ConnectionPool {
             descriptors,
             configured_idle_timeout: keepalive.saturating_sub(margin),
-            stale_finding: Cell::new(None),
+            shortened_idle_timeout: Cell::new(None),
             idle: RefCell::default(),
             counters,
         }
@@ -80,8 +80,8 @@
 
     /// How long a connection may be idle and still be reused.
     pub fn idle_timeout(&self) -> Duration {
-        match self.stale_finding.get() {
-            Some(finding) if Instant::now() < finding.valid_until => finding.idle_timeout,
+        match self.shortened_idle_timeout.get() {
+            Some(shortened) if Instant::now() < shortened.valid_until => shortened.idle_timeout,
             _ => self.configured_idle_timeout,
         }
     }
@@ -92,13 +92,13 @@
     /// Something on the way, or the workers, drop connections without notice and sooner than the settings
     /// say. Each further one may cost a request that must not run twice, where a new connection costs a
     /// handshake.
-    pub fn record_stale(&self, idle: Duration) {
-        if idle <= MIN_IDLE_TIMEOUT {
+    pub fn record_stale(&self, idle_time: Duration) {
+        if idle_time <= MIN_IDLE_TIMEOUT {
             return;
         }
-        let idle_timeout = (idle / 2).max(MIN_IDLE_TIMEOUT).min(self.idle_timeout());
-        let valid_until = Instant::now() + STALE_FINDING_DURATION;
-        self.stale_finding.set(Some(StaleFinding { idle_timeout, valid_until }));
+        let idle_timeout = (idle_time / 2).max(MIN_IDLE_TIMEOUT).min(self.idle_timeout());
+        let valid_until = Instant::now() + SHORTENED_IDLE_TIMEOUT_DURATION;
+        self.shortened_idle_timeout.set(Some(ShortenedIdleTimeout { idle_timeout, valid_until }));
     }
 
     /// Takes a usable connection to the worker out of the pool: the one used last, so that the others can
@@ -108,9 +108,9 @@
         let connections = idle.get_mut(&worker)?;
         let idle_timeout = self.idle_timeout();
         while let Some(connection) = connections.pop() {
-            let idle = connection.since.elapsed();
+            let idle_time = connection.since.elapsed();
             if connection.upstream.address == address && connection.is_usable(idle_timeout) {
-                return Some(PooledConnection { idle: Some(idle), ..connection.upstream });
+                return Some(PooledConnection { idle_time: Some(idle_time), ..connection.upstream });
             }
         }
         None
@@ -124,7 +124,7 @@
     /// the worker; [`AttemptEnd::Unreachable`] where the connection fails.
     pub async fn connect(&self, address: SocketAddr) -> Result<PooledConnection, AttemptEnd> {
         let permit = self.acquire_descriptor().ok_or(AttemptEnd::NoDescriptor)?;
-        self.counters.upstream_connections.add();
+        self.counters.upstream_connections.increment();
         let connection = Connection::connect(address).await.map_err(|error| {
             match classify(SocketCall::Connect, &error) {
                 SocketFailure::DescriptorLimit | SocketFailure::Shortage => AttemptEnd::NoDescriptor,
@@ -133,7 +133,7 @@
                 }
             }
         })?;
-        Ok(PooledConnection { connection, idle: None, address, _permit: permit })
+        Ok(PooledConnection { connection, idle_time: None, address, _permit: permit })
     }
 
     /// Returns a connection whose exchange is complete to the pool.
@@ -155,8 +155,8 @@
     }
 
     /// Sets another limit on the descriptors of the process, and closes idle connections beyond it at once.
-    pub fn resize(&self, process_limit: usize) {
-        self.descriptors.resize(process_limit);
+    pub fn set_descriptor_limit(&self, process_limit: usize) {
+        self.descriptors.set_process_limit(process_limit);
         while self.descriptors.is_exceeded() {
             if !self.close_longest_idle() {
                 break;
@@ -167,11 +167,11 @@
     /// Closes the connection that has been idle the longest; returns whether there was one.
     fn close_longest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let with_longest_idle = idle
+        let longest_idle = idle
             .values_mut()
             .filter(|connections| !connections.is_empty())
             .min_by_key(|connections| connections[0].since);
-        match with_longest_idle {
+        match longest_idle {
             Some(connections) => {
                 connections.remove(0);
                 true
--- a/crates/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -73,7 +73,7 @@
     /// With a failure.
     Failed,
     /// Without an answer, since its client disconnected.
-    ClientGone,
+    ClientDisconnected,
 }
 
 impl Counters {
@@ -97,7 +97,7 @@
     pub fn request_admitted(&self, class: usize) {
         self.in_progress.set(self.in_progress.get() + 1);
         if let Some((_, counters)) = self.classes.get(class) {
-            counters.admitted.add();
+            counters.admitted.increment();
         }
     }
 
@@ -106,10 +106,10 @@
         self.in_progress.set(self.in_progress.get() - 1);
         let Some((_, counters)) = self.classes.get(class) else { return };
         match end {
-            RequestEnd::Served => counters.served.add(),
-            RequestEnd::Rejected => counters.rejected.add(),
-            RequestEnd::Failed => counters.failed.add(),
-            RequestEnd::ClientGone => counters.client_gone.add(),
+            RequestEnd::Served => counters.served.increment(),
+            RequestEnd::Rejected => counters.rejected.increment(),
+            RequestEnd::Failed => counters.failed.increment(),
+            RequestEnd::ClientDisconnected => counters.client_gone.increment(),
         }
     }
 
@@ -118,20 +118,20 @@
         self.classes.iter().map(|(_, counters)| counter(counters).get()).sum()
     }
 
-    /// Counts an attempt whose last byte was written just now; `client_left_at`: when its client
+    /// Counts an attempt whose last byte was written just now; `client_disconnected_at`: when its client
     /// disconnected, if it has.
-    pub fn request_sent(&self, client_left_at: Option<Instant>) {
-        self.requests_sent.add();
-        let Some(left_at) = client_left_at else { return };
-        self.sent_after_client_gone.add();
-        if left_at.elapsed() >= MAX_SEND_AFTER_DISCONNECT {
-            self.sent_late_after_client_gone.add();
+    pub fn request_sent(&self, client_disconnected_at: Option<Instant>) {
+        self.requests_sent.increment();
+        let Some(disconnected_at) = client_disconnected_at else { return };
+        self.sent_after_client_gone.increment();
+        if disconnected_at.elapsed() >= MAX_SEND_AFTER_DISCONNECT {
+            self.sent_late_after_client_gone.increment();
         }
     }
 
     /// Counts the outcome of an attempt.
     pub fn attempt_ended(&self, outcome: Outcome) {
-        self.outcomes[outcome_index(outcome)].add();
+        self.outcomes[outcome_index(outcome)].increment();
     }
 
     /// All counters with their names, in the order in which they are shown.
@@ -161,8 +161,8 @@
             ("answered_late", self.answered_late.get()),
             ("answered_by_deadline_guard", self.answered_by_deadline_guard.get()),
             ("long_steps", self.responsiveness.long_steps.get()),
-            ("longest_step_us", self.responsiveness.longest_step.micros()),
-            ("longest_timer_lag_us", self.responsiveness.longest_timer_lag.micros()),
+            ("longest_step_us", self.responsiveness.longest_step.as_micros()),
+            ("longest_timer_lag_us", self.responsiveness.longest_timer_lag.as_micros()),
         ]);
         metrics
     }
--- a/crates/engine/src/descriptor_budget.rs
+++ b/crates/engine/src/descriptor_budget.rs
@@ -22,19 +22,19 @@
     /// A budget within `process_limit`, the limit on the descriptors of the whole process.
     pub fn new(process_limit: usize) -> Rc<DescriptorBudget> {
         let budget = DescriptorBudget { limit: Cell::new(0), used: Cell::new(0) };
-        budget.resize(process_limit);
+        budget.set_process_limit(process_limit);
         Rc::new(budget)
     }
 
     /// Sets another limit of the process. Where more permits are out than it allows, those stay valid until
     /// they are dropped.
-    pub fn resize(&self, process_limit: usize) {
+    pub fn set_process_limit(&self, process_limit: usize) {
         self.limit.set(process_limit.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_DESCRIPTORS));
     }
 
     /// The most downstream connections: two thirds, so that clients alone cannot use up what the workers
     /// need.
-    pub fn max_downstream(&self) -> usize {
+    pub fn max_downstream_connections(&self) -> usize {
         self.limit.get() * 2 / 3
     }
 
--- a/crates/engine/src/discovery_poll.rs
+++ b/crates/engine/src/discovery_poll.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// Discovery sends something every 2 s; a response without a byte for this long has failed.
-pub const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
+pub const READ_TIMEOUT: Duration = Duration::from_secs(3);
 /// A list that has begun must end within this time. One that trickles withholds what it would notify of, and
 /// the node counts as notified 6 s after the watch has broken.
 const LIST_TIMEOUT: Duration = Duration::from_secs(6);
@@ -23,9 +23,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
     /// It is pushed to an agent on the node's own machine, where polls cost nothing.
-    Push,
+    LocalAgent,
     /// The node polls a service that all nodes share and load.
-    Poll,
+    SharedService,
 }
 
 /// A response of discovery of which the head was read; its body is a sequence of lists.
@@ -41,9 +41,9 @@
     ///
     /// # Errors
     ///
-    /// [`WatchError`] where no response with status 200 begins within [`SILENCE_TIMEOUT`].
+    /// [`WatchError`] where no response with status 200 begins within [`READ_TIMEOUT`].
     pub async fn open(discovery: SocketAddr, query: &str) -> Result<ListStream, WatchError> {
-        let deadline = Instant::now() + SILENCE_TIMEOUT;
+        let deadline = Instant::now() + READ_TIMEOUT;
         let connection = timeout_at(deadline, Connection::connect(discovery))
             .await
             .ok_or(WatchError::NoResponse)?
@@ -72,7 +72,7 @@
         let response = timeout_at(deadline, exchange).await.ok_or(WatchError::NoResponse)?;
         let (start_line, lists) = response.map_err(WatchError::Unreadable)?;
         match start_line {
-            StartLine::Response { status } if status != 200 => Err(WatchError::Rejected(status)),
+            StartLine::Response { status } if status != 200 => Err(WatchError::ErrorStatus(status)),
             _ => Ok(ListStream { connection, lists, list_deadline: None }),
         }
     }
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     ///
-    /// [`WatchError::Silent`] where nothing comes or a list does not end in time, and
+    /// [`WatchError::Stalled`] where nothing comes or a list does not end in time, and
     /// [`WatchError::Unreadable`] where what comes is no list or the connection breaks.
     pub async fn next(&mut self) -> Result<JsonObjectEvent, WatchError> {
         let now = Instant::now();
@@ -90,11 +90,11 @@
         } else {
             None
         };
-        let silence_limit = now + SILENCE_TIMEOUT;
-        let limit = self.list_deadline.map_or(silence_limit, |deadline| deadline.min(silence_limit));
+        let read_deadline = now + READ_TIMEOUT;
+        let limit = self.list_deadline.map_or(read_deadline, |deadline| deadline.min(read_deadline));
         timeout_at(limit, self.lists.next(&mut self.connection))
             .await
-            .ok_or(WatchError::Silent)?
+            .ok_or(WatchError::Stalled)?
             .map_err(WatchError::Unreadable)
     }
 
@@ -123,7 +123,7 @@
         }
         polls.push_back(Box::pin(ListStream::open(discovery, query)));
         let delay = backoff.hedge_delay();
-        let ended = async { Some(next_to_end(&mut polls).await) };
+        let ended = async { Some(next_completed(&mut polls).await) };
         let delay_over = async {
             Timer::after(delay).await;
             None
@@ -136,7 +136,7 @@
 }
 
 /// Waits until one of the polls ends, removes it and returns its result.
-async fn next_to_end<F: Future + Unpin>(polls: &mut VecDeque<F>) -> F::Output {
+async fn next_completed<F: Future + Unpin>(polls: &mut VecDeque<F>) -> F::Output {
     poll_fn(|context| {
         for index in 0..polls.len() {
             if let Poll::Ready(result) = polls[index].poll(context) {
--- a/crates/engine/src/discovery_watch.rs
+++ b/crates/engine/src/discovery_watch.rs
@@ -2,7 +2,7 @@
 
 use crate::backoff::Backoff;
 use crate::counters::Counters;
-use crate::discovery_poll::{DiscoveryMode, ListStream, SILENCE_TIMEOUT, poll_hedged};
+use crate::discovery_poll::{DiscoveryMode, ListStream, READ_TIMEOUT, poll_hedged};
 use crate::watch_error::WatchError;
 use async_channel::Receiver;
 use async_io::Timer;
@@ -15,7 +15,7 @@
 use tracing::{debug, info, warn};
 
 /// A watch that lasted this long ends a series of failures.
-const STABLE_WATCH_DURATION: Duration = SILENCE_TIMEOUT.saturating_mul(2);
+const STABLE_WATCH_DURATION: Duration = READ_TIMEOUT.saturating_mul(2);
 
 /// The watch on discovery. The last list stays in force while the watch fails and after a move, until a new
 /// one comes.
@@ -43,10 +43,10 @@
     }
 
     /// Watches for ever, at the address that `moves` names last; each list goes to `apply`.
-    pub async fn run(mut self, moves: Receiver<SocketAddr>, apply: impl Fn(&DiscoveryList)) {
+    pub async fn run(mut self, address_changes: Receiver<SocketAddr>, apply: impl Fn(&DiscoveryList)) {
         loop {
             let moved = async {
-                match moves.recv().await {
+                match address_changes.recv().await {
                     Ok(address) => Some(address),
                     Err(_) => std::future::pending().await,
                 }
@@ -56,14 +56,14 @@
                 None
             };
             if let Some(address) = or(moved, watched).await {
-                self.move_to(address);
+                self.change_address(address);
             }
         }
     }
 
     /// Continues at another address. Versions there may be counted differently, so a complete list is
     /// fetched.
-    fn move_to(&mut self, address: SocketAddr) {
+    fn change_address(&mut self, address: SocketAddr) {
         info!(%address, "discovery address changed");
         self.address = address;
         self.version = None;
@@ -78,7 +78,7 @@
             Ok(never) => match never {},
             Err(error) => error,
         };
-        self.counters.discovery_watches_failed.add();
+        self.counters.discovery_watches_failed.increment();
         if started.elapsed() > STABLE_WATCH_DURATION {
             self.backoff.reset();
             self.last_error = None;
@@ -94,19 +94,19 @@
     fn retry_delay(&mut self, error: &WatchError) -> Duration {
         match (self.mode, error) {
             // Retried at once: the hedged polls have delays of their own.
-            (DiscoveryMode::Push, WatchError::Silent | WatchError::NoResponse) => Duration::ZERO,
+            (DiscoveryMode::LocalAgent, WatchError::Stalled | WatchError::NoResponse) => Duration::ZERO,
             // The node counts as notified 6 s after the silence began, and half of that has passed: the delay
             // must not grow by polls that failed before the watch.
-            (DiscoveryMode::Poll, WatchError::Silent) => {
+            (DiscoveryMode::SharedService, WatchError::Stalled) => {
                 self.backoff.reset();
                 self.backoff.retry_delay(false)
             }
             // The agent or its machine restarts, and may answer at any moment.
             (
-                DiscoveryMode::Push,
+                DiscoveryMode::LocalAgent,
                 WatchError::Unreachable | WatchError::Unreadable(WireError::Closed | WireError::Broken),
             ) => self.backoff.hedge_delay(),
-            _ => self.backoff.retry_delay(matches!(error, WatchError::Rejected(_))),
+            _ => self.backoff.retry_delay(matches!(error, WatchError::ErrorStatus(_))),
         }
     }
 
@@ -128,7 +128,7 @@
         let mut stream = self.poll().await?;
         loop {
             let connection = self.apply_lists(stream, apply).await?;
-            let deadline = Instant::now() + SILENCE_TIMEOUT;
+            let deadline = Instant::now() + READ_TIMEOUT;
             stream = ListStream::request(connection, self.address, &self.query(), deadline).await?;
         }
     }
@@ -136,8 +136,8 @@
     async fn poll(&mut self) -> Result<ListStream, WatchError> {
         let query = self.query();
         match self.mode {
-            DiscoveryMode::Poll => ListStream::open(self.address, &query).await,
-            DiscoveryMode::Push => poll_hedged(self.address, &query, &mut self.backoff).await,
+            DiscoveryMode::SharedService => ListStream::open(self.address, &query).await,
+            DiscoveryMode::LocalAgent => poll_hedged(self.address, &query, &mut self.backoff).await,
         }
     }
 
@@ -172,7 +172,7 @@
     async fn apply_list(&mut self, text: &[u8], apply: &impl Fn(&DiscoveryList)) -> Result<(), WatchError> {
         let started = Instant::now();
         let list = DiscoveryList::read(text).map_err(WatchError::InvalidList)?;
-        self.counters.responsiveness.part_ended("parsing a worker list", started);
+        self.counters.responsiveness.record_part("parsing a worker list", started);
         // A long list takes some milliseconds to parse, and some more to apply.
         yield_now().await;
         info!(
--- a/crates/engine/src/dispatcher_loop.rs
+++ b/crates/engine/src/dispatcher_loop.rs
@@ -20,7 +20,7 @@
 use tracing::{debug, info, warn};
 
 /// A timer that the dispatcher has set.
-struct TimerRequest {
+struct NewTimer {
     due_at: Micros,
     token: u64,
 }
@@ -38,8 +38,8 @@
     /// The clock of all events.
     pub clock: Clock,
     state: RefCell<State>,
-    timers: Sender<TimerRequest>,
-    timer_requests: Receiver<TimerRequest>,
+    timer_sender: Sender<NewTimer>,
+    timer_receiver: Receiver<NewTimer>,
     probes: Sender<WorkerId>,
     responsiveness: Rc<Responsiveness>,
 }
@@ -68,8 +68,15 @@
             next_request: 0,
             actions: Vec::new(),
         };
-        let (timers, timer_requests) = async_channel::unbounded();
-        DispatcherLoop { clock, state: RefCell::new(state), timers, timer_requests, probes, responsiveness }
+        let (timer_sender, timer_receiver) = async_channel::unbounded();
+        DispatcherLoop {
+            clock,
+            state: RefCell::new(state),
+            timer_sender,
+            timer_receiver,
+            probes,
+            responsiveness,
+        }
     }
 
     /// Numbers a request; the dispatcher's actions for it go to `messages` until it is deregistered.
@@ -102,9 +109,9 @@
         let state = &mut *self.state.borrow_mut();
         debug!(?event, "event");
         let started = Instant::now();
-        let part = event_name(&event);
+        let event_name = event_name(&event);
         state.dispatcher.handle(now, event, &mut state.actions);
-        self.responsiveness.part_ended(part, started);
+        self.responsiveness.record_part(event_name, started);
         for action in state.actions.drain(..) {
             debug!(?action, "action");
             self.route_action(&state.requests, now, action);
@@ -132,9 +139,9 @@
             }
             Action::Fail { request } => send_message(requests, request, RequestMessage::Fail),
             Action::SetTimer { delay, token } => {
-                let timer = TimerRequest { due_at: now.saturating_add(delay), token };
+                let timer = NewTimer { due_at: now.saturating_add(delay), token };
                 // The loop holds the receiver, so the channel is open.
-                let _ = self.timers.try_send(timer);
+                let _ = self.timer_sender.try_send(timer);
             }
             Action::Probe { worker } => {
                 // Probes end with the engine that runs them.
@@ -151,7 +158,7 @@
         let mut pending = BTreeSet::new();
         let mut sequence = 0;
         loop {
-            if let Some(TimerRequest { due_at, token }) = self.next_timer_request(pending.first()).await {
+            if let Some(NewTimer { due_at, token }) = self.next_new_timer(pending.first()).await {
                 sequence += 1;
                 pending.insert(PendingTimer { due_at, sequence, token });
             }
@@ -160,8 +167,8 @@
     }
 
     /// Waits until a timer is set, or until `first_pending` is due: then `None`.
-    async fn next_timer_request(&self, first_pending: Option<&PendingTimer>) -> Option<TimerRequest> {
-        let request = async { self.timer_requests.recv().await.ok() };
+    async fn next_new_timer(&self, first_pending: Option<&PendingTimer>) -> Option<NewTimer> {
+        let new_timer = async { self.timer_receiver.recv().await.ok() };
         let due = async {
             match first_pending {
                 Some(timer) => Timer::at(self.clock.instant(timer.due_at)).await,
@@ -169,7 +176,7 @@
             };
             None
         };
-        or(request, due).await
+        or(new_timer, due).await
     }
 
     async fn fire_due_timers(&self, pending: &mut BTreeSet<PendingTimer>) {
@@ -178,7 +185,7 @@
         {
             pending.pop_first();
             let lag = self.clock.now().saturating_sub(timer.due_at);
-            self.responsiveness.longest_timer_lag.note(Duration::from_micros(lag.unsigned_abs()));
+            self.responsiveness.longest_timer_lag.record(Duration::from_micros(lag.unsigned_abs()));
             self.dispatch(Event::Timer(timer.token));
             // Other tasks get their turn, however many timers are due and however soon the next ones are.
             yield_now().await;
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -77,7 +77,7 @@
             upstreams: upstreams.clone(),
             counters: counters.clone(),
             tasks: tasks.clone(),
-            open_ids: RefCell::new(HashSet::new()),
+            ids_in_progress: RefCell::new(HashSet::new()),
         });
         let request_admission = RequestAdmission::new(
             request_context,
@@ -103,9 +103,15 @@
     /// Starts the tasks that run as long as the node: the discovery watch, which continues from version `seq`
     /// at `discovery` and moves to the addresses from `moves`; the dispatcher's timers and probes; the
     /// spilling of bodies to disk; and the eviction of expired connections.
-    pub fn start(self: &Rc<Self>, discovery: SocketAddr, seq: u64, moves: Receiver<SocketAddr>) {
+    pub fn start(
+        self: &Rc<Self>,
+        discovery: SocketAddr,
+        version: u64,
+        address_changes: Receiver<SocketAddr>,
+    ) {
         let engine = self.clone();
-        self.tasks.spawn_urgent(async move { engine.watch(discovery, seq, moves).await });
+        self.tasks
+            .spawn_urgent(async move { engine.watch_discovery(discovery, version, address_changes).await });
         let dispatcher_loop = self.dispatcher_loop.clone();
         self.tasks.spawn_urgent(async move { dispatcher_loop.run_timers().await });
         let engine = self.clone();
@@ -124,23 +130,28 @@
     }
 
     /// Watches discovery's list of workers, for ever; the parameters are those of [`Engine::start`].
-    pub async fn watch(&self, discovery: SocketAddr, seq: u64, moves: Receiver<SocketAddr>) {
+    pub async fn watch_discovery(
+        &self,
+        discovery: SocketAddr,
+        version: u64,
+        address_changes: Receiver<SocketAddr>,
+    ) {
         let backoff = self.backoff.clone();
-        let watch = DiscoveryWatch::new(&self.counters, self.discovery_mode, backoff, discovery, seq);
-        watch.run(moves, |list| self.apply_worker_list(list)).await;
+        let watch = DiscoveryWatch::new(&self.counters, self.discovery_mode, backoff, discovery, version);
+        watch.run(address_changes, |list| self.apply_worker_list(list)).await;
     }
 
     /// Applies a list, closes the idle connections to workers that are gone, and notifies the dispatcher.
     fn apply_worker_list(&self, list: &DiscoveryList) {
         let started = Instant::now();
         let entries = self.upstreams.registry.apply(list, self.dispatcher_loop.clock.now());
-        self.counters.responsiveness.part_ended("applying a worker list", started);
+        self.counters.responsiveness.record_part("applying a worker list", started);
         for entry in &entries {
             if entry.lifecycle == Lifecycle::Gone {
                 self.upstreams.pool.evict_worker(entry.worker);
             }
         }
-        self.counters.worker_lists.add();
+        self.counters.worker_lists.increment();
         let update =
             if list.complete { WorkerListUpdate::Full(entries) } else { WorkerListUpdate::Delta(entries) };
         self.dispatcher_loop.dispatch(Event::WorkerList(update));
@@ -172,7 +183,7 @@
         pool: ConnectionPool::new(descriptors, to_duration(config.idle_timeout), counters.clone()),
         tasks: tasks.clone(),
         counters: counters.clone(),
-        load_fields: LoadReportFields::new(config.load_fields.clone()),
+        load_report_fields: LoadReportFields::new(config.load_fields.clone()),
         drain_grace: to_duration(config.drain_grace) + DRAIN_GRACE_ALLOWANCE,
         connect_timeout,
     }
@@ -197,5 +208,5 @@
 }
 
 fn discovery_mode(config: &Config) -> DiscoveryMode {
-    if config.settings.polls_discovery { DiscoveryMode::Poll } else { DiscoveryMode::Push }
+    if config.settings.polls_discovery { DiscoveryMode::SharedService } else { DiscoveryMode::LocalAgent }
 }
--- a/crates/engine/src/invariants.rs
+++ b/crates/engine/src/invariants.rs
@@ -23,9 +23,9 @@
     /// A request has one final answer, or its client has disconnected.
     OneFinalAnswer,
     /// No attempt is fully sent `MAX_SEND_AFTER_DISCONNECT` or more after its client disconnected.
-    NoAttemptForGoneClient,
+    NothingSentAfterDisconnect,
     /// No attempt is fully sent after its deadline or its idempotency window.
-    NoAttemptAfterDeadline,
+    NothingSentAfterDeadline,
     /// An at-most-once request is sent once, unless the attempts before are proven not to have run.
     AtMostOnceSentOnce,
     /// An at-most-once request that may have run is not rejected, since a rejection invites a retry.
@@ -40,8 +40,8 @@
     /// All invariants, in the order of their discriminants.
     pub const ALL: [Invariant; 7] = [
         Invariant::OneFinalAnswer,
-        Invariant::NoAttemptForGoneClient,
-        Invariant::NoAttemptAfterDeadline,
+        Invariant::NothingSentAfterDisconnect,
+        Invariant::NothingSentAfterDeadline,
         Invariant::AtMostOnceSentOnce,
         Invariant::NoRejectionAfterRun,
         Invariant::NothingSentToDrainedWorker,
@@ -52,8 +52,8 @@
     pub fn name(self) -> &'static str {
         match self {
             Invariant::OneFinalAnswer => "one_final_answer",
-            Invariant::NoAttemptForGoneClient => "no_attempt_for_gone_client",
-            Invariant::NoAttemptAfterDeadline => "no_attempt_after_deadline",
+            Invariant::NothingSentAfterDisconnect => "no_attempt_for_gone_client",
+            Invariant::NothingSentAfterDeadline => "no_attempt_after_deadline",
             Invariant::AtMostOnceSentOnce => "single_run_once",
             Invariant::NoRejectionAfterRun => "no_refusal_after_run",
             Invariant::NothingSentToDrainedWorker => "nothing_to_drained",
@@ -74,7 +74,7 @@
         if holds {
             return;
         }
-        self.violations[invariant as usize].add();
+        self.violations[invariant as usize].increment();
         error!(invariant = invariant.name(), request, "invariant violated");
     }
 
@@ -92,50 +92,50 @@
 /// Tracks one request as far as the invariants need: how often it was sent, and how often it is proven not to
 /// have run.
 #[derive(Default)]
-pub struct RequestGuard {
+pub struct RequestChecks {
     at_most_once: bool,
     rejection_may_have_run: bool,
     attempts_sent: Cell<u32>,
-    attempts_proven_unrun: Cell<u32>,
+    attempts_proven_not_run: Cell<u32>,
 }
 
 /// An attempt at the moment in which its last byte was written.
 pub struct SentAttempt {
     /// When its client disconnected, if it has.
-    pub client_left_at: Option<Instant>,
+    pub client_disconnected_at: Option<Instant>,
     /// From when on it must not be sent.
     pub send_by: Instant,
     /// The drain of its worker, if the worker is draining.
-    pub drain: Option<Drain>,
+    pub drain: Option<WorkerDrain>,
 }
 
 /// A worker's drain.
-pub struct Drain {
+pub struct WorkerDrain {
     /// When the node learnt of the drain.
     pub since: Instant,
     /// How long after that requests may still be sent to the worker.
     pub grace: Duration,
 }
 
-impl RequestGuard {
+impl RequestChecks {
     /// A guard for a request of which nothing was sent.
     ///
     /// `at_most_once`: the request must not run twice. `rejection_may_have_run`: a worker's rejection does
     /// not prove that the attempt never ran.
-    pub fn new(at_most_once: bool, rejection_may_have_run: bool) -> RequestGuard {
-        RequestGuard { at_most_once, rejection_may_have_run, ..RequestGuard::default() }
+    pub fn new(at_most_once: bool, rejection_may_have_run: bool) -> RequestChecks {
+        RequestChecks { at_most_once, rejection_may_have_run, ..RequestChecks::default() }
     }
 
     /// Records that an attempt's last byte was written just now, and checks that it was allowed to be.
     pub fn request_sent(&self, invariants: &Invariants, request: &str, attempt: &SentAttempt) {
         let now = Instant::now();
-        let in_time_for_client = attempt
-            .client_left_at
-            .is_none_or(|left_at| now.saturating_duration_since(left_at) < MAX_SEND_AFTER_DISCONNECT);
-        invariants.check(Invariant::NoAttemptForGoneClient, request, in_time_for_client);
+        let soon_after_disconnect = attempt
+            .client_disconnected_at
+            .is_none_or(|at| now.saturating_duration_since(at) < MAX_SEND_AFTER_DISCONNECT);
+        invariants.check(Invariant::NothingSentAfterDisconnect, request, soon_after_disconnect);
 
         let in_time = now < attempt.send_by + MAX_SCHEDULING_DELAY;
-        invariants.check(Invariant::NoAttemptAfterDeadline, request, in_time);
+        invariants.check(Invariant::NothingSentAfterDeadline, request, in_time);
 
         let worker_gone = attempt.drain.as_ref().is_some_and(|drain| now > drain.since + drain.grace);
         invariants.check(Invariant::NothingSentToDrainedWorker, request, !worker_gone);
@@ -148,7 +148,7 @@
     /// Records the end of an attempt; `fully_sent`: its last byte was written.
     pub fn attempt_ended(&self, end: &AttemptEnd, fully_sent: bool) {
         if fully_sent && end.outcome() == Outcome::Rejected && !self.rejection_may_have_run {
-            self.attempts_proven_unrun.set(self.attempts_proven_unrun.get() + 1);
+            self.attempts_proven_not_run.set(self.attempts_proven_not_run.get() + 1);
         }
     }
 
@@ -159,6 +159,6 @@
     }
 
     fn may_have_run(&self) -> bool {
-        self.attempts_sent.get() > self.attempts_proven_unrun.get()
+        self.attempts_sent.get() > self.attempts_proven_not_run.get()
     }
 }
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -2,7 +2,7 @@
 
 use crate::attempt_end::AttemptEnd;
 use crate::body_admission::BodyPermit;
-use crate::invariants::RequestGuard;
+use crate::invariants::RequestChecks;
 use sorrelhaven_body_store::RequestBody;
 use sorrelhaven_dispatcher::{Micros, WorkerId};
 use sorrelhaven_wire::PeerProbe;
@@ -75,18 +75,18 @@
     /// It has its answer, or needs none any more: nothing more is to be sent for it.
     pub concluded: Cell<bool>,
     /// When its client disconnected before it had its answer.
-    pub client_left_at: Cell<Option<Instant>>,
+    pub client_disconnected_at: Cell<Option<Instant>>,
     /// Whether the last byte of any of its attempts was written.
     pub fully_sent: Cell<bool>,
     /// Shows whether the client's connection has closed.
     pub client_probe: Option<PeerProbe>,
     /// The run-time checks of its invariants.
-    pub guard: RequestGuard,
+    pub checks: RequestChecks,
 }
 
 impl RequestState {
     /// Whether the client's connection has closed before the answer, as the connection shows at this moment.
-    pub fn client_gone(&self) -> bool {
+    pub fn has_unreported_disconnect(&self) -> bool {
         !self.concluded.get() && self.client_probe.as_ref().is_some_and(PeerProbe::has_closed)
     }
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -35,8 +35,8 @@
 //!
 //! let config = Config::load(|name| std::env::var(name).ok())?;
 //! let engine = Engine::new(&config, None);
-//! let (_sender, discovery_moves) = async_channel::unbounded();
-//! engine.start(config.discovery, config.known_workers.version, discovery_moves);
+//! let (_sender, address_changes) = async_channel::unbounded();
+//! engine.start(config.discovery, config.known_workers.version, address_changes);
 //! async_io::block_on(engine.tasks.run());
 //! # Ok::<(), sorrelhaven_config::ConfigErrors>(())
 //! ```
@@ -80,11 +80,11 @@
 pub use descriptor_budget::{DescriptorBudget, DescriptorPermit};
 pub use dispatcher_loop::DispatcherLoop;
 pub use engine::Engine;
-pub use invariants::{Drain, Invariant, Invariants, RequestGuard, SentAttempt};
+pub use invariants::{Invariant, Invariants, RequestChecks, SentAttempt, WorkerDrain};
 pub use job::{Answer, Job, RequestMessage, RequestPayload};
 pub use metric::{Counter, MaxDuration};
 pub use request_admission::{DuplicateRequestId, RequestHandle};
-pub use responsiveness::{LONG_STEP, Responsiveness};
+pub use responsiveness::{LONG_STEP_THRESHOLD, Responsiveness};
 pub use tasks::Tasks;
 pub use upstreams::Upstreams;
 pub use worker_registry::WorkerRegistry;
--- a/crates/engine/src/metric.rs
+++ b/crates/engine/src/metric.rs
@@ -9,7 +9,7 @@
 
 impl Counter {
     /// Adds one.
-    pub fn add(&self) {
+    pub fn increment(&self) {
         self.0.set(self.0.get() + 1);
     }
 
@@ -25,12 +25,12 @@
 
 impl MaxDuration {
     /// Takes one duration into account.
-    pub fn note(&self, duration: Duration) {
+    pub fn record(&self, duration: Duration) {
         self.0.set(self.0.get().max(duration));
     }
 
     /// The longest so far, in microseconds.
-    pub fn micros(&self) -> u64 {
+    pub fn as_micros(&self) -> u64 {
         u64::try_from(self.0.get().as_micros()).unwrap_or(u64::MAX)
     }
 }
--- a/crates/engine/src/probe.rs
+++ b/crates/engine/src/probe.rs
@@ -13,7 +13,7 @@
 
 /// Probes a worker and reports the outcome to the dispatcher.
 pub async fn run(dispatcher_loop: Rc<DispatcherLoop>, upstreams: Rc<Upstreams>, worker: WorkerId) {
-    upstreams.counters.probes.add();
+    upstreams.counters.probes.increment();
     let deadline = Instant::now() + PROBE_TIMEOUT;
     let end = match timeout_at(deadline, probe(&upstreams, worker)).await {
         Some(Ok(())) => AttemptEnd::Completed(String::new()),
--- a/crates/engine/src/request_admission.rs
+++ b/crates/engine/src/request_admission.rs
@@ -2,7 +2,7 @@
 //!
 //! A front end submits a [`Job`] and receives one [`Answer`], whatever the client's protocol.
 
-use crate::invariants::RequestGuard;
+use crate::invariants::RequestChecks;
 use crate::job::{Answer, Job, RequestMessage, RequestState};
 use crate::request_task::{NewRequest, RequestContext, RequestTask};
 use async_channel::{Receiver, Sender};
@@ -68,17 +68,17 @@
     /// A request of the same id is in progress: workers know their jobs by id, so a second one would be
     /// rejected there, or mixed up with the first.
     pub fn admit(&self, job: Job) -> Result<RequestHandle, DuplicateRequestId> {
-        let is_new = self.context.open_ids.borrow_mut().insert(job.payload.id.clone());
+        let is_new = self.context.ids_in_progress.borrow_mut().insert(job.payload.id.clone());
         if !is_new {
             return Err(DuplicateRequestId);
         }
         let (messages, receiver) = async_channel::unbounded();
-        let (reply, answer) = async_channel::bounded(1);
+        let (answer_sender, answer) = async_channel::bounded(1);
         self.context.counters.request_admitted(job.class);
         let id = self.context.dispatcher_loop.register_request(messages.clone());
         let arrival = arrival(id, &job);
         let request = self.new_request(id, job);
-        let task = RequestTask::new(self.context.clone(), request, messages.clone(), reply);
+        let task = RequestTask::new(self.context.clone(), request, messages.clone(), answer_sender);
         self.context.tasks.spawn(task.run(arrival, receiver));
         Ok(RequestHandle { messages, answer })
     }
@@ -86,7 +86,7 @@
     fn new_request(&self, id: RequestId, job: Job) -> NewRequest {
         let state = RequestState {
             client_probe: job.client_probe,
-            guard: self.guard(job.class),
+            checks: self.checks(job.class),
             ..RequestState::default()
         };
         NewRequest {
@@ -100,9 +100,9 @@
     }
 
     /// The run-time checks for a new request; an unknown class is held to the strictest rule.
-    fn guard(&self, class: usize) -> RequestGuard {
+    fn checks(&self, class: usize) -> RequestChecks {
         let at_most_once = self.at_most_once.get(class).copied().unwrap_or(true);
-        RequestGuard::new(at_most_once, self.rejection_may_have_run)
+        RequestChecks::new(at_most_once, self.rejection_may_have_run)
     }
 }
 
--- a/crates/engine/src/request_task.rs
+++ b/crates/engine/src/request_task.rs
@@ -31,7 +31,7 @@
 struct RunningAttempt {
     worker: WorkerId,
     /// When it began or, for a long body, when the body was fully sent: its elapsed time counts from here.
-    sent_at: Micros,
+    timed_from: Micros,
     fully_sent: Rc<Cell<bool>>,
     task: Task<()>,
 }
@@ -55,7 +55,7 @@
     /// The executor that the tasks run on.
     pub tasks: Rc<Tasks>,
     /// The ids of the requests in progress.
-    pub open_ids: RefCell<HashSet<Rc<str>>>,
+    pub ids_in_progress: RefCell<HashSet<Rc<str>>>,
 }
 
 /// One request, as it is admitted.
@@ -80,7 +80,7 @@
     request: NewRequest,
     /// For the attempts to report through.
     messages: Sender<RequestMessage>,
-    reply: Sender<Answer>,
+    answer_sender: Sender<Answer>,
     /// The attempts without an outcome, by number.
     attempts: HashMap<u32, RunningAttempt>,
     attempts_begun: u32,
@@ -92,9 +92,9 @@
         context: Rc<RequestContext>,
         request: NewRequest,
         messages: Sender<RequestMessage>,
-        reply: Sender<Answer>,
+        answer_sender: Sender<Answer>,
     ) -> RequestTask {
-        RequestTask { context, request, messages, reply, attempts: HashMap::new(), attempts_begun: 0 }
+        RequestTask { context, request, messages, answer_sender, attempts: HashMap::new(), attempts_begun: 0 }
     }
 
     /// Runs the request from its arrival until it is answered and all its attempts have ended.
@@ -107,7 +107,7 @@
                 Some(Wakeup::Message(message)) => self.handle(message),
                 Some(Wakeup::Overdue) => {
                     overdue_timer.clear();
-                    self.answer_overdue();
+                    self.fail_overdue_request();
                 }
                 None => break,
             }
@@ -158,7 +158,7 @@
     fn begin_attempt(&mut self, worker: WorkerId, deadline: Micros, send_by: Micros) {
         let attempt = self.attempts_begun;
         self.attempts_begun += 1;
-        self.context.counters.attempts.add();
+        self.context.counters.attempts.increment();
         debug!(id = %self.name(), attempt, worker = worker.0, "attempt started");
         let clock = self.context.dispatcher_loop.clock;
         let fully_sent = Rc::<Cell<bool>>::default();
@@ -171,8 +171,8 @@
             fully_sent: fully_sent.clone(),
         };
         let task = self.start_attempt_task(spec);
-        let sent_at = self.now();
-        self.attempts.insert(attempt, RunningAttempt { worker, sent_at, fully_sent, task });
+        let timed_from = self.now();
+        self.attempts.insert(attempt, RunningAttempt { worker, timed_from, fully_sent, task });
     }
 
     /// Starts the task of an attempt. An attempt that the dispatcher asked for before it knew of the answer
@@ -216,7 +216,7 @@
         let now = self.now();
         let Some(running) = self.attempts.get_mut(&attempt) else { return };
         // The transfer of a long body says nothing of the worker's speed.
-        running.sent_at = now;
+        running.timed_from = now;
         let worker = running.worker;
         self.dispatch(Event::RequestSent { request: self.request.id, attempt, worker });
     }
@@ -224,12 +224,12 @@
     /// Records the one outcome of an attempt. Where a cancellation crosses its own end, the first of them
     /// counts.
     fn end_attempt(&mut self, attempt: u32, end: AttemptEnd, load_report: Vec<f64>) {
-        let Some(RunningAttempt { worker, sent_at, fully_sent, task }) = self.attempts.remove(&attempt)
+        let Some(RunningAttempt { worker, timed_from, fully_sent, task }) = self.attempts.remove(&attempt)
         else {
             return;
         };
         let fully_sent = fully_sent.get();
-        self.request.state.guard.attempt_ended(&end, fully_sent);
+        self.request.state.checks.attempt_ended(&end, fully_sent);
         debug!(id = %self.name(), attempt, worker = worker.0, ?end, fully_sent, "attempt ended");
         let outcome = end.outcome();
         self.context.counters.attempt_ended(outcome);
@@ -246,7 +246,7 @@
             attempt,
             worker,
             outcome,
-            elapsed: self.now() - sent_at,
+            elapsed: self.now() - timed_from,
             request_concluded: self.request.state.concluded.get(),
             load_report,
         });
@@ -257,22 +257,22 @@
             return;
         }
         self.request.body_permit = None;
-        self.request.state.client_left_at.set(Some(Instant::now()));
+        self.request.state.client_disconnected_at.set(Some(Instant::now()));
         if !self.request.state.fully_sent.get() {
-            self.context.counters.client_gone_waiting.add();
+            self.context.counters.client_gone_waiting.increment();
         }
-        self.context.counters.request_concluded(self.request.class, RequestEnd::ClientGone);
+        self.context.counters.request_concluded(self.request.class, RequestEnd::ClientDisconnected);
         self.dispatch(Event::ClientDisconnected(self.request.id));
     }
 
     /// Fails a request that nothing else has answered, and cancels its attempts.
-    fn answer_overdue(&mut self) {
+    fn fail_overdue_request(&mut self) {
         if self.request.state.concluded.get() {
             return;
         }
         let attempts = self.attempts.len();
         warn!(id = %self.name(), attempts, "request overdue, answered by the deadline guard");
-        self.context.counters.answered_by_deadline_guard.add();
+        self.context.counters.answered_by_deadline_guard.increment();
         self.answer(Answer::Failed);
         self.dispatch(Event::ClientDisconnected(self.request.id));
         let running: Vec<u32> = self.attempts.keys().copied().collect();
@@ -288,13 +288,13 @@
         }
         self.request.body_permit = None;
         if matches!(answer, Answer::Rejected { .. }) {
-            self.request.state.guard.request_rejected(&self.context.counters.invariants, self.name());
+            self.request.state.checks.request_rejected(&self.context.counters.invariants, self.name());
         }
         debug!(id = %self.name(), ?answer, "request concluded");
-        let late = self.now() - self.request.deadline;
-        if late > 0 {
-            self.context.counters.answered_late.add();
-            debug!(id = %self.name(), late_us = late, "request concluded after its deadline");
+        let late_by = self.now() - self.request.deadline;
+        if late_by > 0 {
+            self.context.counters.answered_late.increment();
+            debug!(id = %self.name(), late_us = late_by, "request concluded after its deadline");
         }
         let end = match answer {
             Answer::Served(_) => RequestEnd::Served,
@@ -303,7 +303,7 @@
         };
         self.context.counters.request_concluded(self.request.class, end);
         // A front end that has dropped its handle needs no answer.
-        let _ = self.reply.try_send(answer);
+        let _ = self.answer_sender.try_send(answer);
     }
 }
 
@@ -330,6 +330,6 @@
             counters.request_concluded(self.request.class, RequestEnd::Failed);
         }
         self.context.dispatcher_loop.deregister_request(self.request.id);
-        self.context.open_ids.borrow_mut().remove(self.name());
+        self.context.ids_in_progress.borrow_mut().remove(self.name());
     }
 }
--- a/crates/engine/src/request_writer.rs
+++ b/crates/engine/src/request_writer.rs
@@ -41,24 +41,24 @@
         let mut chunk = Vec::new();
         let mut output = Vec::new();
         let mut body_bytes = 0;
-        let mut has_head = false;
+        let mut head_built = false;
         let mut consumption_reported = false;
-        let mut more = true;
-        while more {
-            more = body.next(&mut chunk).await.map_err(AttemptEnd::BodyUnavailable)?;
+        let mut has_more = true;
+        while has_more {
+            has_more = body.next(&mut chunk).await.map_err(AttemptEnd::BodyUnavailable)?;
             self.spec.check_sendable().await?;
             if !consumption_reported && body.consumes() {
                 consumption_reported = true;
                 let _ = self.messages.try_send(RequestMessage::BodyConsumed);
             }
-            if !has_head {
-                has_head = true;
+            if !head_built {
+                head_built = true;
                 output = self.payload.head(host, self.spec.deadline, length);
             }
             body_bytes += chunk.len() as u64;
-            append_body_chunk(&mut output, &mut chunk, length, more);
+            append_body_chunk(&mut output, &mut chunk, length, has_more);
             if !output.is_empty() && connection.write(&output).await.is_err() {
-                return Err(self.end_after_broken_write(connection).await);
+                return Err(self.end_after_write_error(connection).await);
             }
             // From the last byte on the worker may run the request: nothing below may end the attempt as
             // unsent.
@@ -76,7 +76,7 @@
 
     /// How an attempt ends whose connection broke before the last byte. A worker may reject a large request
     /// by its head alone and close the connection.
-    async fn end_after_broken_write(&self, connection: &mut Connection) -> AttemptEnd {
+    async fn end_after_write_error(&self, connection: &mut Connection) -> AttemptEnd {
         let limit = self.spec.deadline.min(Instant::now() + EARLY_RESPONSE_TIMEOUT);
         match timeout_at(limit, ResponseReader::read_head(connection)).await {
             Some(Ok(response)) if response.is_rejection() => AttemptEnd::Rejected,
@@ -86,8 +86,8 @@
 }
 
 /// Moves a chunk of the body to `output`: unchanged where the head states the body's length, else in the
-/// chunked coding. `more`: the body goes on after this chunk.
-fn append_body_chunk(output: &mut Vec<u8>, chunk: &mut Vec<u8>, length: Option<u64>, more: bool) {
+/// chunked coding. `has_more`: the body goes on after this chunk.
+fn append_body_chunk(output: &mut Vec<u8>, chunk: &mut Vec<u8>, length: Option<u64>, has_more: bool) {
     if length.is_some() {
         output.append(chunk);
         return;
@@ -97,7 +97,7 @@
         output.append(chunk);
         output.extend_from_slice(b"\r\n");
     }
-    if !more {
+    if !has_more {
         output.extend_from_slice(b"0\r\n\r\n");
     }
 }
--- a/crates/engine/src/response_reader.rs
+++ b/crates/engine/src/response_reader.rs
@@ -61,9 +61,9 @@
     keeps_alive: bool,
     lines: LineReader,
     /// The load report of the head, not parsed yet.
-    head_load: Option<String>,
+    head_load_report: Option<String>,
     /// The load report of the line that ended the attempt.
-    line_load: Option<Value>,
+    line_load_report: Option<Value>,
 }
 
 impl ResponseReader {
@@ -82,8 +82,8 @@
             is_rejection,
             keeps_alive: head.keeps_alive(),
             lines: LineReader::new(body, MAX_JOB_LINE_BYTES),
-            head_load: head.get_unique("Server-Load").map(str::to_string),
-            line_load: None,
+            head_load_report: head.get_unique("Server-Load").map(str::to_string),
+            line_load_report: None,
         })
     }
 
@@ -116,7 +116,7 @@
         if line.id != request_id {
             return self.end_and_close(AttemptEnd::WrongRequestId);
         }
-        self.line_load = line.load;
+        self.line_load_report = line.load;
         match line.state {
             JobState::Started => ResponseStep::Started,
             JobState::Running { share } => ResponseStep::Progress(share),
@@ -140,18 +140,18 @@
     /// The load report at the end of the attempt: the line's, or else the head's. Empty where there is none,
     /// or where it is malformed, which is counted: the response stands all the same.
     pub fn load_report(&self, upstreams: &Upstreams) -> Vec<f64> {
-        let report = match (&self.head_load, &self.line_load) {
-            (_, Some(value)) => upstreams.load_fields.parse_value(value),
-            (Some(text), None) => upstreams.load_fields.parse_text(text),
+        let report = match (&self.head_load_report, &self.line_load_report) {
+            (_, Some(value)) => upstreams.load_report_fields.parse_value(value),
+            (Some(text), None) => upstreams.load_report_fields.parse_text(text),
             (None, None) => return Vec::new(),
         };
         match report {
             Some(report) => {
-                upstreams.counters.load_reports.add();
+                upstreams.counters.load_reports.increment();
                 report
             }
             None => {
-                upstreams.counters.load_reports_malformed.add();
+                upstreams.counters.load_reports_malformed.increment();
                 Vec::new()
             }
         }
--- a/crates/engine/src/start_times.rs
+++ b/crates/engine/src/start_times.rs
@@ -23,7 +23,7 @@
 /// A worker's start as it was evaluated.
 struct RecordedStart {
     /// The date in the list.
-    dated: Micros,
+    reported: Micros,
     /// The start on the node's clock.
     started_at: Micros,
 }
@@ -33,7 +33,7 @@
 pub struct StartTimes {
     starts: HashMap<WorkerId, RecordedStart>,
     /// The most by which the newest date of a list was ahead of the node's clock when it was read.
-    max_lead: Option<Micros>,
+    max_clock_lag: Option<Micros>,
     /// The lists read so far, with the current one.
     lists_read: u64,
     /// When the list before the current one was read.
@@ -43,10 +43,10 @@
 impl StartTimes {
     /// Begins to read a list at `now` that holds these dates. To be called before [`StartTimes::started_at`]
     /// for its entries.
-    pub fn begin_list(&mut self, dates: impl Iterator<Item = Micros>, now: Micros) {
-        let newest = dates.filter(|dated| *dated > 0).max();
-        let lead = newest.map(|dated| dated - now);
-        self.max_lead = self.max_lead.max(lead);
+    pub fn begin_list(&mut self, reported_starts: impl Iterator<Item = Micros>, now: Micros) {
+        let newest = reported_starts.filter(|reported| *reported > 0).max();
+        let clock_lag = newest.map(|reported| reported - now);
+        self.max_clock_lag = self.max_clock_lag.max(clock_lag);
         self.lists_read += 1;
         if self.lists_read <= INITIAL_LISTS {
             // The list from the configuration may be old: the first one of discovery is more reliable.
@@ -60,23 +60,23 @@
     }
 
     /// When a worker that discovery dates `dated` started, on the node's clock; 0 where that is long ago.
-    pub fn started_at(&mut self, worker: WorkerId, dated: Micros, now: Micros) -> Micros {
-        if dated <= 0 {
+    pub fn started_at(&mut self, worker: WorkerId, reported: Micros, now: Micros) -> Micros {
+        if reported <= 0 {
             return 0;
         }
         let previous = self.starts.get(&worker);
-        if let Some(start) = previous.filter(|start| start.dated == dated) {
+        if let Some(start) = previous.filter(|start| start.reported == reported) {
             return start.started_at;
         }
-        let age_by_newest_date = self.max_lead.map(|lead| now + lead - dated);
-        let age_by_clock = Some(now - dated).filter(|age| *age >= 0);
+        let age_by_newest_start = self.max_clock_lag.map(|clock_lag| now + clock_lag - reported);
+        let age_by_clock = Some(now - reported).filter(|age| *age >= 0);
         let age_by_change = (self.lists_read > INITIAL_LISTS).then(|| now - self.last_list_read_at);
-        let ages = [age_by_newest_date, age_by_clock, age_by_change];
+        let ages = [age_by_newest_start, age_by_clock, age_by_change];
         let age = ages.into_iter().flatten().min().unwrap_or(0).max(0);
         // A process that restarts is another one, whatever the dates say.
         let earliest = previous.map_or(1, |start| start.started_at + 1);
         let started_at = (now - age).max(earliest);
-        self.starts.insert(worker, RecordedStart { dated, started_at });
+        self.starts.insert(worker, RecordedStart { reported, started_at });
         started_at
     }
 }
--- a/crates/engine/src/tasks.rs
+++ b/crates/engine/src/tasks.rs
@@ -23,8 +23,8 @@
     responsiveness: Rc<Responsiveness>,
     urgent: LocalExecutor<'static>,
     ordinary: LocalExecutor<'static>,
-    /// Notified when a task that waits in [`Tasks::turn`] may go on.
-    turns: Event,
+    /// Notified when a task that waits in [`Tasks::yield_to_small_requests`] may go on.
+    yielded_tasks: Event,
 }
 
 impl Tasks {
@@ -57,7 +57,7 @@
     /// Waits until no other task can run, or until the slice ends: between the blocks of large bodies.
     /// However many bodies are under way, a small job waits for one block at most.
     pub async fn yield_to_small_requests(&self) {
-        self.turns.listen().await;
+        self.yielded_tasks.listen().await;
     }
 
     /// Runs all tasks, for ever.
@@ -65,7 +65,7 @@
         loop {
             self.run_slice().await;
             // However much there is to do, large bodies go on, if slowly.
-            self.turns.notify_additional(1);
+            self.yielded_tasks.notify_additional(1);
             // Returns to the reactor, which polls the sockets and timers.
             yield_now().await;
         }
@@ -77,8 +77,8 @@
         for _ in 0..MAX_ROUNDS_PER_SLICE {
             self.run_urgent_steps();
             if !self.run_step(&self.ordinary) {
-                let turn_given = self.turns.notify_additional(1) > 0;
-                if turn_given {
+                let resumed_yielded_task = self.yielded_tasks.notify_additional(1) > 0;
+                if resumed_yielded_task {
                     return;
                 }
                 self.wait_and_run_step().await;
@@ -102,7 +102,7 @@
         let started = Instant::now();
         let ran = executor.try_tick();
         if ran {
-            self.responsiveness.step_ended(started);
+            self.responsiveness.record_step(started);
         }
         ran
     }
@@ -114,7 +114,7 @@
             let started = Instant::now();
             let polled = step.as_mut().poll(context);
             if polled.is_ready() {
-                self.responsiveness.step_ended(started);
+                self.responsiveness.record_step(started);
             }
             polled
         })
--- a/crates/engine/src/tests/discovery_watch.rs
+++ b/crates/engine/src/tests/discovery_watch.rs
@@ -35,7 +35,7 @@
     });
     let (_sender, no_moves) = async_channel::unbounded();
     let watching_engine = engine.clone();
-    engine.tasks.spawn_urgent(async move { watching_engine.watch(address, 1, no_moves).await });
+    engine.tasks.spawn_urgent(async move { watching_engine.watch_discovery(address, 1, no_moves).await });
     fixtures::run(&engine, async { _ = stop.recv().await });
     waiter.join().expect("the waiter").expect("the agent saw what it should");
     engine
--- a/crates/engine/src/upstreams.rs
+++ b/crates/engine/src/upstreams.rs
@@ -21,7 +21,7 @@
     /// The node's counters.
     pub counters: Rc<Counters>,
     /// The fields of load reports.
-    pub load_fields: LoadReportFields,
+    pub load_report_fields: LoadReportFields,
     /// How long after the notice of its drain a worker may still be sent requests.
     pub drain_grace: Duration,
     /// The limit on making a connection.
--- a/crates/engine/src/watch_error.rs
+++ b/crates/engine/src/watch_error.rs
@@ -15,9 +15,9 @@
     /// No response has begun in time.
     NoResponse,
     /// The response has begun and then stopped, or a list in it does not end.
-    Silent,
+    Stalled,
     /// The response has this status instead of 200.
-    Rejected(u16),
+    ErrorStatus(u16),
     /// The response could not be read.
     Unreadable(WireError),
     /// A list is JSON and no valid list.
@@ -37,8 +37,8 @@
         match self {
             WatchError::Unreachable => formatter.write_str("connection failed"),
             WatchError::NoResponse => formatter.write_str("no response"),
-            WatchError::Silent => formatter.write_str("response timed out"),
-            WatchError::Rejected(status) => write!(formatter, "response status {status}"),
+            WatchError::Stalled => formatter.write_str("response timed out"),
+            WatchError::ErrorStatus(status) => write!(formatter, "response status {status}"),
             WatchError::Unreadable(WireError::BodyTooLarge) => {
                 write!(formatter, "list of more than {MAX_LIST_BYTES} bytes")
             }
--- a/crates/engine/src/worker_registry.rs
+++ b/crates/engine/src/worker_registry.rs
@@ -65,8 +65,8 @@
     /// An invalid entry is logged and skipped: it must not hide what the list says of the other workers.
     pub fn apply(&self, list: &DiscoveryList, now: Micros) -> Vec<WorkerEntry> {
         let known = &mut *self.known.borrow_mut();
-        let dates = list.workers.iter().map(|host| host.started_ms.saturating_mul(1_000));
-        known.start_times.begin_list(dates, now);
+        let reported_starts = list.workers.iter().map(|host| host.started_ms.saturating_mul(1_000));
+        known.start_times.begin_list(reported_starts, now);
         let mut entries = Vec::new();
         for host in &list.workers {
             match known.apply_host(host, &self.names, now) {
@@ -76,7 +76,7 @@
         }
         known.start_times.end_list(now);
         if list.complete {
-            known.drain_unlisted(&entries);
+            known.mark_unlisted_draining(&entries);
         }
         entries
     }
@@ -110,7 +110,7 @@
     }
 
     /// A worker that a complete list does not name accepts no work.
-    fn drain_unlisted(&mut self, entries: &[WorkerEntry]) {
+    fn mark_unlisted_draining(&mut self, entries: &[WorkerEntry]) {
         let mut is_listed = vec![false; self.workers.len()];
         for entry in entries {
             is_listed[entry.worker.0 as usize] = true;
--- a/crates/frontend-http1/src/accept.rs
+++ b/crates/frontend-http1/src/accept.rs
@@ -87,7 +87,7 @@
     if failure == SocketFailure::NotReady {
         return ControlFlow::Break(());
     }
-    frontend.counters.accepts_failed.add();
+    frontend.counters.accepts_failed.increment();
     // Consecutive failures are logged once.
     if !frontend.accept_failing.replace(true) {
         warn!(%error, "accept failed, retrying");
@@ -121,14 +121,14 @@
 
 /// Starts the task that serves an accepted connection.
 fn spawn_connection(frontend: &Rc<Frontend>, stream: TcpStream, permit: DescriptorPermit) {
-    frontend.counters.downstream_connections.add();
+    frontend.counters.downstream_connections.increment();
     frontend.connections.record_opened();
     let shared = frontend.clone();
     frontend.engine.tasks.spawn(async move {
         match Connection::accepted(stream).await {
             Ok(mut connection) => serve_connection(&shared, &mut connection).await,
             Err(error) => {
-                shared.counters.accepts_failed.add();
+                shared.counters.accepts_failed.increment();
                 warn!(%error, "accepted connection could not be registered");
             }
         }
--- a/crates/frontend-http1/src/connection.rs
+++ b/crates/frontend-http1/src/connection.rs
@@ -67,7 +67,7 @@
 
 fn record_rejection(frontend: &Frontend, response: &Response) {
     if response.status / 100 == 4 {
-        frontend.counters.malformed_requests.add();
+        frontend.counters.malformed_requests.increment();
         let body = String::from_utf8_lossy(&response.body);
         debug!(response.status, %body, "request rejected by the protocol");
     }
@@ -110,7 +110,7 @@
             true
         }
         Wake::Evicted => {
-            frontend.counters.evicted_connections.add();
+            frontend.counters.evicted_connections.increment();
             false
         }
         Wake::CloseIdle | Wake::TimedOut => connection.has_input(),
--- a/crates/frontend-http1/src/frontend.rs
+++ b/crates/frontend-http1/src/frontend.rs
@@ -119,7 +119,7 @@
 
     /// How many downstream connections the descriptor limit permits.
     pub(crate) fn max_connections(&self) -> usize {
-        self.connection_pool().descriptors.max_downstream()
+        self.connection_pool().descriptors.max_downstream_connections()
     }
 
     /// Whether each response closes its connection.
--- a/crates/node/src/descriptor_share.rs
+++ b/crates/node/src/descriptor_share.rs
@@ -54,7 +54,7 @@
 
     fn apply(&self) {
         let processes = 1 + self.other_processes.get();
-        self.engine.upstreams.pool.resize(self.node_limit.get() / processes);
+        self.engine.upstreams.pool.set_descriptor_limit(self.node_limit.get() / processes);
         self.frontend.evict_excess_connections();
     }
 }
