--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -6,7 +6,7 @@
 use crate::settings_file::{ClassEntry, LimitsEntry, RulesEntry, SettingsFile};
 use serde_json::Value;
 use sorrelhaven_dispatcher::{
-    Class, Idempotency, Limits, Micros, Penalties, ReportFields, Scope, Settings, SlowStartRules,
+    Class, DedupScope, Idempotency, Limits, Micros, Penalties, ReportFields, Settings, SlowStartRules,
 };
 
 /// A request class as the protocol names it.
@@ -88,11 +88,11 @@
             wasted_work: file.penalties.wasted_work,
             cross_zone: file.penalties.cross_zone,
         },
-        marks_retry: file.clients.marks_retry,
-        polls_discovery: file.discovery == "subscribe",
-        reports_start: file.service.reports_start,
+        clients_mark_retries: file.clients.marks_retry,
+        worker_list_needs_watch: file.discovery == "subscribe",
+        workers_report_start: file.service.reports_start,
         progress_interval: file.service.progress_interval,
-        tick: file.tick,
+        min_timer_delay: file.tick,
         weights_include_load: file.weights == "live",
         report_fields: report_fields(file),
     })
@@ -161,7 +161,7 @@
         objective_stretch: stretch.or(entry.objective_stretch).unwrap_or(0.0),
         deadline: entry.deadline,
         priority_weight: entry.priority_weight,
-        late_fraction: entry.late_fraction,
+        late_value_fraction: entry.late_fraction,
         worker_kind: kind.and_then(|kind| usize::try_from(kind).ok()),
     })
 }
@@ -177,11 +177,11 @@
     }
 }
 
-fn scope(text: &str) -> Result<Scope, ConfigError> {
+fn scope(text: &str) -> Result<DedupScope, ConfigError> {
     match text {
-        "all" => Ok(Scope::All),
-        "zone" => Ok(Scope::Zone),
-        "cell" => Ok(Scope::Cell),
+        "all" => Ok(DedupScope::All),
+        "zone" => Ok(DedupScope::Zone),
+        "cell" => Ok(DedupScope::Cell),
         other => Err(ConfigError::new("dedupScope", format!("unknown scope {other:?}"))),
     }
 }
@@ -211,7 +211,7 @@
 fn report_fields(file: &SettingsFile) -> ReportFields {
     let x0_is_free_slots = file.service.report_x0.contains("free slots");
     ReportFields {
-        util: file.load_report.field_index("cpu_share"),
+        cpu_utilization: file.load_report.field_index("cpu_share"),
         free_slots: file.load_report.field_index("x0").filter(|_| x0_is_free_slots),
     }
 }
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -1,7 +1,7 @@
 //! The platform's file: its defaults, what takes precedence, and the key that each error names.
 
 use sorrelhaven_config::{Config, settings_from};
-use sorrelhaven_dispatcher::{Idempotency, Scope};
+use sorrelhaven_dispatcher::{DedupScope, Idempotency};
 
 const SETTINGS: &str = r#"{"balancers":2,"me":1,"zones":["a","b"],"zone":1,"kinds":["k"],"new":{"x":[1]},
     "ceilings":{"maxAttempts":3,"maxRetryAfter":2000000},"invariants":{},
@@ -27,7 +27,10 @@
     assert_eq!((config.seed, config.max_descriptors, config.idle_timeout), (0x1f, 1024, 15_000_000));
     assert_eq!((config.drain_grace, config.implied_notice_delay), (1_000_000, 10_000_000));
     assert_eq!(config.settings.limits.max_retry_after, 0, "Retry-After is sent only if the settings say so");
-    assert_eq!(config.settings.classes[1].idempotency, Idempotency::Keyed { scope: Scope::Cell, window: 9 });
+    assert_eq!(
+        config.settings.classes[1].idempotency,
+        Idempotency::Keyed { scope: DedupScope::Cell, window: 9 }
+    );
     assert_eq!(config.classes.iter().map(|class| class.keyed).collect::<Vec<_>>(), [false, true]);
 }
 
--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -93,7 +93,7 @@
     /// actions.
     pub fn new(mut settings: Settings, seed: u64) -> Self {
         // Requests of a class out of range, which is an error of the host, get the strictest class.
-        settings.classes.push(Class { late_fraction: 1.0, ..Class::default() });
+        settings.classes.push(Class { late_value_fraction: 1.0, ..Class::default() });
         let classes = settings.classes.len();
         Dispatcher {
             rng: fastrand::Rng::with_seed(seed),
--- a/crates/dispatcher/src/dispatcher/attempt_timeout.rs
+++ b/crates/dispatcher/src/dispatcher/attempt_timeout.rs
@@ -58,7 +58,7 @@
         let context = self.context();
         let not_started = self.workers.get(id.worker).unstarted().any(|attempt| attempt.id == id);
         self.settings.limits.cancel
-            && self.settings.reports_start
+            && self.settings.workers_report_start
             && !request.is_withdrawn
             && context.class(request).idempotency != Idempotency::NotIdempotent
             && context.may_retry(request, now)
@@ -73,7 +73,7 @@
 
     /// Asks the host for a timer if the earliest time is not covered by the one that is set.
     pub(super) fn arm_next_timer(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        if let Some(delay) = self.timers.arm(now, self.settings.tick) {
+        if let Some(delay) = self.timers.arm(now, self.settings.min_timer_delay) {
             actions.push(Action::SetTimer { delay, token: ATTEMPT_TIMER });
         }
     }
--- a/crates/dispatcher/src/dispatcher/permission.rs
+++ b/crates/dispatcher/src/dispatcher/permission.rs
@@ -2,7 +2,7 @@
 
 use crate::dispatcher::context::DecisionContext;
 use crate::dispatcher::request::Request;
-use crate::interface::{Idempotency, Micros, Outcome, Scope, WorkerId};
+use crate::interface::{DedupScope, Idempotency, Micros, Outcome, WorkerId};
 
 impl DecisionContext<'_> {
     /// Returns whether a request may have a further attempt at any worker.
@@ -47,9 +47,9 @@
         let Some(first) = executed.or(request.outstanding.map(|attempt| attempt.worker)) else { return true };
         let (first, entry) = (&self.workers.get(first).entry, &self.workers.get(id).entry);
         match scope {
-            Scope::All => true,
-            Scope::Zone => first.zone == entry.zone,
-            Scope::Cell => first.cell == entry.cell,
+            DedupScope::All => true,
+            DedupScope::Zone => first.zone == entry.zone,
+            DedupScope::Cell => first.cell == entry.cell,
         }
     }
 }
--- a/crates/dispatcher/src/dispatcher/prediction.rs
+++ b/crates/dispatcher/src/dispatcher/prediction.rs
@@ -101,7 +101,7 @@
         if !worker.health.probe_pause_is_over(now) {
             return false;
         }
-        if !self.settings.reports_start {
+        if !self.settings.workers_report_start {
             return self.has_reported_room(worker);
         }
         let free = (self.workers.kind(worker).slots() - worker.running_slots()).max(1.0);
--- a/crates/dispatcher/src/dispatcher/requests.rs
+++ b/crates/dispatcher/src/dispatcher/requests.rs
@@ -4,7 +4,7 @@
 use crate::dispatcher::attempt::{Attempt, AttemptId, AttemptResult, START_GRACE};
 use crate::dispatcher::health::MAX_FAILURES;
 use crate::dispatcher::request::{FirstExecution, Request};
-use crate::interface::{Action, Arrival, Idempotency, Micros, Outcome, RequestId, Scope, WorkerId};
+use crate::interface::{Action, Arrival, DedupScope, Idempotency, Micros, Outcome, RequestId, WorkerId};
 
 /// The paper's β, relative to T_init. At least half of T_init remains with [`MAX_FAILURES`].
 const FAILURE_TIMEOUT_REDUCTION: f64 = 0.125;
@@ -42,7 +42,7 @@
             .saturating_add(spec.latency_objective)
             .saturating_add((spec.objective_stretch * size) as Micros)
             .min(arrival.deadline);
-        let useful_until = if spec.late_fraction > 0.0 { arrival.deadline } else { objective_until };
+        let useful_until = if spec.late_value_fraction > 0.0 { arrival.deadline } else { objective_until };
         Request {
             class,
             size,
@@ -62,7 +62,7 @@
     /// of its class.
     fn first_client_send(&mut self, now: Micros, arrival: &Arrival, class: usize) -> Micros {
         let patience = self.arrivals.record_patience(class, arrival.deadline.saturating_sub(now));
-        let is_first = self.settings.marks_retry && !arrival.is_retry;
+        let is_first = self.settings.clients_mark_retries && !arrival.is_retry;
         if is_first { now } else { now.min(arrival.deadline.saturating_sub(patience)) }
     }
 
@@ -152,7 +152,7 @@
         let Some(request) = self.requests.get(&id) else { return };
         let repeat_is_harmless = matches!(
             self.settings.classes[request.class].idempotency,
-            Idempotency::Idempotent | Idempotency::Keyed { scope: Scope::All, .. }
+            Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. }
         );
         let never_ran = request.outstanding.is_none() && request.first_execution.is_none();
         // A request that can't be repeated is rejected only if it never ran.
--- a/crates/dispatcher/src/dispatcher/worker_list.rs
+++ b/crates/dispatcher/src/dispatcher/worker_list.rs
@@ -24,7 +24,7 @@
             WorkerListUpdate::Cached(entries) => {
                 self.workers.remove_all();
                 self.apply_entries(entries);
-                if self.settings.polls_discovery {
+                if self.settings.worker_list_needs_watch {
                     actions.push(Action::WatchWorkerList);
                 } else {
                     self.discovery_retry.record_success();
--- a/crates/dispatcher/src/interface.rs
+++ b/crates/dispatcher/src/interface.rs
@@ -12,6 +12,8 @@
 pub use actions::Action;
 pub use events::{Arrival, Event, Outcome};
 pub use ids::{Micros, RequestId, WorkerId};
-pub use settings::{Class, Idempotency, Limits, Penalties, ReportFields, Scope, Settings, SlowStartRules};
+pub use settings::{
+    Class, DedupScope, Idempotency, Limits, Penalties, ReportFields, Settings, SlowStartRules,
+};
 pub use status::{WorkerCounts, WorkerStatus};
 pub use worker_list::{Lifecycle, WorkerEntry, WorkerListUpdate};
--- a/crates/dispatcher/src/interface/events.rs
+++ b/crates/dispatcher/src/interface/events.rs
@@ -71,7 +71,7 @@
         /// The worker.
         worker: WorkerId,
         /// The fraction done.
-        share: f64,
+        completed_fraction: f64,
     },
     /// An attempt ended.
     AttemptEnded {
--- a/crates/dispatcher/src/interface/settings.rs
+++ b/crates/dispatcher/src/interface/settings.rs
@@ -4,7 +4,7 @@
 
 /// The workers that recognise a keyed request as a repeat, and drop it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DedupScope {
     /// All workers.
     All,
     /// The workers in the zone of the worker that received the request first.
@@ -22,7 +22,7 @@
     /// send.
     Keyed {
         /// The workers that drop a repeat.
-        scope: Scope,
+        scope: DedupScope,
         /// How long they remember the key.
         window: Micros,
     },
@@ -45,7 +45,7 @@
     /// The value of one request, relative to those of other classes.
     pub priority_weight: f64,
     /// The fraction of its value that a late answer has.
-    pub late_fraction: f64,
+    pub late_value_fraction: f64,
     /// The one kind of worker that runs the class, if not all do.
     pub worker_kind: Option<usize>,
 }
@@ -95,7 +95,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ReportFields {
     /// The fraction of the CPU in use.
-    pub util: Option<usize>,
+    pub cpu_utilization: Option<usize>,
     /// The free slots.
     pub free_slots: Option<usize>,
 }
@@ -120,15 +120,15 @@
     /// What is deducted from the value of the requests served.
     pub penalties: Penalties,
     /// Clients mark their retries.
-    pub marks_retry: bool,
+    pub clients_mark_retries: bool,
     /// Changes of the worker list come only after [`crate::Action::WatchWorkerList`].
-    pub polls_discovery: bool,
+    pub worker_list_needs_watch: bool,
     /// Workers report when a job starts.
-    pub reports_start: bool,
+    pub workers_report_start: bool,
     /// The interval at which workers report the progress of a job; 0 if they do not.
     pub progress_interval: Micros,
     /// The least time between two events.
-    pub tick: Micros,
+    pub min_timer_delay: Micros,
     /// The weights in the worker list are lowered by the load that the workers had at some earlier time.
     pub weights_include_load: bool,
     /// What a load report contains.
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -17,7 +17,7 @@
 //!         objective_stretch: 2.0,
 //!         deadline: 5_000_000,
 //!         priority_weight: 1.0,
-//!         late_fraction: 0.0,
+//!         late_value_fraction: 0.0,
 //!         worker_kind: None,
 //!     }],
 //!     limits: Limits {
@@ -36,11 +36,11 @@
 //!         overload_window: 2_000_000,
 //!     },
 //!     penalties: Penalties::default(),
-//!     marks_retry: false,
-//!     polls_discovery: false,
-//!     reports_start: true,
+//!     clients_mark_retries: false,
+//!     worker_list_needs_watch: false,
+//!     workers_report_start: true,
 //!     progress_interval: 0,
-//!     tick: 1_000,
+//!     min_timer_delay: 1_000,
 //!     weights_include_load: false,
 //!     report_fields: ReportFields::default(),
 //! };
@@ -77,7 +77,7 @@
 
 pub use dispatcher::Dispatcher;
 pub use interface::{
-    Action, Arrival, Class, Event, Idempotency, Lifecycle, Limits, Micros, Outcome, Penalties, ReportFields,
-    RequestId, Scope, Settings, SlowStartRules, WorkerCounts, WorkerEntry, WorkerId, WorkerListUpdate,
+    Action, Arrival, Class, DedupScope, Event, Idempotency, Lifecycle, Limits, Micros, Outcome, Penalties,
+    ReportFields, RequestId, Settings, SlowStartRules, WorkerCounts, WorkerEntry, WorkerId, WorkerListUpdate,
     WorkerStatus,
 };
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -13,12 +13,12 @@
         objective_stretch: 2.5,
         deadline: 5 * SEC,
         priority_weight: 1.0,
-        late_fraction: 0.0,
+        late_value_fraction: 0.0,
         worker_kind: None,
     }
 }
 
-pub fn keyed(scope: Scope) -> Idempotency {
+pub fn keyed(scope: DedupScope) -> Idempotency {
     Idempotency::Keyed { scope, window: 3 * SEC }
 }
 
@@ -32,9 +32,9 @@
         classes: [
             Idempotency::Idempotent,
             Idempotency::NotIdempotent,
-            keyed(Scope::Zone),
-            keyed(Scope::All),
-            keyed(Scope::Cell),
+            keyed(DedupScope::Zone),
+            keyed(DedupScope::All),
+            keyed(DedupScope::Cell),
         ]
         .map(class)
         .to_vec(),
@@ -54,11 +54,11 @@
             overload_window: 2 * SEC,
         },
         penalties: Penalties::default(),
-        marks_retry: true,
-        polls_discovery: false,
-        reports_start: true,
+        clients_mark_retries: true,
+        worker_list_needs_watch: false,
+        workers_report_start: true,
         progress_interval: 0,
-        tick: MS,
+        min_timer_delay: MS,
         weights_include_load: false,
         report_fields: ReportFields::default(),
     }
--- a/crates/dispatcher/tests/mixed_classes.rs
+++ b/crates/dispatcher/tests/mixed_classes.rs
@@ -103,10 +103,11 @@
     classes[PAYMENT] = Class {
         latency_objective: 300 * MS,
         objective_stretch: 2.0,
-        late_fraction: 0.5,
+        late_value_fraction: 0.5,
         ..class(Idempotency::NotIdempotent)
     };
-    classes[HEAVY] = Class { latency_objective: 500 * MS, late_fraction: 0.2, ..class(keyed(Scope::Cell)) };
+    classes[HEAVY] =
+        Class { latency_objective: 500 * MS, late_value_fraction: 0.2, ..class(keyed(DedupScope::Cell)) };
     classes
 }
 
@@ -274,7 +275,7 @@
         let class = &classes()[job.class];
         let stretch = (class.objective_stretch * job.size as f64) as Micros;
         let is_in_time = now - job.arrived_at <= class.latency_objective + stretch;
-        let fraction = if is_in_time { 1.0 } else { class.late_fraction };
+        let fraction = if is_in_time { 1.0 } else { class.late_value_fraction };
         self.values.entry((job.class, job.arrived_at / SEC)).or_default().served +=
             fraction * job.size as f64;
     }
--- a/crates/dispatcher/tests/pending_and_timers.rs
+++ b/crates/dispatcher/tests/pending_and_timers.rs
@@ -25,7 +25,7 @@
 fn pending_job_that_is_late_goes_after_those_that_can_be_in_time() {
     for freed_at in [900 * MS, 320 * MS] {
         let mut settings = settings();
-        settings.classes[0].late_fraction = 0.5;
+        settings.classes[0].late_value_fraction = 0.5;
         let mut harness = DispatcherHarness::new(settings, 1);
         let (running, actions) = harness.arrive(0, 0, 100 * MS);
         let worker = sends(&actions).first().expect("it is sent").worker;
@@ -81,7 +81,7 @@
 #[test]
 fn failed_discovery_watch_is_renewed_with_backoff() {
     let mut settings = settings();
-    settings.polls_discovery = true;
+    settings.worker_list_needs_watch = true;
     let mut harness = DispatcherHarness::new(settings, 0);
     assert!(
         harness
--- a/crates/dispatcher/tests/unreported_starts.rs
+++ b/crates/dispatcher/tests/unreported_starts.rs
@@ -179,7 +179,7 @@
         objective_stretch: load.objective_stretch,
         deadline: load.patience,
         priority_weight: 1.0,
-        late_fraction: 0.3,
+        late_value_fraction: 0.3,
         worker_kind: None,
     };
     Settings {
@@ -191,11 +191,11 @@
             class(&CLASSES[ONCE], Idempotency::NotIdempotent),
         ],
         slow_start: slow_start_rules(),
-        reports_start: false,
-        marks_retry: false,
+        workers_report_start: false,
+        clients_mark_retries: false,
         weights_include_load: true,
         limits: Limits { cancel: false, ..settings().limits },
-        report_fields: ReportFields { util: Some(1), free_slots: Some(0) },
+        report_fields: ReportFields { cpu_utilization: Some(1), free_slots: Some(0) },
         ..settings()
     }
 }
@@ -605,7 +605,7 @@
 }
 
 fn settings_of_load_weights(instances: u32) -> Settings {
-    Settings { instances, reports_start: false, weights_include_load: true, ..settings() }
+    Settings { instances, workers_report_start: false, weights_include_load: true, ..settings() }
 }
 
 /// Ten workers, the first five of this weight, the others of weight 3.
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -197,5 +197,5 @@
 }
 
 fn discovery_mode(config: &Config) -> DiscoveryMode {
-    if config.settings.polls_discovery { DiscoveryMode::Poll } else { DiscoveryMode::Push }
+    if config.settings.worker_list_needs_watch { DiscoveryMode::Poll } else { DiscoveryMode::Push }
 }
--- a/crates/engine/src/request_task.rs
+++ b/crates/engine/src/request_task.rs
@@ -206,7 +206,12 @@
     /// The worker has done this share of the job.
     fn attempt_progress(&self, attempt: u32, share: f64) {
         if let Some(&RunningAttempt { worker, .. }) = self.attempts.get(&attempt) {
-            self.dispatch(Event::AttemptProgress { request: self.request.id, attempt, worker, share });
+            self.dispatch(Event::AttemptProgress {
+                request: self.request.id,
+                attempt,
+                worker,
+                completed_fraction: share,
+            });
         }
     }
 
--- a/crates/simulator/src/instance.rs
+++ b/crates/simulator/src/instance.rs
@@ -148,7 +148,9 @@
         let worker = self.workers.intern(worker);
         match kind {
             NOTICE_STARTED => Some(Event::AttemptStarted { request, attempt, worker }),
-            NOTICE_PROGRESS => Some(Event::AttemptProgress { request, attempt, worker, share: progress }),
+            NOTICE_PROGRESS => {
+                Some(Event::AttemptProgress { request, attempt, worker, completed_fraction: progress })
+            }
             _ => None,
         }
     }
