--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -208,5 +208,9 @@
 }
 
 fn discovery_mode(config: &Config) -> DiscoveryMode {
-    if config.settings.polls_discovery { DiscoveryMode::SharedService } else { DiscoveryMode::LocalAgent }
+    if config.settings.worker_list_needs_watch {
+        DiscoveryMode::SharedService
+    } else {
+        DiscoveryMode::LocalAgent
+    }
 }
