--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -1,8 +1,8 @@
 //! The configuration of a node, as a value.
 
-use crate::hosts::{DiscoveryList, SettingNames};
-use crate::operator::Operator;
-use crate::settings::ClassName;
+use crate::hosts::{DiscoveryList, ZoneAndKindNames};
+use crate::operator::OperatorSettings;
+use crate::settings::RequestClass;
 use serde_json::Value;
 use sorrelhaven_dispatcher::{Micros, Settings};
 use std::net::SocketAddr;
@@ -25,13 +25,13 @@
     /// The memory that the process may hold, in megabytes.
     pub memory_mb: u64,
     /// The operators' settings.
-    pub operator: Operator,
+    pub operator: OperatorSettings,
     /// The worker list as this node had it last.
     pub known_workers: DiscoveryList,
     /// The names of zones and kinds, in the settings' order.
-    pub names: SettingNames,
+    pub names: ZoneAndKindNames,
     /// The request classes, in the settings' order.
-    pub classes: Vec<ClassName>,
+    pub classes: Vec<RequestClass>,
     /// The tenants; empty if there are none.
     pub tenants: Vec<String>,
     /// A worker closes a connection that has been idle for this long.
@@ -42,7 +42,7 @@
     pub load_fields: Vec<String>,
     /// A node that polls discovery is assumed to know a change this long after it happened, whether it has
     /// polled or not; four times as long after a poll that failed.
-    pub implied_notice_delay: Micros,
+    pub max_list_staleness: Micros,
     /// The settings of the decision module.
     pub settings: Settings,
     /// The platform's file as it was written, for a reload to compare.
--- a/crates/config/src/hosts.rs
+++ b/crates/config/src/hosts.rs
@@ -20,7 +20,8 @@
 
 /// One worker.
 #[derive(Clone, Debug, Deserialize)]
-pub struct DiscoveryHost {
+#[serde(rename = "DiscoveryHost")]
+pub struct DiscoveryWorker {
     /// Its name, the same at every node.
     #[serde(rename = "host")]
     pub name: String,
@@ -61,12 +62,12 @@
     pub complete: bool,
     /// Its entries.
     #[serde(rename = "hosts")]
-    pub workers: Vec<DiscoveryHost>,
+    pub workers: Vec<DiscoveryWorker>,
 }
 
 /// The names of the settings whose indexes the decision module uses as numbers.
 #[derive(Clone, Debug, Default)]
-pub struct SettingNames {
+pub struct ZoneAndKindNames {
     /// The zones.
     pub zones: Vec<String>,
     /// The kinds of machine.
@@ -88,7 +89,7 @@
     ///
     /// # Errors
     /// The first entry that is not valid; the error names the key.
-    pub fn check(&self, names: &SettingNames) -> Result<(), ConfigError> {
+    pub fn check(&self, names: &ZoneAndKindNames) -> Result<(), ConfigError> {
         for (index, host) in self.workers.iter().enumerate() {
             host.entry(WorkerId(0), names).map_err(|error| error.within(&format!("hosts[{index}]")))?;
         }
@@ -96,12 +97,12 @@
     }
 }
 
-impl DiscoveryHost {
+impl DiscoveryWorker {
     /// The entry in the form that the decision module takes.
     ///
     /// # Errors
     /// A zone or a kind is not in the settings, or the address is missing; the error names the key.
-    pub fn entry(&self, worker: WorkerId, names: &SettingNames) -> Result<WorkerEntry, ConfigError> {
+    pub fn entry(&self, worker: WorkerId, names: &ZoneAndKindNames) -> Result<WorkerEntry, ConfigError> {
         if self.address.is_none() && !self.is_terminated() {
             return Err(ConfigError::new("dial", "missing"));
         }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
 //! Reads, checks and defaults all configuration of a node.
 //!
 //! A node reads its [`Config`] from the platform's file, the environment and the operators' file
-//! ([`Operator`]). The simulator reads only the settings of the decision module, which have the same form in
+//! ([`OperatorSettings`]). The simulator reads only the settings of the decision module, which have the same form in
 //! its messages. Every error names its key. Unknown keys are ignored in the platform's file, and are errors
 //! in the operators' file.
 //!
@@ -32,8 +32,8 @@
 pub use body_settings::{BodyFiles, BodyMemory, BodySettings, NotStoredPolicy};
 pub use config::Config;
 pub use error::{ConfigError, ConfigErrors};
-pub use hosts::{DiscoveryHost, DiscoveryList, SettingNames, WorkerHealth, stable_hash};
-pub use membership_settings::{Membership, Peers};
-pub use operator::Operator;
+pub use hosts::{DiscoveryList, DiscoveryWorker, WorkerHealth, ZoneAndKindNames, stable_hash};
+pub use membership_settings::{JoinParameters, MembershipSettings};
+pub use operator::OperatorSettings;
 pub use platform_file::listen_fd;
-pub use settings::{ClassName, settings_from};
+pub use settings::{RequestClass, settings_from_json};
--- a/crates/config/src/load.rs
+++ b/crates/config/src/load.rs
@@ -3,7 +3,7 @@
 
 use crate::config::Config;
 use crate::error::{ConfigError, ConfigErrors};
-use crate::operator::{OPERATOR_FILE, Operator};
+use crate::operator::{OPERATOR_FILE, OperatorSettings};
 use crate::platform_file;
 use serde_json::Value;
 
@@ -87,10 +87,13 @@
 
 /// The operators' settings, checked for a process that may hold `memory_mb` megabytes; the defaults if there
 /// is no file.
-fn read_operator(env: &impl Fn(&str) -> Option<String>, memory_mb: u64) -> Result<Operator, ConfigErrors> {
+fn read_operator(
+    env: &impl Fn(&str) -> Option<String>,
+    memory_mb: u64,
+) -> Result<OperatorSettings, ConfigErrors> {
     let operator = match env(OPERATOR_FILE) {
-        Some(path) => Operator::load(&path)?,
-        None => Operator::default(),
+        Some(path) => OperatorSettings::load(&path)?,
+        None => OperatorSettings::default(),
     };
     ConfigErrors::ok_if_empty(operator.check(memory_mb), || operator)
 }
--- a/crates/config/src/membership_settings.rs
+++ b/crates/config/src/membership_settings.rs
@@ -11,8 +11,8 @@
 
 /// The membership of the cluster's nodes, over UDP.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-#[serde(default, deny_unknown_fields)]
-pub struct Membership {
+#[serde(rename = "Membership", default, deny_unknown_fields)]
+pub struct MembershipSettings {
     /// The address with a port at which this node listens for others; `null`: membership is off.
     pub listen: Option<String>,
     /// The address at which others reach this node, if that is not `listen`.
@@ -36,9 +36,9 @@
     pub suspicion_ms: u64,
 }
 
-impl Default for Membership {
+impl Default for MembershipSettings {
     fn default() -> Self {
-        Membership {
+        MembershipSettings {
             listen: None,
             advertise: None,
             seeds: Vec::new(),
@@ -53,7 +53,7 @@
 
 /// The addresses and the key of membership, read and checked.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Peers {
+pub struct JoinParameters {
     /// The address at which this node listens.
     pub listen: SocketAddr,
     /// The address at which others reach it; `None` if that is `listen`.
@@ -72,12 +72,12 @@
     max: u64,
 }
 
-impl Membership {
+impl MembershipSettings {
     /// The addresses and the key; `None` if membership is off. Reads the key's file.
     ///
     /// # Errors
     /// The first error, which names its key.
-    pub fn peers(&self) -> Result<Option<Peers>, ConfigError> {
+    pub fn join_parameters(&self) -> Result<Option<JoinParameters>, ConfigError> {
         let Some(listen) = &self.listen else { return Ok(None) };
         let listen = parse_address("listen", listen)?;
         let advertise = match &self.advertise {
@@ -87,7 +87,7 @@
         let seeds = self.seeds.iter().enumerate();
         let seeds = seeds.map(|(index, seed)| parse_address(&format!("seeds[{index}]"), seed));
         let seeds = seeds.collect::<Result<Vec<_>, _>>()?;
-        Ok(Some(Peers { listen, advertise, seeds, key: self.read_key()? }))
+        Ok(Some(JoinParameters { listen, advertise, seeds, key: self.read_key()? }))
     }
 
     fn read_key(&self) -> Result<Vec<u8>, ConfigError> {
@@ -104,7 +104,7 @@
 
     /// All errors in the values.
     pub(crate) fn check(&self) -> Vec<ConfigError> {
-        let mut errors: Vec<ConfigError> = self.peers().err().into_iter().collect();
+        let mut errors: Vec<ConfigError> = self.join_parameters().err().into_iter().collect();
         errors.extend(self.allowed_ranges().iter().filter_map(AllowedRange::check));
         errors
     }
--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -2,7 +2,7 @@
 
 use crate::body_settings::BodySettings;
 use crate::error::{ConfigError, ConfigErrors};
-use crate::membership_settings::Membership;
+use crate::membership_settings::MembershipSettings;
 use crate::unknown_keys::remove_unknown_keys;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -13,38 +13,38 @@
 
 /// What the operators of an installation set.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-#[serde(default, deny_unknown_fields)]
-pub struct Operator {
+#[serde(rename = "Operator", default, deny_unknown_fields)]
+pub struct OperatorSettings {
     /// Where the bodies of requests are stored so that requests can be retried.
     pub bodies: BodySettings,
     /// The membership of the cluster's nodes, over UDP.
-    pub membership: Membership,
+    pub membership: MembershipSettings,
 }
 
-impl Operator {
+impl OperatorSettings {
     /// Reads the file at `path`.
     ///
     /// # Errors
     /// All errors of form, or one that names `SORRELHAVEN_OPERATOR` if the file can't be read or is not JSON.
-    pub fn load(path: &str) -> Result<Operator, ConfigErrors> {
+    pub fn load(path: &str) -> Result<OperatorSettings, ConfigErrors> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| ConfigError::new(OPERATOR_FILE, format!("cannot read {path}: {error}")))?;
-        Operator::parse(&text)
+        OperatorSettings::parse(&text)
     }
 
     /// Reads the text of a file. Each unknown key and each value of a wrong form is an error of its own.
     ///
     /// # Errors
     /// All of those.
-    pub fn parse(text: &str) -> Result<Operator, ConfigErrors> {
+    pub fn parse(text: &str) -> Result<OperatorSettings, ConfigErrors> {
         let mut written: Value =
             serde_json::from_str(text).map_err(|error| ConfigError::new(OPERATOR_FILE, error))?;
         let defaults =
-            serde_json::to_value(Operator::default()).map_err(|error| ConfigError::new("", error))?;
+            serde_json::to_value(OperatorSettings::default()).map_err(|error| ConfigError::new("", error))?;
         let mut errors = Vec::new();
         remove_unknown_keys("", &mut written, &defaults, &mut errors);
         loop {
-            let error = match serde_path_to_error::deserialize::<_, Operator>(&written) {
+            let error = match serde_path_to_error::deserialize::<_, OperatorSettings>(&written) {
                 Ok(operator) => return ConfigErrors::ok_if_empty(errors, || operator),
                 Err(error) => error,
             };
@@ -66,7 +66,7 @@
 
     /// The JSON Schema (2020-12) of the file.
     pub fn schema() -> String {
-        let schema = schemars::schema_for!(Operator);
+        let schema = schemars::schema_for!(OperatorSettings);
         // A schema is a tree of plain values, so it can always be written.
         serde_json::to_string_pretty(&schema).unwrap_or_default()
     }
--- a/crates/config/src/platform_file.rs
+++ b/crates/config/src/platform_file.rs
@@ -4,7 +4,7 @@
 use crate::deserialize::deserialize;
 use crate::error::{ConfigError, ConfigErrors, ErrorCollector};
 use crate::hosts::DiscoveryList;
-use crate::operator::Operator;
+use crate::operator::OperatorSettings;
 use crate::settings::NodeSettings;
 use crate::settings_file::SettingsFile;
 use serde::Deserialize;
@@ -110,14 +110,14 @@
         seed,
         max_descriptors: file.limits.sockets,
         memory_mb: file.limits.memory_mb,
-        operator: Operator::default(),
+        operator: OperatorSettings::default(),
         known_workers: known,
         names: settings.names,
         classes: settings.classes,
         tenants: settings.tenants,
         idle_timeout: settings.idle_timeout,
         drain_grace: settings.drain_grace,
-        implied_notice_delay: settings.implied_notice_delay,
+        max_list_staleness: settings.max_list_staleness,
         load_fields: settings.load_fields,
         settings: settings.settings,
         written,
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::deserialize::deserialize;
 use crate::error::ConfigError;
-use crate::hosts::SettingNames;
+use crate::hosts::ZoneAndKindNames;
 use crate::settings_file::{ClassEntry, LimitsEntry, RulesEntry, SettingsFile};
 use serde_json::Value;
 use sorrelhaven_dispatcher::{
@@ -11,21 +11,21 @@
 
 /// A request class as the protocol names it.
 #[derive(Clone, Debug)]
-pub struct ClassName {
+pub struct RequestClass {
     /// Its name in a request.
     pub name: String,
     /// Whether its requests carry an idempotency key.
-    pub keyed: bool,
+    pub requires_idempotency_key: bool,
 }
 
 /// What the settings mean to the decision module and to the rest of the node.
 pub(crate) struct NodeSettings {
-    pub(crate) names: SettingNames,
-    pub(crate) classes: Vec<ClassName>,
+    pub(crate) names: ZoneAndKindNames,
+    pub(crate) classes: Vec<RequestClass>,
     pub(crate) tenants: Vec<String>,
     pub(crate) idle_timeout: Micros,
     pub(crate) drain_grace: Micros,
-    pub(crate) implied_notice_delay: Micros,
+    pub(crate) max_list_staleness: Micros,
     pub(crate) load_fields: Vec<String>,
     pub(crate) settings: Settings,
 }
@@ -37,28 +37,28 @@
     /// The first error; its path begins at the object that holds `settings`.
     pub(crate) fn new(file: SettingsFile) -> Result<NodeSettings, ConfigError> {
         let settings = settings(&file).map_err(|error| error.within("settings"))?;
-        let classes = class_names(&file, &settings)?;
+        let classes = request_classes(&file, &settings)?;
         Ok(NodeSettings {
             classes,
             tenants: file.tenants.into_iter().map(|tenant| tenant.name).collect(),
             idle_timeout: file.limits.idle_timeout,
             drain_grace: file.rules.drain_grace,
-            implied_notice_delay: file.rules.implied_notice_delay,
+            max_list_staleness: file.rules.max_list_staleness,
             load_fields: file.load_report.fields_in_responses(),
-            names: SettingNames { zones: file.zones, kinds: file.worker_kinds },
+            names: ZoneAndKindNames { zones: file.zones, kinds: file.worker_kinds },
             settings,
         })
     }
 }
 
 /// The names of the classes, in the settings' order. A node needs them, and the simulator does not.
-fn class_names(file: &SettingsFile, settings: &Settings) -> Result<Vec<ClassName>, ConfigError> {
+fn request_classes(file: &SettingsFile, settings: &Settings) -> Result<Vec<RequestClass>, ConfigError> {
     if let Some(index) = file.classes.iter().position(|class| class.name.is_empty()) {
         return Err(ConfigError::new(format!("settings.grades[{index}].name"), "missing"));
     }
-    let name = |(entry, class): (&ClassEntry, &Class)| ClassName {
+    let name = |(entry, class): (&ClassEntry, &Class)| RequestClass {
         name: entry.name.clone(),
-        keyed: matches!(class.idempotency, Idempotency::Keyed { .. }),
+        requires_idempotency_key: matches!(class.idempotency, Idempotency::Keyed { .. }),
     };
     Ok(file.classes.iter().zip(&settings.classes).map(name).collect())
 }
@@ -67,7 +67,7 @@
 ///
 /// # Errors
 /// The first error; its path begins at `parent`.
-pub fn settings_from(parent: &str, value: Value) -> Result<Settings, ConfigError> {
+pub fn settings_from_json(parent: &str, value: Value) -> Result<Settings, ConfigError> {
     let file: SettingsFile = deserialize(parent, value)?;
     settings(&file).map_err(|error| error.within(parent))
 }
@@ -103,7 +103,7 @@
         ("ceilings.dialTimeout", file.limits.connect_timeout),
         ("ceilings.keepalive", file.limits.idle_timeout),
         ("ceilings.maxRetryAfter", file.limits.max_retry_after),
-        ("invariants.askWithin", file.rules.implied_notice_delay),
+        ("invariants.askWithin", file.rules.max_list_staleness),
         ("invariants.cold", file.rules.slow_start),
         ("invariants.drainGrace", file.rules.drain_grace),
         ("invariants.fall", file.rules.overload_window),
--- a/crates/config/src/settings_file.rs
+++ b/crates/config/src/settings_file.rs
@@ -6,7 +6,7 @@
 
 const DEFAULT_IDLE_TIMEOUT: Micros = 15_000_000;
 const DEFAULT_DRAIN_GRACE: Micros = 1_000_000;
-const DEFAULT_IMPLIED_NOTICE_DELAY: Micros = 10_000_000;
+const DEFAULT_MAX_LIST_STALENESS: Micros = 10_000_000;
 
 fn one() -> f64 {
     1.0
@@ -20,8 +20,8 @@
     DEFAULT_DRAIN_GRACE
 }
 
-fn default_implied_notice_delay() -> Micros {
-    DEFAULT_IMPLIED_NOTICE_DELAY
+fn default_max_list_staleness() -> Micros {
+    DEFAULT_MAX_LIST_STALENESS
 }
 
 /// The settings of one dispatcher.
@@ -127,8 +127,8 @@
 pub(crate) struct RulesEntry {
     #[serde(rename = "cold", default)]
     pub(crate) slow_start: Micros,
-    #[serde(rename = "askWithin", default = "default_implied_notice_delay")]
-    pub(crate) implied_notice_delay: Micros,
+    #[serde(rename = "askWithin", default = "default_max_list_staleness")]
+    pub(crate) max_list_staleness: Micros,
     #[serde(default = "default_drain_grace")]
     pub(crate) drain_grace: Micros,
     #[serde(rename = "fall", default)]
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -1,6 +1,6 @@
 //! The platform's file: its defaults, what takes precedence, and the key that each error names.
 
-use sorrelhaven_config::{Config, settings_from};
+use sorrelhaven_config::{Config, settings_from_json};
 use sorrelhaven_dispatcher::{Idempotency, Scope};
 
 const SETTINGS: &str = r#"{"balancers":2,"me":1,"zones":["a","b"],"zone":1,"kinds":["k"],"new":{"x":[1]},
@@ -25,10 +25,13 @@
 fn missing_keys_have_defaults_and_unknown_keys_are_ignored() {
     let config = Config::parse(&file(SETTINGS), |_| None).expect("a configuration");
     assert_eq!((config.seed, config.max_descriptors, config.idle_timeout), (0x1f, 1024, 15_000_000));
-    assert_eq!((config.drain_grace, config.implied_notice_delay), (1_000_000, 10_000_000));
+    assert_eq!((config.drain_grace, config.max_list_staleness), (1_000_000, 10_000_000));
     assert_eq!(config.settings.limits.max_retry_after, 0, "Retry-After is sent only if the settings say so");
     assert_eq!(config.settings.classes[1].idempotency, Idempotency::Keyed { scope: Scope::Cell, window: 9 });
-    assert_eq!(config.classes.iter().map(|class| class.keyed).collect::<Vec<_>>(), [false, true]);
+    assert_eq!(
+        config.classes.iter().map(|class| class.requires_idempotency_key).collect::<Vec<_>>(),
+        [false, true]
+    );
 }
 
 #[test]
@@ -116,6 +119,7 @@
 #[test]
 fn errors_in_the_simulators_settings_name_the_same_keys_below_its_own() {
     let settings = SETTINGS.replace("at_most_once", "often");
-    let error = settings_from("conf", serde_json::from_str(&settings).expect("JSON")).expect_err("an error");
+    let error =
+        settings_from_json("conf", serde_json::from_str(&settings).expect("JSON")).expect_err("an error");
     assert_eq!(error.to_string(), "conf.grades[0].effect: unknown effect \"often\"");
 }
--- a/crates/config/tests/operator.rs
+++ b/crates/config/tests/operator.rs
@@ -1,18 +1,18 @@
 //! The operators' file: its defaults, what contradicts itself, and the key that each error names.
 
-use sorrelhaven_config::{Config, ConfigErrors, NotStoredPolicy, Operator};
+use sorrelhaven_config::{Config, ConfigErrors, NotStoredPolicy, OperatorSettings};
 
 /// The errors of a file, for a process that may hold 64 MB.
 fn errors(text: &str) -> Vec<String> {
-    let checked =
-        Operator::parse(text).and_then(|operator| ConfigErrors::ok_if_empty(operator.check(64), || operator));
+    let checked = OperatorSettings::parse(text)
+        .and_then(|operator| ConfigErrors::ok_if_empty(operator.check(64), || operator));
     checked.err().into_iter().flatten().map(|error| error.to_string()).collect()
 }
 
 #[test]
 fn an_empty_file_has_every_default() {
-    let operator = Operator::parse("{}").expect("a file");
-    assert_eq!(operator, Operator::default());
+    let operator = OperatorSettings::parse("{}").expect("a file");
+    assert_eq!(operator, OperatorSettings::default());
     assert_eq!(
         (operator.bodies.largest_bytes, operator.bodies.not_stored),
         (65_536, NotStoredPolicy::Stream)
@@ -29,10 +29,14 @@
         std::fs::read_to_string(path).expect("a file of this repository")
     };
     let example = read("operator.example.json");
-    assert_eq!(Operator::parse(&example).expect("a file"), Operator::default());
+    assert_eq!(OperatorSettings::parse(&example).expect("a file"), OperatorSettings::default());
     let written: serde_json::Value = serde_json::from_str(&example).expect("JSON");
-    assert_eq!(written, serde_json::to_value(Operator::default()).expect("plain values"), "every key");
-    assert_eq!(read("operator.schema.json").trim(), Operator::schema().trim());
+    assert_eq!(
+        written,
+        serde_json::to_value(OperatorSettings::default()).expect("plain values"),
+        "every key"
+    );
+    assert_eq!(read("operator.schema.json").trim(), OperatorSettings::schema().trim());
 }
 
 #[test]
@@ -109,7 +113,7 @@
 /// key.
 #[test]
 fn membership_is_off_or_complete() {
-    assert_eq!(Operator::default().membership.peers(), Ok(None));
+    assert_eq!(OperatorSettings::default().membership.join_parameters(), Ok(None));
     let dir = std::env::temp_dir().join(format!("sorrelhaven-key-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a directory");
     let key = |name: &str, text: &str| {
@@ -133,8 +137,12 @@
     }
     let complete =
         format!(r#"{{"membership":{{"listen":"127.0.0.1:1","key_file":{good},"seeds":["127.0.0.1:2"]}}}}"#);
-    let peers =
-        Operator::parse(&complete).expect("a file").membership.peers().expect("complete").expect("on");
+    let peers = OperatorSettings::parse(&complete)
+        .expect("a file")
+        .membership
+        .join_parameters()
+        .expect("complete")
+        .expect("on");
     assert_eq!((peers.key.as_slice(), peers.seeds.len()), (b"sixteen bytes or more".as_slice(), 1));
     std::fs::remove_dir_all(&dir).expect("it was there");
 }
--- a/crates/engine/src/discovery_poll.rs
+++ b/crates/engine/src/discovery_poll.rs
@@ -66,8 +66,8 @@
         let exchange = async {
             connection.write(request.as_bytes()).await?;
             let head = connection.read_head(Head::parse_response).await?;
-            let lists = JsonObjectReader::new(head.body()?, MAX_LIST_BYTES);
-            Ok((head.start.clone(), lists))
+            let lists = JsonObjectReader::new(head.body_decoder()?, MAX_LIST_BYTES);
+            Ok((head.start_line.clone(), lists))
         };
         let response = timeout_at(deadline, exchange).await.ok_or(WatchError::NoResponse)?;
         let (start_line, lists) = response.map_err(WatchError::Unreadable)?;
--- a/crates/engine/src/discovery_watch.rs
+++ b/crates/engine/src/discovery_watch.rs
@@ -159,7 +159,7 @@
         let is_fetch = self.version.is_none();
         loop {
             match stream.next().await? {
-                JsonObjectEvent::Part => {}
+                JsonObjectEvent::Incomplete => {}
                 JsonObjectEvent::Object(text) => self.apply_list(&text, apply).await?,
                 JsonObjectEvent::End if is_fetch && self.version.is_some() => {
                     return Ok(stream.into_connection());
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -95,7 +95,7 @@
             counters,
             request_admission,
             probes,
-            backoff: Backoff::new(config.seed, config.drain_grace, config.implied_notice_delay),
+            backoff: Backoff::new(config.seed, config.drain_grace, config.max_list_staleness),
             discovery_mode: discovery_mode(config),
         })
     }
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -5,7 +5,7 @@
 use crate::invariants::RequestGuard;
 use sorrelhaven_body_store::RequestBody;
 use sorrelhaven_dispatcher::{Micros, WorkerId};
-use sorrelhaven_wire::PeerProbe;
+use sorrelhaven_wire::PeerCloseDetector;
 use std::cell::Cell;
 use std::fmt::Write;
 use std::rc::Rc;
@@ -31,7 +31,7 @@
     /// The permit of a long body, until the body is fully sent.
     pub body_permit: Option<BodyPermit>,
     /// Shows whether the client's connection has closed, also before its own task has noticed.
-    pub client_probe: Option<PeerProbe>,
+    pub client_probe: Option<PeerCloseDetector>,
     /// What is sent to the worker.
     pub payload: RequestPayload,
 }
@@ -79,7 +79,7 @@
     /// Whether the last byte of any of its attempts was written.
     pub fully_sent: Cell<bool>,
     /// Shows whether the client's connection has closed.
-    pub client_probe: Option<PeerProbe>,
+    pub client_probe: Option<PeerCloseDetector>,
     /// The run-time checks of its invariants.
     pub guard: RequestGuard,
 }
@@ -87,7 +87,7 @@
 impl RequestState {
     /// Whether the client's connection has closed before the answer, as the connection shows at this moment.
     pub fn client_gone(&self) -> bool {
-        !self.concluded.get() && self.client_probe.as_ref().is_some_and(PeerProbe::has_closed)
+        !self.concluded.get() && self.client_probe.as_ref().is_some_and(PeerCloseDetector::has_closed)
     }
 }
 
--- a/crates/engine/src/response_reader.rs
+++ b/crates/engine/src/response_reader.rs
@@ -74,9 +74,9 @@
     /// How the attempt ends where there is no valid head.
     pub async fn read_head(connection: &mut Connection) -> Result<ResponseReader, AttemptEnd> {
         let head = connection.read_head(Head::parse_response).await.map_err(AttemptEnd::unreadable)?;
-        let StartLine::Response { status } = head.start else { return Err(AttemptEnd::Malformed) };
+        let StartLine::Response { status } = head.start_line else { return Err(AttemptEnd::Malformed) };
         let is_rejection = matches!(status, 503 | 504) && head.get("Not-Started") == Some("1");
-        let body = head.body().map_err(AttemptEnd::unreadable)?;
+        let body = head.body_decoder().map_err(AttemptEnd::unreadable)?;
         Ok(ResponseReader {
             status,
             is_rejection,
--- a/crates/engine/src/tests/fixtures.rs
+++ b/crates/engine/src/tests/fixtures.rs
@@ -10,7 +10,7 @@
 use sorrelhaven_body_store::BodyEnd;
 use sorrelhaven_config::Config;
 use sorrelhaven_dispatcher::{Micros, WorkerId};
-use sorrelhaven_wire::PeerProbe;
+use sorrelhaven_wire::PeerCloseDetector;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -63,7 +63,7 @@
 }
 
 /// A job of the first class with this payload, whose client gives up at `deadline`.
-pub fn job(payload: RequestPayload, deadline: Micros, client_probe: Option<PeerProbe>) -> Job {
+pub fn job(payload: RequestPayload, deadline: Micros, client_probe: Option<PeerCloseDetector>) -> Job {
     Job {
         class: 0,
         deadline,
--- a/crates/engine/src/tests/overdue_request.rs
+++ b/crates/engine/src/tests/overdue_request.rs
@@ -22,7 +22,7 @@
     drop(client);
     let deadline = engine.dispatcher_loop.clock.now() + 200_000;
     let payload = fixtures::payload(&engine, "/api", b"body");
-    let job = fixtures::job(payload, deadline, Some(connection.peer_probe()));
+    let job = fixtures::job(payload, deadline, Some(connection.peer_close_detector()));
     let handle = engine.submit(job).expect("no other has its id");
     let limit = Instant::now() + Duration::from_secs(2);
     let answer = fixtures::run(&engine, timeout_at(limit, handle.answer()));
--- a/crates/engine/src/worker_registry.rs
+++ b/crates/engine/src/worker_registry.rs
@@ -1,7 +1,7 @@
 //! What discovery's lists say of the workers: their ids, addresses, and whether they accept work.
 
 use crate::start_times::StartTimes;
-use sorrelhaven_config::{ConfigError, DiscoveryHost, DiscoveryList, SettingNames};
+use sorrelhaven_config::{ConfigError, DiscoveryList, DiscoveryWorker, ZoneAndKindNames};
 use sorrelhaven_dispatcher::{Lifecycle, Micros, WorkerEntry, WorkerId};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -11,7 +11,7 @@
 
 /// All workers that any list has named.
 pub struct WorkerRegistry {
-    names: SettingNames,
+    names: ZoneAndKindNames,
     known: RefCell<KnownWorkers>,
 }
 
@@ -41,7 +41,7 @@
 
 impl WorkerRegistry {
     /// A registry without workers; `names` are the words of the settings for zones and kinds of machine.
-    pub fn new(names: SettingNames) -> WorkerRegistry {
+    pub fn new(names: ZoneAndKindNames) -> WorkerRegistry {
         WorkerRegistry { names, known: RefCell::default() }
     }
 
@@ -90,8 +90,8 @@
     /// Applies one entry of a list, and numbers its worker where it is new.
     fn apply_host(
         &mut self,
-        host: &DiscoveryHost,
-        names: &SettingNames,
+        host: &DiscoveryWorker,
+        names: &ZoneAndKindNames,
         now: Micros,
     ) -> Result<WorkerEntry, ConfigError> {
         let next_id = WorkerId(self.workers.len() as u32);
--- a/crates/frontend-http1/src/body_reader.rs
+++ b/crates/frontend-http1/src/body_reader.rs
@@ -3,7 +3,7 @@
 use crate::frontend::{Frontend, REQUEST_READ_TIMEOUT};
 use futures_lite::future::or;
 use sorrelhaven_body_store::{BLOCK_BYTES, BodyEnd, BodyWriter, StorageTier};
-use sorrelhaven_wire::{Body, Connection, WireError, timeout_at};
+use sorrelhaven_wire::{BodyDecoder, Connection, WireError, timeout_at};
 use std::time::{Duration, Instant};
 
 /// A body that is not stored is streamed to a worker once this much of it has arrived. Guards against clients
@@ -13,7 +13,7 @@
 /// A body that is being read.
 pub struct BodyReader {
     /// How the rest of the body is framed.
-    pub framing: Body,
+    pub framing: BodyDecoder,
     /// Receives the body.
     pub writer: BodyWriter,
     /// When the body's first byte could arrive. Moved back by the time for which the node itself delays the
@@ -87,7 +87,7 @@
     }
 
     async fn finish(self, connection: &mut Connection) {
-        connection.finish_exchange();
+        connection.shrink_buffer();
         self.writer.finish().await;
     }
 
--- a/crates/frontend-http1/src/connection.rs
+++ b/crates/frontend-http1/src/connection.rs
@@ -51,7 +51,7 @@
 ) -> Result<(), ConnectionEnded> {
     let Exchange { mut response, reusable, .. } = exchange;
     record_rejection(frontend, &response);
-    response.close |= !reusable || connection.is_overrun() || frontend.is_draining();
+    response.close |= !reusable || connection.has_discarded_input() || frontend.is_draining();
     let bytes = response.to_bytes();
     let write_deadline = Instant::now() + RESPONSE_WRITE_TIMEOUT;
     if timeout_at(write_deadline, connection.write(&bytes)).await != Some(Ok(())) {
@@ -95,7 +95,7 @@
     connection: &mut Connection,
     unused_deadline: Option<Instant>,
 ) -> bool {
-    if connection.buffered() > 0 {
+    if connection.buffered_len() > 0 {
         return true;
     }
     let connections = &frontend.connections;
--- a/crates/frontend-http1/src/exchange.rs
+++ b/crates/frontend-http1/src/exchange.rs
@@ -4,7 +4,7 @@
 use crate::job_exchange::IncomingJob;
 use crate::parsed_request::ParsedRequest;
 use crate::response::Response;
-use sorrelhaven_wire::{Body, Connection, MAX_BODY_BYTES, WireError};
+use sorrelhaven_wire::{BodyDecoder, Connection, MAX_BODY_BYTES, WireError};
 use std::time::Instant;
 
 /// The interim response to a client that waits before it sends its body.
@@ -72,10 +72,10 @@
 /// Reads past the body of a request that the front end answers itself.
 async fn discard_body(
     connection: &mut Connection,
-    body: Body,
+    body: BodyDecoder,
     expects_continue: bool,
 ) -> Result<(), WireError> {
-    if matches!(body, Body::Length(length) if length > MAX_BODY_BYTES) {
+    if matches!(body, BodyDecoder::Length(length) if length > MAX_BODY_BYTES) {
         return Err(WireError::BodyTooLarge);
     }
     if expects_continue {
--- a/crates/frontend-http1/src/frontend.rs
+++ b/crates/frontend-http1/src/frontend.rs
@@ -3,7 +3,7 @@
 use crate::counters::Counters;
 use crate::downstream::DownstreamConnections;
 use futures_lite::future::or;
-use sorrelhaven_config::{ClassName, Config};
+use sorrelhaven_config::{Config, RequestClass};
 use sorrelhaven_engine::{ConnectionPool, Engine, to_duration};
 use sorrelhaven_lifecycle::{Lifecycle, LifecycleHandle};
 use sorrelhaven_wire::timeout_at;
@@ -21,7 +21,7 @@
     /// Executes the jobs.
     pub(crate) engine: Rc<Engine>,
     /// The request classes, as the settings list them.
-    pub(crate) classes: Vec<ClassName>,
+    pub(crate) classes: Vec<RequestClass>,
     /// The tenants; empty where requests name none.
     pub(crate) tenants: Vec<String>,
     /// The counters.
--- a/crates/frontend-http1/src/job_exchange.rs
+++ b/crates/frontend-http1/src/job_exchange.rs
@@ -9,7 +9,7 @@
 use futures_lite::future::or;
 use sorrelhaven_body_store::{BLOCK_BYTES, BodyEnd, RequestBody};
 use sorrelhaven_engine::{BodyPermit, RequestHandle};
-use sorrelhaven_wire::{Body, Connection};
+use sorrelhaven_wire::{BodyDecoder, Connection};
 use std::time::Instant;
 
 /// A job whose body has not been read yet.
@@ -17,7 +17,7 @@
     /// The job without its body.
     pub draft: RequestDraft,
     /// How the body is framed.
-    pub framing: Body,
+    pub framing: BodyDecoder,
     /// The client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
     /// When the request's first byte could arrive.
@@ -75,7 +75,7 @@
         if let Some(answer_deadline) = frontend.answer_deadline(Instant::now()) {
             draft.limit_deadline(clock.micros(answer_deadline));
         }
-        let job = draft.into_job(body.clone(), true, permit, connection.peer_probe());
+        let job = draft.into_job(body.clone(), true, permit, connection.peer_close_detector());
         let Ok(request) = frontend.engine.submit(job) else {
             return Some(duplicate_request(unread.is_none()));
         };
@@ -110,9 +110,9 @@
 }
 
 /// The length that the client declares; `None` for a chunked body.
-fn declared_length(framing: Body) -> Option<u64> {
+fn declared_length(framing: BodyDecoder) -> Option<u64> {
     match framing {
-        Body::Length(length) => Some(length as u64),
+        BodyDecoder::Length(length) => Some(length as u64),
         _ => None,
     }
 }
@@ -208,7 +208,7 @@
     if !is_storage_failure(end) {
         return Response::from_body_end(end).map(Exchange::closing);
     }
-    let job = draft.into_job(body, false, None, connection.peer_probe());
+    let job = draft.into_job(body, false, None, connection.peer_close_detector());
     let Ok(request) = frontend.engine.submit(job) else {
         return Some(duplicate_request(false));
     };
--- a/crates/frontend-http1/src/parsed_request.rs
+++ b/crates/frontend-http1/src/parsed_request.rs
@@ -6,7 +6,7 @@
 use sorrelhaven_config::stable_hash;
 use sorrelhaven_dispatcher::Micros;
 use sorrelhaven_lifecycle::Lifecycle;
-use sorrelhaven_wire::{Body, Connection, Head, StartLine, WireError};
+use sorrelhaven_wire::{BodyDecoder, Connection, Head, StartLine, WireError};
 
 /// Subtracted from the client's timeout for the network's round trip: the answer must arrive before the
 /// client gives up.
@@ -25,7 +25,7 @@
     /// The job to be, or the response to everything that is no valid job.
     pub draft: Result<RequestDraft, Response>,
     /// How the body is framed.
-    pub body: Body,
+    pub body: BodyDecoder,
     /// The client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
     /// The client keeps the connection open for another request.
@@ -40,8 +40,8 @@
     pub async fn read(frontend: &Frontend, connection: &mut Connection) -> Result<ParsedRequest, WireError> {
         let head = connection.read_head(Head::parse_request).await?;
         let received_at = frontend.engine.dispatcher_loop.clock.now();
-        let body = head.body()?;
-        let has_body = body != Body::Length(0);
+        let body = head.body_decoder()?;
+        let has_body = body != BodyDecoder::Length(0);
         let expects_continue =
             has_body && head.get("Expect").is_some_and(|value| value.eq_ignore_ascii_case("100-continue"));
         Ok(ParsedRequest {
@@ -55,7 +55,7 @@
 
 /// Selects what answers a request by its path and method.
 fn route(frontend: &Frontend, head: &Head, received_at: Micros) -> Result<RequestDraft, Response> {
-    let StartLine::Request { method, target } = &head.start else {
+    let StartLine::Request { method, target } = &head.start_line else {
         return Err(Response::protocol_error(400, "not a request"));
     };
     let path = target.split('?').next().unwrap_or_default();
@@ -91,7 +91,7 @@
         let timeout = self.timeout()?;
         let work_hint = self.work_hint()?;
         let slots = self.slots()?;
-        if self.frontend.classes[class].keyed {
+        if self.frontend.classes[class].requires_idempotency_key {
             self.required("Idempotency-Key")?;
         }
         Ok(RequestDraft {
--- a/crates/frontend-http1/src/request_draft.rs
+++ b/crates/frontend-http1/src/request_draft.rs
@@ -4,7 +4,7 @@
 use sorrelhaven_body_store::RequestBody;
 use sorrelhaven_dispatcher::Micros;
 use sorrelhaven_engine::{BodyPermit, Job, RequestPayload};
-use sorrelhaven_wire::PeerProbe;
+use sorrelhaven_wire::PeerCloseDetector;
 use std::rc::Rc;
 
 /// A job without its body.
@@ -51,7 +51,7 @@
         body: RequestBody,
         body_sendable: bool,
         body_permit: Option<BodyPermit>,
-        client_probe: PeerProbe,
+        client_probe: PeerCloseDetector,
     ) -> Job {
         Job {
             class: self.class,
--- a/crates/frontend-http1/tests/downstream_connection.rs
+++ b/crates/frontend-http1/tests/downstream_connection.rs
@@ -83,7 +83,7 @@
     let mut found = Vec::new();
     while let Ok(Some(parsed)) = Head::parse_response(received) {
         let ParsedHead { head, length: head_length } = parsed;
-        let StartLine::Response { status } = head.start else { break };
+        let StartLine::Response { status } = head.start_line else { break };
         let length: usize =
             head.get("Content-Length").and_then(|length| length.parse().ok()).expect("a length");
         received = &received[head_length + length..];
--- a/crates/node/src/cluster_member.rs
+++ b/crates/node/src/cluster_member.rs
@@ -25,7 +25,7 @@
     /// A setting of membership is at fault, or its address cannot be bound.
     pub fn start(config: &Config) -> Result<Option<ClusterMember>, StartError> {
         let options = &config.operator.membership;
-        let Some(peers) = options.peers().map_err(StartError::Config)? else { return Ok(None) };
+        let Some(peers) = options.join_parameters().map_err(StartError::Config)? else { return Ok(None) };
         let socket = Async::<UdpSocket>::bind(peers.listen)
             .map_err(|error| StartError::MembershipListen { address: peers.listen, error })?;
         let listen = socket.get_ref().local_addr().unwrap_or(peers.listen);
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -20,7 +20,7 @@
 use cli::{Cli, Command, Common};
 use client_listener::ClientListener;
 use environment::Environment;
-use sorrelhaven_config::{Config, Operator};
+use sorrelhaven_config::{Config, OperatorSettings};
 use start::StartOptions;
 use start_error::StartError;
 use std::net::TcpListener;
@@ -47,7 +47,7 @@
 }
 
 fn print_schema() -> ExitCode {
-    println!("{}", Operator::schema());
+    println!("{}", OperatorSettings::schema());
     ExitCode::SUCCESS
 }
 
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -3,7 +3,7 @@
 use crate::error::BatchError;
 use crate::instance::Instance;
 use crate::wire::{Batch, Command, CommandGroup, Message, MessageGroup, Reply, WorkerRow};
-use sorrelhaven_config::{settings_from, stable_hash};
+use sorrelhaven_config::{settings_from_json, stable_hash};
 use sorrelhaven_dispatcher::{Lifecycle, Micros, WorkerEntry, WorkerId};
 use std::collections::HashMap;
 
@@ -60,7 +60,7 @@
     ) -> Result<(), BatchError> {
         match message {
             Message::CreateInstance { seed, settings } => {
-                let settings = settings_from("conf", settings).map_err(BatchError::InvalidSettings)?;
+                let settings = settings_from_json("conf", settings).map_err(BatchError::InvalidSettings)?;
                 self.instances.insert(name.to_string(), Instance::new(settings, seed));
                 Ok(())
             }
--- a/crates/wire/src/body.rs
+++ b/crates/wire/src/body.rs
@@ -7,7 +7,7 @@
 
 /// The state of decoding a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Body {
+pub enum BodyDecoder {
     /// This many bytes follow.
     Length(usize),
     /// Everything until the connection closes follows.
@@ -24,7 +24,7 @@
     Done,
 }
 
-impl Body {
+impl BodyDecoder {
     /// Appends the content that `input` holds to `out`, and returns how many bytes of `input` were consumed.
     /// A line that is incomplete at the end of `input` is not consumed.
     ///
@@ -33,8 +33,8 @@
     pub fn decode(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, WireError> {
         let mut used = 0;
         loop {
-            if matches!(self, Body::Done | Body::Length(0)) {
-                *self = Body::Done;
+            if matches!(self, BodyDecoder::Done | BodyDecoder::Length(0)) {
+                *self = BodyDecoder::Done;
                 return Ok(used);
             }
             let rest = &input[used..];
@@ -52,35 +52,39 @@
     /// its line is incomplete.
     fn decode_part(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<Option<usize>, WireError> {
         match *self {
-            Body::Done => Ok(None),
-            Body::Length(remaining) => {
+            BodyDecoder::Done => Ok(None),
+            BodyDecoder::Length(remaining) => {
                 let length = copy_content(input, remaining, out);
-                *self = Body::Length(remaining - length);
+                *self = BodyDecoder::Length(remaining - length);
                 Ok(Some(length))
             }
-            Body::UntilClosed => {
+            BodyDecoder::UntilClosed => {
                 out.extend_from_slice(input);
                 Ok(Some(input.len()))
             }
-            Body::ChunkSize => self.decode_chunk_size(input),
-            Body::Chunk(remaining) => {
+            BodyDecoder::ChunkSize => self.decode_chunk_size(input),
+            BodyDecoder::Chunk(remaining) => {
                 let length = copy_content(input, remaining, out);
-                *self = if length == remaining { Body::ChunkEnd } else { Body::Chunk(remaining - length) };
+                *self = if length == remaining {
+                    BodyDecoder::ChunkEnd
+                } else {
+                    BodyDecoder::Chunk(remaining - length)
+                };
                 Ok(Some(length))
             }
-            Body::ChunkEnd => self.decode_chunk_end(input),
-            Body::Trailer => self.decode_trailer_line(input),
+            BodyDecoder::ChunkEnd => self.decode_chunk_end(input),
+            BodyDecoder::Trailer => self.decode_trailer_line(input),
         }
     }
 
     fn decode_chunk_size(&mut self, input: &[u8]) -> Result<Option<usize>, WireError> {
         match httparse::parse_chunk_size(input) {
             Ok(httparse::Status::Complete((length, 0))) => {
-                *self = Body::Trailer;
+                *self = BodyDecoder::Trailer;
                 Ok(Some(length))
             }
             Ok(httparse::Status::Complete((length, size))) => {
-                *self = Body::Chunk(usize::try_from(size).map_err(|_| WireError::BodyTooLarge)?);
+                *self = BodyDecoder::Chunk(usize::try_from(size).map_err(|_| WireError::BodyTooLarge)?);
                 Ok(Some(length))
             }
             Ok(httparse::Status::Partial) if input.len() < MAX_CHUNK_LINE_BYTES => Ok(None),
@@ -91,7 +95,7 @@
     fn decode_chunk_end(&mut self, input: &[u8]) -> Result<Option<usize>, WireError> {
         match input {
             [b'\r', b'\n', ..] => {
-                *self = Body::ChunkSize;
+                *self = BodyDecoder::ChunkSize;
                 Ok(Some(2))
             }
             [b'\r'] => Ok(None),
@@ -104,7 +108,7 @@
         match input.iter().position(|&byte| byte == b'\n') {
             Some(end) => {
                 if matches!(&input[..end], [] | [b'\r']) {
-                    *self = Body::Done;
+                    *self = BodyDecoder::Done;
                 }
                 Ok(Some(end + 1))
             }
--- a/crates/wire/src/connect.rs
+++ b/crates/wire/src/connect.rs
@@ -1,7 +1,7 @@
 //! Opens connections, and registers sockets with the event loop.
 
 use crate::errno::SocketCall;
-use crate::retry::retry_while_short;
+use crate::retry::retry_on_shortage;
 use async_io::Async;
 use rustix::io::Errno;
 use rustix::net::{AddressFamily, SocketFlags, SocketType, ipproto};
@@ -14,7 +14,7 @@
 const SHORTAGE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A socket that is registered with the event loop. The stream is shared with
-/// [`PeerProbe`](crate::PeerProbe), which observes the connection beside its reader.
+/// [`PeerCloseDetector`](crate::PeerCloseDetector), which observes the connection beside its reader.
 pub(crate) type Socket = Async<Arc<TcpStream>>;
 
 /// Connects to `address`. A shortage of this machine is retried for [`SHORTAGE_TIMEOUT`].
@@ -22,7 +22,7 @@
 /// # Errors
 /// The error of the last attempt; `classify` with [`SocketCall::Connect`] shows whether the peer is at fault.
 pub(crate) async fn connect(address: SocketAddr) -> io::Result<Socket> {
-    retry_while_short(SocketCall::Connect, SHORTAGE_TIMEOUT, async || connect_once(address).await).await
+    retry_on_shortage(SocketCall::Connect, SHORTAGE_TIMEOUT, async || connect_once(address).await).await
 }
 
 async fn connect_once(address: SocketAddr) -> io::Result<Socket> {
@@ -51,5 +51,5 @@
     stream.set_nonblocking(true)?;
     let stream = Arc::new(stream);
     let register_once = async || Async::new_nonblocking(stream.clone());
-    retry_while_short(SocketCall::Transfer, SHORTAGE_TIMEOUT, register_once).await
+    retry_on_shortage(SocketCall::Transfer, SHORTAGE_TIMEOUT, register_once).await
 }
--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -1,11 +1,11 @@
 //! A connection with its input buffer, which is bounded.
 
-use crate::body::Body;
+use crate::body::BodyDecoder;
 use crate::connect::{Socket, connect, register};
 use crate::errno::{SocketCall, SocketFailure, classify};
 use crate::error::WireError;
 use crate::head::{Head, MAX_HEAD_BYTES, ParseResult};
-use crate::peer_probe::PeerProbe;
+use crate::peer_close_detector::PeerCloseDetector;
 use crate::retry::shortage_pause;
 use async_io::Timer;
 use futures_lite::future::yield_now;
@@ -44,7 +44,7 @@
 pub struct Connection {
     socket: Socket,
     buffer: Vec<u8>,
-    overrun: bool,
+    discarded_input: bool,
 }
 
 impl Connection {
@@ -68,22 +68,22 @@
     /// latency.
     fn new(socket: Socket) -> Connection {
         let _ = socket.get_ref().set_nodelay(true);
-        Connection { socket, buffer: Vec::new(), overrun: false }
+        Connection { socket, buffer: Vec::new(), discarded_input: false }
     }
 
     /// A probe for the peer's close.
-    pub fn peer_probe(&self) -> PeerProbe {
-        PeerProbe::new(self.socket.get_ref().clone())
+    pub fn peer_close_detector(&self) -> PeerCloseDetector {
+        PeerCloseDetector::new(self.socket.get_ref().clone())
     }
 
     /// Whether input behind a request was discarded: what arrives next cannot be distinguished from the
     /// middle of a request.
-    pub fn is_overrun(&self) -> bool {
-        self.overrun
+    pub fn has_discarded_input(&self) -> bool {
+        self.discarded_input
     }
 
     /// How many bytes have arrived and were not consumed.
-    pub fn buffered(&self) -> usize {
+    pub fn buffered_len(&self) -> usize {
         self.buffer.len()
     }
 
@@ -204,12 +204,12 @@
 impl Connection {
     /// Waits until the peer, which waits for an answer, has closed the connection. Input that arrives
     /// meanwhile is buffered up to a limit; more is discarded, and the connection is
-    /// [overrun](Connection::is_overrun).
+    /// [overrun](Connection::has_discarded_input).
     pub async fn read_ahead_until_closed(&mut self) {
         while self.fill().await.is_ok() {
             if self.buffer.len() > MAX_READ_AHEAD_BYTES {
                 self.buffer.truncate(MAX_READ_AHEAD_BYTES);
-                self.overrun = true;
+                self.discarded_input = true;
             }
             // A peer that sends at full speed must not starve the others.
             yield_now().await;
@@ -230,7 +230,7 @@
     /// Waits until the peer has closed the connection, even where input is unread. Unread input keeps the
     /// socket readable, so readiness does not announce the close, and it is polled for.
     pub async fn peer_closed(&self) {
-        let probe = self.peer_probe();
+        let probe = self.peer_close_detector();
         while !probe.has_closed() {
             Timer::after(PEER_CLOSE_POLL_INTERVAL).await;
         }
@@ -297,7 +297,11 @@
     ///
     /// # Errors
     /// The body's framing is malformed, or the connection ended before it was complete.
-    pub async fn read_body_chunk(&mut self, body: &mut Body, out: &mut Vec<u8>) -> Result<bool, WireError> {
+    pub async fn read_body_chunk(
+        &mut self,
+        body: &mut BodyDecoder,
+        out: &mut Vec<u8>,
+    ) -> Result<bool, WireError> {
         loop {
             let length_before = out.len();
             let used = body.decode(&self.buffer, out)?;
@@ -305,11 +309,11 @@
             if out.len() > length_before {
                 return Ok(true);
             }
-            if *body == Body::Done {
+            if *body == BodyDecoder::Done {
                 return Ok(false);
             }
             match self.fill_with_body().await {
-                Err(WireError::Closed) if *body == Body::UntilClosed => *body = Body::Done,
+                Err(WireError::Closed) if *body == BodyDecoder::UntilClosed => *body = BodyDecoder::Done,
                 filled => filled?,
             }
             // A peer that sends framing without content must not starve the others.
@@ -321,8 +325,8 @@
     ///
     /// # Errors
     /// The body is too large or malformed, or the connection ended before it was complete.
-    pub async fn read_body(&mut self, mut body: Body) -> Result<Vec<u8>, WireError> {
-        if matches!(body, Body::Length(length) if length > MAX_BODY_BYTES) {
+    pub async fn read_body(&mut self, mut body: BodyDecoder) -> Result<Vec<u8>, WireError> {
+        if matches!(body, BodyDecoder::Length(length) if length > MAX_BODY_BYTES) {
             return Err(WireError::BodyTooLarge);
         }
         let mut out = Vec::new();
@@ -331,12 +335,12 @@
                 return Err(WireError::BodyTooLarge);
             }
         }
-        self.finish_exchange();
+        self.shrink_buffer();
         Ok(out)
     }
 
     /// Releases the memory that a large message has left in the buffer.
-    pub fn finish_exchange(&mut self) {
+    pub fn shrink_buffer(&mut self) {
         self.buffer.shrink_to(MAX_HEAD_BYTES);
     }
 }
--- a/crates/wire/src/head.rs
+++ b/crates/wire/src/head.rs
@@ -1,6 +1,6 @@
 //! Message heads: the start line and the header fields.
 
-use crate::body::Body;
+use crate::body::BodyDecoder;
 use crate::error::WireError;
 
 /// The largest head.
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug)]
 pub struct Head {
     /// Its start line.
-    pub start: StartLine,
+    pub start_line: StartLine,
     headers: Vec<Header>,
     minor_version: u8,
 }
@@ -72,12 +72,12 @@
         let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut fields);
         let status = request.parse(bytes);
-        let start = StartLine::Request {
+        let start_line = StartLine::Request {
             method: request.method.unwrap_or_default().to_string(),
             target: request.path.unwrap_or_default().to_string(),
         };
         let minor_version = request.version.unwrap_or(1);
-        Head::finish(bytes, status, start, minor_version, request.headers)
+        Head::finish(bytes, status, start_line, minor_version, request.headers)
     }
 
     /// Parses a response's head at the beginning of `bytes`; `None` while it is incomplete.
@@ -88,22 +88,22 @@
         let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut fields);
         let status = response.parse(bytes);
-        let start = StartLine::Response { status: response.code.unwrap_or_default() };
+        let start_line = StartLine::Response { status: response.code.unwrap_or_default() };
         let minor_version = response.version.unwrap_or(1);
-        Head::finish(bytes, status, start, minor_version, response.headers)
+        Head::finish(bytes, status, start_line, minor_version, response.headers)
     }
 
     fn finish(
         bytes: &[u8],
         status: httparse::Result<usize>,
-        start: StartLine,
+        start_line: StartLine,
         minor_version: u8,
         fields: &[httparse::Header<'_>],
     ) -> ParseResult {
         match status {
             Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => {
                 let headers = fields.iter().map(Header::new).collect();
-                Ok(Some(ParsedHead { head: Head { start, headers, minor_version }, length }))
+                Ok(Some(ParsedHead { head: Head { start_line, headers, minor_version }, length }))
             }
             Ok(httparse::Status::Partial) if bytes.len() < MAX_HEAD_BYTES => Ok(None),
             Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(WireError::HeadTooLarge),
@@ -150,7 +150,7 @@
     /// `Malformed` where the framing is ambiguous, since two recipients might split such a message
     /// differently, which permits request smuggling. `BodyTooLarge` where the length exceeds the address
     /// space.
-    pub fn body(&self) -> Result<Body, WireError> {
+    pub fn body_decoder(&self) -> Result<BodyDecoder, WireError> {
         let mut lengths = self.all("Content-Length");
         let mut codings = self.all("Transfer-Encoding");
         match (lengths.next(), codings.next()) {
@@ -164,7 +164,7 @@
             (None, Some(coding)) => {
                 let is_chunked = coding.eq_ignore_ascii_case("chunked") && codings.next().is_none();
                 if is_chunked && self.minor_version >= 1 {
-                    Ok(Body::ChunkSize)
+                    Ok(BodyDecoder::ChunkSize)
                 } else {
                     Err(WireError::Malformed)
                 }
@@ -174,20 +174,20 @@
     }
 
     /// The body of a message that has neither a length nor a transfer coding.
-    fn body_without_framing(&self) -> Body {
-        match self.start {
+    fn body_without_framing(&self) -> BodyDecoder {
+        match self.start_line {
             StartLine::Request { .. } | StartLine::Response { status: 100..=199 | 204 | 304 } => {
-                Body::Length(0)
+                BodyDecoder::Length(0)
             }
-            StartLine::Response { .. } => Body::UntilClosed,
+            StartLine::Response { .. } => BodyDecoder::UntilClosed,
         }
     }
 }
 
 /// Parses a `Content-Length`: decimal digits only, without the sign that `parse` would accept.
-fn parse_length(text: &str) -> Result<Body, WireError> {
+fn parse_length(text: &str) -> Result<BodyDecoder, WireError> {
     if text.is_empty() || !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(WireError::Malformed);
     }
-    text.parse().map(Body::Length).map_err(|_| WireError::BodyTooLarge)
+    text.parse().map(BodyDecoder::Length).map_err(|_| WireError::BodyTooLarge)
 }
--- a/crates/wire/src/json_objects.rs
+++ b/crates/wire/src/json_objects.rs
@@ -1,6 +1,6 @@
 //! Reads a body as a sequence of JSON objects, each on one line or on several.
 
-use crate::body::Body;
+use crate::body::BodyDecoder;
 use crate::connection::Connection;
 use crate::error::WireError;
 
@@ -13,14 +13,14 @@
     /// An object, without the white space between its tokens.
     Object(Vec<u8>),
     /// Input that completes no object: a blank line, or a part of an object.
-    Part,
+    Incomplete,
     /// The end of the body, outside of an object.
     End,
 }
 
 /// Reads a body as a sequence of JSON objects.
 pub struct JsonObjectReader {
-    body: Body,
+    body: BodyDecoder,
     input: Vec<u8>,
     /// How many bytes of `input` were consumed.
     used: usize,
@@ -29,7 +29,7 @@
 
 impl JsonObjectReader {
     /// A reader of objects of at most `max_object_bytes` each, without the white space between their tokens.
-    pub fn new(body: Body, max_object_bytes: usize) -> JsonObjectReader {
+    pub fn new(body: BodyDecoder, max_object_bytes: usize) -> JsonObjectReader {
         let splitter = JsonObjectSplitter::new(max_object_bytes);
         JsonObjectReader { body, input: Vec::new(), used: 0, splitter }
     }
@@ -56,7 +56,7 @@
                 return Ok(JsonObjectEvent::Object(object));
             }
         }
-        Ok(JsonObjectEvent::Part)
+        Ok(JsonObjectEvent::Incomplete)
     }
 
     /// Replaces the consumed input; false at the end of the body.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,17 +1,17 @@
 //! HTTP/1.1 over bounded buffers: heads, bodies and lines, for both sides of a connection; and deadlines.
 //!
-//! The parsers ([`Head`], [`Body`]) do no I/O; [`Connection`] feeds them from a socket. What a peer did wrong
+//! The parsers ([`Head`], [`BodyDecoder`]) do no I/O; [`Connection`] feeds them from a socket. What a peer did wrong
 //! is reported as a [`WireError`]. The syntax follows RFC 9110 and RFC 9112, the limits the platform's
 //! protocol.
 //!
 //! ```
-//! use sorrelhaven_wire::{Body, Head};
+//! use sorrelhaven_wire::{BodyDecoder, Head};
 //!
 //! let text = b"POST /api HTTP/1.1\r\nContent-Length: 4\r\n\r\nbody";
 //! let parsed = Head::parse_request(text)?.expect("a complete head");
-//! let (mut body, mut out) = (parsed.head.body()?, Vec::new());
+//! let (mut body, mut out) = (parsed.head.body_decoder()?, Vec::new());
 //! body.decode(&text[parsed.length..], &mut out)?;
-//! assert_eq!((body, out.as_slice()), (Body::Done, b"body".as_slice()));
+//! assert_eq!((body, out.as_slice()), (BodyDecoder::Done, b"body".as_slice()));
 //! # Ok::<(), sorrelhaven_wire::WireError>(())
 //! ```
 
@@ -24,10 +24,10 @@
 mod head;
 mod json_objects;
 mod lines;
-mod peer_probe;
+mod peer_close_detector;
 mod retry;
 
-pub use body::Body;
+pub use body::BodyDecoder;
 pub use connection::{Connection, MAX_BODY_BYTES};
 pub use deadline::timeout_at;
 pub use errno::{SocketCall, SocketFailure, classify};
@@ -35,5 +35,5 @@
 pub use head::{Head, MAX_HEAD_BYTES, ParseResult, ParsedHead, StartLine};
 pub use json_objects::{JsonObjectEvent, JsonObjectReader};
 pub use lines::LineReader;
-pub use peer_probe::PeerProbe;
+pub use peer_close_detector::PeerCloseDetector;
 pub use retry::{RetryDecision, retry_decision, shortage_pause};
--- a/crates/wire/src/lines.rs
+++ b/crates/wire/src/lines.rs
@@ -1,19 +1,19 @@
 //! Reads a body line by line.
 
-use crate::body::Body;
+use crate::body::BodyDecoder;
 use crate::connection::Connection;
 use crate::error::WireError;
 
 /// Reads a body line by line.
 pub struct LineReader {
-    body: Body,
+    body: BodyDecoder,
     text: Vec<u8>,
     max_line_bytes: usize,
 }
 
 impl LineReader {
     /// A reader of lines of at most `max_line_bytes`.
-    pub fn new(body: Body, max_line_bytes: usize) -> LineReader {
+    pub fn new(body: BodyDecoder, max_line_bytes: usize) -> LineReader {
         LineReader { body, text: Vec::new(), max_line_bytes }
     }
 
--- a/crates/wire/src/peer_probe.rs
+++ b/crates/wire/src/peer_close_detector.rs
@@ -10,13 +10,13 @@
 
 /// Detects whether the peer of a connection has closed it.
 #[derive(Clone)]
-pub struct PeerProbe {
+pub struct PeerCloseDetector {
     stream: Arc<TcpStream>,
 }
 
-impl PeerProbe {
-    pub(crate) fn new(stream: Arc<TcpStream>) -> PeerProbe {
-        PeerProbe { stream }
+impl PeerCloseDetector {
+    pub(crate) fn new(stream: Arc<TcpStream>) -> PeerCloseDetector {
+        PeerCloseDetector { stream }
     }
 
     /// Whether the peer has closed, half-closed or reset the connection, even where input before that is
--- a/crates/wire/src/retry.rs
+++ b/crates/wire/src/retry.rs
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 /// The error of the last repetition.
-pub(crate) async fn retry_while_short<T>(
+pub(crate) async fn retry_on_shortage<T>(
     call: SocketCall,
     timeout: Duration,
     mut operation: impl AsyncFnMut() -> io::Result<T>,
--- a/crates/wire/tests/framing.rs
+++ b/crates/wire/tests/framing.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use sorrelhaven_test_support::check_cases;
-use sorrelhaven_wire::{Body, Head, WireError};
+use sorrelhaven_wire::{BodyDecoder, Head, WireError};
 
 /// A body decodes the same however the network splits it, and consumes nothing of what follows it.
 #[test]
@@ -16,13 +16,13 @@
             wire.extend_from_slice(b"\r\n");
         }
         wire.extend_from_slice(b"0\r\nX: y\r\n\r\nNEXT");
-        let (mut body, mut out, mut buffer) = (Body::ChunkSize, Vec::new(), Vec::new());
+        let (mut body, mut out, mut buffer) = (BodyDecoder::ChunkSize, Vec::new(), Vec::new());
         for piece in wire.chunks(piece_bytes) {
             buffer.extend_from_slice(piece);
             let used = body.decode(&buffer, &mut out).expect("a valid body");
             buffer.drain(..used);
         }
-        prop_assert_eq!(body, Body::Done);
+        prop_assert_eq!(body, BodyDecoder::Done);
         prop_assert_eq!(out, chunks.concat());
         prop_assert_eq!(buffer, b"NEXT".to_vec());
         Ok(())
@@ -41,7 +41,13 @@
     check_cases(512, prop::collection::vec(bytes, 0..12), |pieces| {
         let bytes = pieces.concat();
         let _ = (Head::parse_request(&bytes), Head::parse_response(&bytes));
-        for mut body in [Body::ChunkSize, Body::Chunk(3), Body::ChunkEnd, Body::Trailer, Body::Length(5)] {
+        for mut body in [
+            BodyDecoder::ChunkSize,
+            BodyDecoder::Chunk(3),
+            BodyDecoder::ChunkEnd,
+            BodyDecoder::Trailer,
+            BodyDecoder::Length(5),
+        ] {
             let used = body.decode(&bytes, &mut Vec::new());
             prop_assert!(used.is_err() || used.is_ok_and(|length| length <= bytes.len()));
         }
@@ -62,6 +68,6 @@
     ] {
         let head = format!("POST /api HTTP/1.1\r\n{lengths}\r\n\r\n");
         let parsed = Head::parse_request(head.as_bytes()).expect("a head").expect("all of it");
-        assert_eq!(parsed.head.body().err(), Some(WireError::Malformed), "{lengths}");
+        assert_eq!(parsed.head.body_decoder().err(), Some(WireError::Malformed), "{lengths}");
     }
 }
