--- a/crates/engine/src/backoff.rs
+++ b/crates/engine/src/backoff.rs
@@ -37,14 +37,14 @@
     /// Starts with the shortest bound; equal seeds draw equal delays.
     ///
     /// `drain_grace`: how long after the notice of a drain requests may still be sent to the worker.
-    /// `implied_notice_delay`: what discovery published so long ago counts as known to the node, and four
+    /// `max_list_staleness`: what discovery published so long ago counts as known to the node, and four
     /// times that after a failed poll. A delay takes half of the latter at most, and leaves the rest to the
     /// poll.
-    pub fn new(seed: u64, drain_grace: Micros, implied_notice_delay: Micros) -> Backoff {
+    pub fn new(seed: u64, drain_grace: Micros, max_list_staleness: Micros) -> Backoff {
         Backoff {
             rng: fastrand::Rng::with_seed(seed),
             bound: INITIAL_BOUND,
-            max_bound: to_duration(implied_notice_delay).saturating_mul(2).clamp(INITIAL_BOUND, MAX_BOUND),
+            max_bound: to_duration(max_list_staleness).saturating_mul(2).clamp(INITIAL_BOUND, MAX_BOUND),
             drain_grace: to_duration(drain_grace).clamp(MIN_DRAIN_GRACE, MAX_DRAIN_GRACE),
         }
     }
