--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -121,7 +121,7 @@
         );
         self.route(now, event, actions);
         if may_free_room {
-            self.place_pending(now, actions);
+            self.send_pending(now, actions);
         }
         self.arm_next_timer(now, actions);
     }
@@ -159,7 +159,7 @@
                 }
             }
             Event::BodyConsumed(id) => self.update_request(id, |request| request.body_consumed = true),
-            Event::ClientDisconnected(id) => self.forget(id, actions),
+            Event::ClientDisconnected(id) => self.remove_request(id, actions),
             Event::Timer(DISCOVERY_TIMER) => actions.push(Action::WatchWorkerList),
             Event::Timer(_) => self.on_timer(now, actions),
         }
@@ -203,7 +203,7 @@
         if !worker.is_ready() {
             return WorkerStatus::Draining;
         }
-        if !context.is_healthy(id) || !worker.health.probe_pause_is_over(now) {
+        if !context.is_healthy(id) || !worker.health.probe_backoff_elapsed(now) {
             return WorkerStatus::Ejected;
         }
         let mut listed_classes = 0..self.settings.classes.len() - 1;
--- a/crates/dispatcher/src/dispatcher/affinity.rs
+++ b/crates/dispatcher/src/dispatcher/affinity.rs
@@ -53,7 +53,7 @@
     }
 
     /// Returns the share of this key in the recent arrivals, not counting the latest one.
-    fn share_of(&self, key: u64) -> f64 {
+    fn key_share(&self, key: u64) -> f64 {
         let others = self.recent_keys.iter().filter(|&&recent| recent == key).count().saturating_sub(1);
         others as f64 / self.recent_keys.len().max(MIN_SHARE_ARRIVALS) as f64
     }
@@ -71,9 +71,9 @@
             return Vec::new();
         };
         let key = request.affinity_key;
-        let share = self.affinity.share_of(key);
-        let zone_workers = share_of_zone(share, self.workers.excess_zone_groups());
-        let set_size = zone_workers.ceil().max(1.0) as usize;
+        let share = self.affinity.key_share(key);
+        let target_size = workers_for_share(share, self.workers.groups_above_small_zone());
+        let set_size = target_size.ceil().max(1.0) as usize;
         let order = self.affinity.order(key, set_size);
         if order.is_new {
             for &worker in order.workers {
@@ -82,11 +82,11 @@
         }
         let order = order.workers.to_vec();
         let limit = limit_choices(set_size, self.workers.ready().len());
-        let fits = |&worker: &WorkerId| self.fits_affinity_set(request, worker, now);
-        order.into_iter().filter(fits).take(limit).collect()
+        let is_eligible = |&worker: &WorkerId| self.is_eligible_member(request, worker, now);
+        order.into_iter().filter(is_eligible).take(limit).collect()
     }
 
-    fn fits_affinity_set(&self, request: &Request, worker: WorkerId, now: Micros) -> bool {
+    fn is_eligible_member(&self, request: &Request, worker: WorkerId, now: Micros) -> bool {
         let context = self.context();
         context.is_healthy(worker)
             && context.accepts_class(worker, request.class, now)
@@ -96,6 +96,6 @@
 }
 
 /// Returns the number of workers over which a key with this share of the load is spread; 0 in a small zone.
-fn share_of_zone(share: f64, excess_zone_groups: f64) -> f64 {
-    SET_SIZE_FACTOR * share * excess_zone_groups * ZONE_GROUP_WORKERS
+fn workers_for_share(share: f64, groups_above_small_zone: f64) -> f64 {
+    SET_SIZE_FACTOR * share * groups_above_small_zone * ZONE_GROUP_WORKERS
 }
--- a/crates/dispatcher/src/dispatcher/attempt.rs
+++ b/crates/dispatcher/src/dispatcher/attempt.rs
@@ -26,7 +26,7 @@
     /// When it was sent; for a long body, when the last byte was sent.
     pub(super) sent_at: Micros,
     /// An answer after this time has no value.
-    pub(super) useful_until: Micros,
+    pub(super) value_deadline: Micros,
     pub(super) started_at: Option<Micros>,
 }
 
--- a/crates/dispatcher/src/dispatcher/attempt_timeout.rs
+++ b/crates/dispatcher/src/dispatcher/attempt_timeout.rs
@@ -15,7 +15,7 @@
             // An outstanding attempt is answered by its own timeout, which comes soon after the deadline.
             Some(_) if now >= request.deadline => {}
             Some(attempt) => self.check_attempt(now, attempt, actions),
-            None if now >= request.deadline => self.give_up(id, actions),
+            None if now >= request.deadline => self.reject_or_fail(id, actions),
             None => self.check_pending(now, id, actions),
         }
     }
@@ -23,7 +23,7 @@
     fn check_pending(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let latest_start = self.latest_start(id);
         if now >= latest_start {
-            self.give_up(id, actions);
+            self.reject_or_fail(id, actions);
         } else {
             self.timers.schedule(id, latest_start);
         }
@@ -32,42 +32,42 @@
     /// Withdraws an attempt that has not started in time, if the request may be retried at another worker.
     /// A worker that has shown life since the send is only slow, and the attempt stays there.
     fn check_attempt(&mut self, now: Micros, id: AttemptId, actions: &mut Vec<Action>) {
-        if !self.may_withdraw(now, id) {
+        if !self.may_cancel_for_retry(now, id) {
             return;
         }
         let Some(request) = self.requests.get(&id.request) else { return };
-        let useful_until = request.useful_until;
-        if now >= useful_until {
-            return self.give_up(id.request, actions);
+        let value_deadline = request.value_deadline;
+        if now >= value_deadline {
+            return self.reject_or_fail(id.request, actions);
         }
         let worker = self.workers.get(id.worker);
         let Some(attempt) = worker.unstarted().find(|attempt| attempt.id == id) else { return };
-        let is_alive = worker.health.has_shown_life_since(attempt.sent_at);
-        let other = if is_alive { None } else { self.choose_worker(id.request, now) };
+        let is_active = worker.health.was_active_after(attempt.sent_at);
+        let other = if is_active { None } else { self.choose_worker(id.request, now) };
         if other.is_some_and(|other| other != id.worker) && self.retry_budget.try_spend() {
-            self.withdraw(id, actions);
+            self.cancel_for_retry(id, actions);
         } else {
-            let recheck_at = (now + RECHECK_INTERVAL).min(useful_until).max(now + 1);
+            let recheck_at = (now + RECHECK_INTERVAL).min(value_deadline).max(now + 1);
             self.timers.schedule(id.request, recheck_at);
         }
     }
 
     /// Returns whether an attempt may be withdrawn so that its request can be sent elsewhere.
-    fn may_withdraw(&self, now: Micros, id: AttemptId) -> bool {
+    fn may_cancel_for_retry(&self, now: Micros, id: AttemptId) -> bool {
         let Some(request) = self.requests.get(&id.request) else { return false };
         let context = self.context();
         let not_started = self.workers.get(id.worker).unstarted().any(|attempt| attempt.id == id);
         self.settings.limits.cancel
             && self.settings.workers_report_start
-            && !request.is_withdrawn
+            && !request.cancel_requested
             && context.class(request).idempotency != Idempotency::NotIdempotent
-            && context.may_retry(request, now)
+            && context.may_start_attempt(request, now)
             && not_started
     }
 
-    fn withdraw(&mut self, id: AttemptId, actions: &mut Vec<Action>) {
+    fn cancel_for_retry(&mut self, id: AttemptId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id.request) else { return };
-        request.is_withdrawn = true;
+        request.cancel_requested = true;
         actions.push(Action::Cancel { request: id.request, attempt: id.number });
     }
 
--- a/crates/dispatcher/src/dispatcher/capacity.rs
+++ b/crates/dispatcher/src/dispatcher/capacity.rs
@@ -61,12 +61,12 @@
         id: WorkerId,
         class: usize,
         capacity: f64,
-        is_full: bool,
+        at_full_capacity: bool,
     ) {
         if let Some(observed) = workers.get_mut(id).capacity.observed.get_mut(class) {
             observed.add(capacity, HISTORY_OBSERVATIONS);
         }
-        if is_full {
+        if at_full_capacity {
             self.all_workers.add(capacity, ALL_WORKERS_HISTORY_FACTOR * HISTORY_OBSERVATIONS);
             workers.kind_mut(id).capacity.add(capacity, KIND_HISTORY_FACTOR * HISTORY_OBSERVATIONS);
         }
@@ -77,7 +77,7 @@
     pub(super) fn estimate(&self, workers: &mut WorkerTable, id: WorkerId) {
         let worker = workers.get(id);
         let relative_weight =
-            workers.rated_weight(worker) * workers.ready().len() as f64 / workers.total_weight();
+            workers.unloaded_weight(worker) * workers.ready().len() as f64 / workers.total_weight();
         let weight_factor = relative_weight.sqrt().clamp(MIN_WEIGHT_FACTOR, MAX_WEIGHT_FACTOR);
         let by_weight = self.all_workers.mean(1.0) * weight_factor;
         let by_kind = workers.kind(worker).capacity.mean(by_weight);
--- a/crates/dispatcher/src/dispatcher/context.rs
+++ b/crates/dispatcher/src/dispatcher/context.rs
@@ -41,11 +41,11 @@
 
     /// Returns a worker's weight at present. A worker in another zone counts less the larger the own zone
     /// is.
-    pub(super) fn present_weight(&self, id: WorkerId, now: Micros) -> f64 {
+    pub(super) fn effective_weight(&self, id: WorkerId, now: Micros) -> f64 {
         let worker = self.workers.get(id);
         let same_zone = worker.entry.zone == self.settings.zone;
         let divisor = if same_zone { 1.0 } else { self.workers.zone_groups() };
-        self.workers.rated_weight(worker).max(MIN_WEIGHT) * self.capacity_fraction(worker, now) / divisor
+        self.workers.unloaded_weight(worker).max(MIN_WEIGHT) * self.capacity_fraction(worker, now) / divisor
     }
 
     /// Returns whether a worker has failed no more often than the median worker.
--- a/crates/dispatcher/src/dispatcher/decayed_wait.rs
+++ b/crates/dispatcher/src/dispatcher/decayed_wait.rs
@@ -20,7 +20,7 @@
     }
 
     /// Returns the present wait, which fades from the measured one to the expected one.
-    pub(super) fn at(&self, now: Micros, expected: f64) -> f64 {
+    pub(super) fn estimate_at(&self, now: Micros, expected: f64) -> f64 {
         expected + (self.wait - expected) * self.weight(now)
     }
 
--- a/crates/dispatcher/src/dispatcher/discovery_retry.rs
+++ b/crates/dispatcher/src/dispatcher/discovery_retry.rs
@@ -3,7 +3,7 @@
 use crate::interface::Micros;
 
 /// The pause after the first failure.
-const INITIAL_PAUSE: Micros = 250_000;
+const INITIAL_DELAY: Micros = 250_000;
 /// The pause doubles with each failure, up to this number of times.
 const MAX_DOUBLINGS: u32 = 4;
 
@@ -15,11 +15,11 @@
 
 impl DiscoveryRetry {
     /// Records a failure, and returns the pause before the next request.
-    pub(super) fn next_pause(&mut self, rng: &mut fastrand::Rng) -> Micros {
-        let pause = INITIAL_PAUSE << self.failures.min(MAX_DOUBLINGS);
-        let jitter = rng.i64(0..pause / 2 + 1);
+    pub(super) fn next_delay(&mut self, rng: &mut fastrand::Rng) -> Micros {
+        let delay = INITIAL_DELAY << self.failures.min(MAX_DOUBLINGS);
+        let jitter = rng.i64(0..delay / 2 + 1);
         self.failures += 1;
-        pause + jitter
+        delay + jitter
     }
 
     /// Resets the backoff.
--- a/crates/dispatcher/src/dispatcher/health.rs
+++ b/crates/dispatcher/src/dispatcher/health.rs
@@ -6,9 +6,9 @@
 /// Upper bound of the failures that count against a worker, so that it recovers quickly from a long outage.
 pub(super) const MAX_FAILURES: u32 = 4;
 /// The pause before a failed worker gets a half-open probe; it doubles with each further failure.
-const PROBE_INTERVAL: Micros = 250_000;
+const BASE_BACKOFF: Micros = 250_000;
 /// Further doublings of that pause after a rejection that loses the job, since it may have run.
-const LOSSY_REJECTION_DOUBLINGS: u32 = 3;
+const UNRETRYABLE_REJECTION_DOUBLINGS: u32 = 3;
 
 /// The recent rejections of one class by one worker.
 #[derive(Clone, Copy, Default)]
@@ -25,7 +25,7 @@
     failures: u32,
     /// When a failed worker may get a half-open probe.
     probe_at: Micros,
-    last_sign_of_life: Micros,
+    last_activity: Micros,
     /// By class.
     rejections: Vec<RejectionBackoff>,
 }
@@ -48,18 +48,18 @@
     }
 
     /// Returns whether the pause after the last failure is over.
-    pub(super) fn probe_pause_is_over(&self, now: Micros) -> bool {
+    pub(super) fn probe_backoff_elapsed(&self, now: Micros) -> bool {
         now >= self.probe_at
     }
 
     /// Returns whether the worker has shown a sign of life after this time.
-    pub(super) fn has_shown_life_since(&self, time: Micros) -> bool {
-        self.last_sign_of_life > time
+    pub(super) fn was_active_after(&self, time: Micros) -> bool {
+        self.last_activity > time
     }
 
     /// Records a sign of life.
-    pub(super) fn record_sign_of_life(&mut self, now: Micros) {
-        self.last_sign_of_life = now;
+    pub(super) fn record_activity(&mut self, now: Micros) {
+        self.last_activity = now;
     }
 
     /// Returns whether the worker has not rejected this class recently.
@@ -68,14 +68,14 @@
     }
 
     /// Returns whether the worker has rejected any class recently.
-    pub(super) fn has_rejected(&self, now: Micros) -> bool {
+    pub(super) fn has_recent_rejection(&self, now: Micros) -> bool {
         self.rejections.iter().any(|backoff| backoff.until > now)
     }
 
     /// Records that a job was served. Returns true if that clears earlier failures, which a late answer
     /// does not.
     pub(super) fn record_success(&mut self, class: usize, now: Micros, in_time: bool) -> bool {
-        self.record_sign_of_life(now);
+        self.record_activity(now);
         if let Some(backoff) = self.rejections.get_mut(class) {
             backoff.rejections = backoff.rejections.saturating_sub(1);
         }
@@ -83,18 +83,18 @@
     }
 
     /// Records a rejection of this class; other classes may still be accepted.
-    pub(super) fn record_rejection(&mut self, class: usize, now: Micros, lost_the_job: bool) {
+    pub(super) fn record_rejection(&mut self, class: usize, now: Micros, is_unretryable: bool) {
         if let Some(backoff) = self.rejections.get_mut(class) {
             let rejections = backoff.rejections + 1;
-            let doublings = rejections + LOSSY_REJECTION_DOUBLINGS * u32::from(lost_the_job);
+            let doublings = rejections + UNRETRYABLE_REJECTION_DOUBLINGS * u32::from(is_unretryable);
             backoff.rejections = rejections.min(MAX_FAILURES);
-            backoff.until = now + (PROBE_INTERVAL << doublings);
+            backoff.until = now + (BASE_BACKOFF << doublings);
         }
     }
 
-    fn record_failure(&mut self, now: Micros, common_failures: u32) {
+    fn record_failure(&mut self, now: Micros, median_failures: u32) {
         self.failures = (self.failures + 1).min(MAX_FAILURES);
-        self.probe_at = now + (PROBE_INTERVAL << self.failures.saturating_sub(common_failures));
+        self.probe_at = now + (BASE_BACKOFF << self.failures.saturating_sub(median_failures));
     }
 }
 
@@ -103,19 +103,19 @@
 #[derive(Default)]
 pub(super) struct HealthTracker {
     /// The number of failures of the median worker.
-    common_failures: u32,
+    median_failures: u32,
 }
 
 impl HealthTracker {
     /// Recomputes the failures of the median worker from those of each worker in use.
-    pub(super) fn update_common_failures(&mut self, mut failures: Vec<u32>) {
+    pub(super) fn update_median_failures(&mut self, mut failures: Vec<u32>) {
         failures.sort_unstable();
-        self.common_failures = failures.get(failures.len() / 2).copied().unwrap_or(0);
+        self.median_failures = failures.get(failures.len() / 2).copied().unwrap_or(0);
     }
 
     /// Returns the failures of a worker beyond those of the median worker.
     pub(super) fn excess_failures(&self, worker: &Worker) -> u32 {
-        worker.health.failures().saturating_sub(self.common_failures)
+        worker.health.failures().saturating_sub(self.median_failures)
     }
 
     /// Returns whether a worker has failed no more often than the median worker.
@@ -125,6 +125,6 @@
 
     /// Records a failure of a worker.
     pub(super) fn record_failure(&self, worker: &mut Worker, now: Micros) {
-        worker.health.record_failure(now, self.common_failures);
+        worker.health.record_failure(now, self.median_failures);
     }
 }
--- a/crates/dispatcher/src/dispatcher/observations.rs
+++ b/crates/dispatcher/src/dispatcher/observations.rs
@@ -6,7 +6,7 @@
 use crate::interface::{Idempotency, Micros, Outcome, WorkerId};
 
 /// Upper bound of the capacity that one job can show, relative to the present estimate.
-const MAX_CAPACITY_JUMP: f64 = 4.0;
+const MAX_CAPACITY_RATIO: f64 = 4.0;
 /// Load reports with more free slots than this are ignored.
 const MAX_REPORTED_SLOTS: f64 = 1024.0;
 
@@ -14,7 +14,7 @@
     /// Handles the notice that a worker has started a job.
     pub(super) fn on_attempt_started(&mut self, now: Micros, id: AttemptId) {
         let worker = self.workers.get_mut(id.worker);
-        worker.health.record_sign_of_life(now);
+        worker.health.record_activity(now);
         let Some(attempt) = worker.attempt_mut(id) else { return };
         if attempt.started_at.is_none() {
             attempt.started_at = Some(now);
@@ -46,13 +46,13 @@
         elapsed: Micros,
     ) {
         let id = attempt.id.worker;
-        match WorkerEvidence::of(self.workers.get(id), attempt, outcome, now) {
-            WorkerEvidence::Neutral => {}
+        match WorkerEvidence::from_outcome(self.workers.get(id), attempt, outcome, now) {
+            WorkerEvidence::Inconclusive => {}
             WorkerEvidence::Served => self.record_served(now, attempt, elapsed),
             WorkerEvidence::Queueing => {
-                self.workers.get_mut(id).raise_wait(attempt.class, now, attempt.waited(now));
+                self.workers.get_mut(id).raise_wait_to(attempt.class, now, attempt.waited(now));
             }
-            WorkerEvidence::Full => self.record_rejection(now, attempt),
+            WorkerEvidence::QueueFull => self.record_rejection(now, attempt),
             WorkerEvidence::Failed => self.record_failure(now, attempt, outcome),
         }
     }
@@ -64,9 +64,9 @@
         let worker = self.workers.get(id);
         let fraction = self.context().capacity_fraction(worker, now);
         let estimate = worker.capacity.of_class(attempt.class);
-        let limit = if fraction < 1.0 { estimate } else { MAX_CAPACITY_JUMP * estimate };
+        let limit = if fraction < 1.0 { estimate } else { MAX_CAPACITY_RATIO * estimate };
         let capacity = (attempt.size / elapsed.max(1) as f64 / fraction).min(limit);
-        let in_time = now <= attempt.useful_until;
+        let in_time = now <= attempt.value_deadline;
         if self.workers.get_mut(id).health.record_success(attempt.class, now, in_time) {
             self.subset.invalidate_members();
         }
@@ -77,12 +77,12 @@
     /// A full queue is assumed to be longer than the job could have waited, however fast the rejection was.
     fn record_rejection(&mut self, now: Micros, attempt: &Attempt) {
         let idempotency = self.settings.classes[attempt.class].idempotency;
-        let lost_the_job =
+        let is_unretryable =
             self.settings.limits.rejection_may_have_run && idempotency == Idempotency::NotIdempotent;
-        let longest_wait = attempt.useful_until.saturating_sub(now) as f64;
+        let longest_wait = attempt.value_deadline.saturating_sub(now) as f64;
         let worker = self.workers.get_mut(attempt.id.worker);
-        worker.raise_wait(attempt.class, now, longest_wait);
-        worker.health.record_rejection(attempt.class, now, lost_the_job);
+        worker.raise_wait_to(attempt.class, now, longest_wait);
+        worker.health.record_rejection(attempt.class, now, is_unretryable);
         self.subset.invalidate_members();
     }
 
@@ -91,7 +91,7 @@
         // Where many dispatchers share a worker, each sees few starts, and none of the jobs that did not
         // start.
         let timed_out_in_queue = outcome == Outcome::Timeout && attempt.started_at.is_none();
-        if timed_out_in_queue && self.workers.excess_zone_groups() > 0.0 {
+        if timed_out_in_queue && self.workers.groups_above_small_zone() > 0.0 {
             self.record_wait(now, id, attempt.class, attempt.waited(now));
         }
         self.subset.invalidate_members();
--- a/crates/dispatcher/src/dispatcher/pending.rs
+++ b/crates/dispatcher/src/dispatcher/pending.rs
@@ -5,15 +5,15 @@
 use crate::interface::{Action, Micros, RequestId};
 
 /// The search stops after this number of requests that find no worker, since the next ones rarely find one.
-const MAX_FAILED_PLACEMENTS: usize = 3;
+const MAX_REQUESTS_WITHOUT_WORKER: usize = 3;
 
 impl Dispatcher {
     /// Queues a request, with a margin for the error of its work hint.
     pub(super) fn enqueue(&mut self, now: Micros, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let start_by = self.latest_start(id);
-        let hint_margin = (MAX_HINT_ERROR - 1.0) * (request.useful_until - start_by) as f64;
-        let margin = request.useful_until - request.objective_until + hint_margin as Micros;
+        let hint_margin = (MAX_HINT_ERROR - 1.0) * (request.value_deadline - start_by) as f64;
+        let margin = request.value_deadline - request.objective_deadline + hint_margin as Micros;
         self.pending.enqueue(now, id, start_by, margin);
     }
 
@@ -23,20 +23,20 @@
         let fastest = self.ranking.of_class(request.class).first();
         let capacity =
             fastest.map_or(1.0, |&worker| self.workers.get(worker).capacity.of_class(request.class));
-        (request.useful_until - (request.size / capacity) as Micros).min(request.deadline)
+        (request.value_deadline - (request.size / capacity) as Micros).min(request.deadline)
     }
 
     /// Sends pending requests to workers that have room, the most urgent first.
-    pub(super) fn place_pending(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    pub(super) fn send_pending(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let context = self.context();
         if !self.subset.members().iter().any(|&worker| context.has_room(worker, now)) {
             return;
         }
-        while let Some(id) = self.pending.pop_late(now) {
+        while let Some(id) = self.pending.pop_expired(now) {
             self.enqueue(now, id);
         }
         let mut position = 0;
-        while position < MAX_FAILED_PLACEMENTS
+        while position < MAX_REQUESTS_WITHOUT_WORKER
             && let Some(id) = self.pending.get(position)
         {
             if let Some(worker) = self.choose_worker(id, now) {
--- a/crates/dispatcher/src/dispatcher/pending_queue.rs
+++ b/crates/dispatcher/src/dispatcher/pending_queue.rs
@@ -24,15 +24,19 @@
     /// that is likely late already goes after all others: in a backlog, every request would otherwise wait
     /// until it is late.
     pub(super) fn enqueue(&mut self, now: Micros, request: RequestId, start_by: Micros, margin: Micros) {
-        let cautious = start_by - margin;
-        let start_by = if cautious > now { cautious } else { start_by.saturating_add(LATE_OFFSET) };
+        let conservative_start_by = start_by - margin;
+        let start_by = if conservative_start_by > now {
+            conservative_start_by
+        } else {
+            start_by.saturating_add(LATE_OFFSET)
+        };
         let pending = PendingRequest { start_by, request };
         let position = self.by_urgency.partition_point(|other| *other < pending);
         self.by_urgency.insert(position, pending);
     }
 
     /// Removes and returns the first request whose start time has passed since it was queued.
-    pub(super) fn pop_late(&mut self, now: Micros) -> Option<RequestId> {
+    pub(super) fn pop_expired(&mut self, now: Micros) -> Option<RequestId> {
         self.by_urgency.first().filter(|pending| pending.start_by <= now)?;
         Some(self.by_urgency.remove(0).request)
     }
@@ -53,7 +57,7 @@
     }
 
     /// Returns whether no other request is more urgent than this one.
-    pub(super) fn is_next(&self, request: RequestId) -> bool {
+    pub(super) fn is_most_urgent(&self, request: RequestId) -> bool {
         self.get(0).is_none_or(|first| first == request)
     }
 }
--- a/crates/dispatcher/src/dispatcher/permission.rs
+++ b/crates/dispatcher/src/dispatcher/permission.rs
@@ -6,7 +6,7 @@
 
 impl DecisionContext<'_> {
     /// Returns whether a request may have a further attempt at any worker.
-    pub(super) fn may_retry(&self, request: &Request, now: Micros) -> bool {
+    pub(super) fn may_start_attempt(&self, request: &Request, now: Micros) -> bool {
         request.attempts < self.settings.limits.max_attempts.max(1)
             && !request.body_consumed
             && now < self.send_by(request)
@@ -34,7 +34,7 @@
     /// which is withdrawn first.
     pub(super) fn may_send(&self, request: &Request, id: WorkerId, now: Micros) -> bool {
         self.workers.get(id).is_ready()
-            && self.may_retry(request, now)
+            && self.may_start_attempt(request, now)
             && self.is_within_scope(request, id)
             && self.has_slow_start_budget(id, self.slow_start_cost(request), now)
     }
--- a/crates/dispatcher/src/dispatcher/prediction.rs
+++ b/crates/dispatcher/src/dispatcher/prediction.rs
@@ -23,7 +23,7 @@
     /// Includes the expected wait and the work ahead of the job.
     expected: f64,
     /// Includes measured waits only, and no work ahead of the job where a slot is free.
-    least: f64,
+    lower_bound: f64,
     /// The worker has free slots for the job.
     has_free_slot: bool,
 }
@@ -46,16 +46,16 @@
         let class = request.class;
         let capacity = self.penalised_capacity(worker, class, now);
         let slots = self.workers.kind(worker).slots();
-        let ahead = remaining_work(worker, capacity, now);
+        let outstanding_work = remaining_work(worker, capacity, now);
         let must_fetch = request.affinity_key != 0 && !worker.has_key(request.affinity_key);
         let fetch = if must_fetch { KEY_FETCH_COST * self.arrivals.mean_size() } else { 0.0 };
         let run = request.size / capacity + fetch;
-        let queue_and_run = ahead / (capacity * slots) + run;
+        let queue_and_run = outstanding_work / (capacity * slots) + run;
         let has_free_slot = worker.outstanding_slots() + request.slots <= slots;
-        let least_work = if has_free_slot { run } else { queue_and_run };
+        let min_queue_and_run = if has_free_slot { run } else { queue_and_run };
         Prediction {
             expected: worker.current_wait(class, now, self.expected_wait(worker, class, now)) + queue_and_run,
-            least: worker.current_wait(class, now, 0.0) + least_work,
+            lower_bound: worker.current_wait(class, now, 0.0) + min_queue_and_run,
             has_free_slot,
         }
     }
@@ -71,7 +71,13 @@
 
     /// Returns whether a job that is sent now would start at once, with `expected` in place of a wait that
     /// was not measured recently.
-    pub(super) fn starts_at_once(&self, request: &Request, id: WorkerId, now: Micros, expected: f64) -> bool {
+    pub(super) fn starts_immediately(
+        &self,
+        request: &Request,
+        id: WorkerId,
+        now: Micros,
+        expected: f64,
+    ) -> bool {
         self.predict(request, id, now).has_free_slot
             && self.has_room(id, now)
             && self.workers.get(id).current_wait(request.class, now, expected) < START_GRACE as f64
@@ -79,26 +85,26 @@
 
     /// Returns whether a job that is sent now would be in time. With `accepts_late`, a job that starts at
     /// once may be late by the error of its hint.
-    pub(super) fn would_be_useful(
+    pub(super) fn would_be_in_time(
         &self,
         request: &Request,
         id: WorkerId,
         now: Micros,
-        accepts_late: bool,
+        allow_hint_error: bool,
     ) -> bool {
-        let least = self.predict(request, id, now).least;
-        let time_left = (request.useful_until - now) as f64;
-        least <= time_left
-            || accepts_late
-                && least <= MAX_HINT_ERROR * time_left
-                && self.starts_at_once(request, id, now, 0.0)
+        let lower_bound = self.predict(request, id, now).lower_bound;
+        let time_left = (request.value_deadline - now) as f64;
+        lower_bound <= time_left
+            || allow_hint_error
+                && lower_bound <= MAX_HINT_ERROR * time_left
+                && self.starts_immediately(request, id, now, 0.0)
     }
 
     /// Returns whether a worker has room for a further job. A job that has not started indicates a queue or
     /// a hang.
     pub(super) fn has_room(&self, id: WorkerId, now: Micros) -> bool {
         let worker = self.workers.get(id);
-        if !worker.health.probe_pause_is_over(now) {
+        if !worker.health.probe_backoff_elapsed(now) {
             return false;
         }
         if !self.settings.workers_report_start {
@@ -116,7 +122,7 @@
             return true;
         }
         let kind = self.workers.kind(worker);
-        let slots = kind.slots().max(self.workers.rated_weight(worker));
+        let slots = kind.slots().max(self.workers.unloaded_weight(worker));
         let limit = (slots * kind.available_share(self.fair_share())).max(1.0);
         worker.outstanding_slots() + 1.0 <= limit
     }
@@ -124,13 +130,13 @@
     /// Returns the wait for jobs of other dispatchers, in microseconds, inferred from a weight that
     /// includes the load. It counts only where one job, which may always be sent, is more than this
     /// dispatcher's share of the slots.
-    pub(super) fn hidden_wait(&self, request: &Request, id: WorkerId, now: Micros) -> f64 {
+    pub(super) fn external_wait(&self, request: &Request, id: WorkerId, now: Micros) -> f64 {
         let worker = self.workers.get(id);
         let slots_per_instance =
             self.workers.kind(worker).slots() / f64::from(self.settings.instances.max(1));
         let excess = (1.0 - slots_per_instance).max(0.0);
-        let rated = self.workers.rated_weight(worker);
-        let jobs_per_core = (rated / worker.entry.weight.max(MIN_WEIGHT) - 1.0).max(0.0);
+        let unloaded = self.workers.unloaded_weight(worker);
+        let jobs_per_core = (unloaded / worker.entry.weight.max(MIN_WEIGHT) - 1.0).max(0.0);
         jobs_per_core * excess * self.arrivals.mean_size()
             / self.penalised_capacity(worker, request.class, now)
     }
@@ -153,7 +159,7 @@
 fn is_overdue(worker: &Worker, attempt: &Attempt, capacity: f64, now: Micros) -> bool {
     let Some(started_at) = attempt.started_at else { return false };
     let latest_end = started_at + (OVERDUE_FACTOR * attempt.size / capacity) as Micros + START_GRACE;
-    now > latest_end && !worker.health.has_shown_life_since(latest_end)
+    now > latest_end && !worker.health.was_active_after(latest_end)
 }
 
 /// Returns the remaining work of all outstanding attempts of a worker, in slots times microseconds on a
--- a/crates/dispatcher/src/dispatcher/ranking.rs
+++ b/crates/dispatcher/src/dispatcher/ranking.rs
@@ -47,7 +47,7 @@
             return;
         }
         let failures = self.subset.members().iter().map(|&id| self.workers.get(id).health.failures());
-        self.health.update_common_failures(failures.collect());
+        self.health.update_median_failures(failures.collect());
         self.ranking.by_class[class] = self.context().rank(class, now);
     }
 }
@@ -58,8 +58,8 @@
         let members = self.subset.members();
         let has_runner = members.iter().any(|id| runs_class(&id));
         let group = if has_runner { members } else { self.subset.nearest_of_class(class) };
-        let rated = |&id: &WorkerId| (self.penalised_capacity(self.workers.get(id), class, now), id);
-        let mut ranked: Vec<(f64, WorkerId)> = group.iter().filter(runs_class).map(rated).collect();
+        let scored = |&id: &WorkerId| (self.penalised_capacity(self.workers.get(id), class, now), id);
+        let mut ranked: Vec<(f64, WorkerId)> = group.iter().filter(runs_class).map(scored).collect();
         // The sort is stable: equals stay in the order of this dispatcher's subset. In order of id, all
         // dispatchers that have just started would begin with the same worker.
         ranked.sort_by(|left, right| right.0.total_cmp(&left.0));
--- a/crates/dispatcher/src/dispatcher/rendezvous.rs
+++ b/crates/dispatcher/src/dispatcher/rendezvous.rs
@@ -13,7 +13,7 @@
 /// more workers than one dispatcher can make use of; each dispatcher then uses its own part of the set.
 const MAX_WORKERS_PER_KEY: usize = 32;
 /// Up to this many workers, the complete order of a key is cached.
-const SHORT_LIST: usize = 256;
+const SHORT_LIST_WORKERS: usize = 256;
 /// A cached order has room for a set that is larger by one part in this many.
 const GROWTH_DIVISOR: usize = 4;
 /// Lower bound of a weight that is divided by.
@@ -53,13 +53,13 @@
 }
 
 /// A worker and its distance to a key.
-struct Distance {
+struct WorkerDistance {
     distance: f64,
     worker: WorkerId,
 }
 
-impl Distance {
-    fn compare(&self, other: &Distance) -> std::cmp::Ordering {
+impl WorkerDistance {
+    fn compare(&self, other: &WorkerDistance) -> std::cmp::Ordering {
         self.distance.total_cmp(&other.distance).then(self.worker.cmp(&other.worker))
     }
 }
@@ -86,19 +86,19 @@
         if limit == 0 {
             return Vec::new();
         }
-        let room = 2 * limit.max(SPARE_WORKERS);
-        let mut nearest: Vec<Distance> = Vec::with_capacity(room);
+        let buffer_len = 2 * limit.max(SPARE_WORKERS);
+        let mut nearest: Vec<WorkerDistance> = Vec::with_capacity(buffer_len);
         let mut max_distance = f64::INFINITY;
         for candidate in self.candidates.iter().filter(|candidate| matches(candidate.id)) {
-            let draw = uniform_hash(key, candidate.name_hash);
+            let hash_fraction = uniform_hash(key, candidate.name_hash);
             let weight = candidate.weight.max(MIN_WEIGHT);
             // -ln(x) is at least 1 - x, which excludes most candidates without a logarithm.
-            if 1.0 - draw > max_distance * weight {
+            if 1.0 - hash_fraction > max_distance * weight {
                 continue;
             }
-            nearest.push(Distance { distance: -draw.ln() / weight, worker: candidate.id });
-            if nearest.len() == room {
-                nearest.select_nth_unstable_by(limit - 1, Distance::compare);
+            nearest.push(WorkerDistance { distance: -hash_fraction.ln() / weight, worker: candidate.id });
+            if nearest.len() == buffer_len {
+                nearest.select_nth_unstable_by(limit - 1, WorkerDistance::compare);
                 nearest.truncate(limit);
                 max_distance = nearest[limit - 1].distance;
             }
@@ -119,7 +119,7 @@
     }
 
     fn compute_order(&self, key: u64, set_size: usize, instance: u64) -> CachedOrder {
-        if self.candidates.len() <= SHORT_LIST {
+        if self.candidates.len() <= SHORT_LIST_WORKERS {
             return CachedOrder { max_set_size: usize::MAX, order: self.nearest(key, self.candidates.len()) };
         }
         // More than requested, since the share of a popular key varies a little all the time.
@@ -130,15 +130,18 @@
         }
         let by_instance = nearest
             .iter()
-            .map(|&worker| Distance { distance: uniform_hash(key ^ instance, u64::from(worker.0)), worker })
+            .map(|&worker| WorkerDistance {
+                distance: uniform_hash(key ^ instance, u64::from(worker.0)),
+                worker,
+            })
             .collect();
         CachedOrder { max_set_size, order: into_nearest(by_instance, 2 * MAX_WORKERS_PER_KEY) }
     }
 }
 
 /// Returns the workers with the smallest distances, the nearest first.
-fn into_nearest(mut distances: Vec<Distance>, limit: usize) -> Vec<WorkerId> {
-    distances.sort_unstable_by(Distance::compare);
+fn into_nearest(mut distances: Vec<WorkerDistance>, limit: usize) -> Vec<WorkerId> {
+    distances.sort_unstable_by(WorkerDistance::compare);
     distances.truncate(limit);
     distances.into_iter().map(|distance| distance.worker).collect()
 }
@@ -146,7 +149,7 @@
 /// Returns how many of `choices` one dispatcher considers in a list of `workers`: all of them in a short
 /// list.
 pub(super) fn limit_choices(choices: usize, workers: usize) -> usize {
-    if workers <= SHORT_LIST { choices } else { choices.min(MAX_WORKERS_PER_KEY) }
+    if workers <= SHORT_LIST_WORKERS { choices } else { choices.min(MAX_WORKERS_PER_KEY) }
 }
 
 /// Returns a number above 0 and up to 1, the same at every dispatcher for a key and a worker.
--- a/crates/dispatcher/src/dispatcher/request.rs
+++ b/crates/dispatcher/src/dispatcher/request.rs
@@ -28,16 +28,16 @@
     /// When the client stops waiting.
     pub(super) deadline: Micros,
     /// The end of its latency objective.
-    pub(super) objective_until: Micros,
+    pub(super) objective_deadline: Micros,
     /// An answer after this time has no value: the objective's end or, where late answers count, the
     /// deadline.
-    pub(super) useful_until: Micros,
+    pub(super) value_deadline: Micros,
     /// The number of attempts sent.
     pub(super) attempts: u32,
     /// The attempt without an outcome.
     pub(super) outstanding: Option<AttemptId>,
     /// The outstanding attempt was withdrawn.
-    pub(super) is_withdrawn: bool,
+    pub(super) cancel_requested: bool,
     /// Its answer has begun.
     pub(super) is_streaming: bool,
     /// Its body can't be sent again.
--- a/crates/dispatcher/src/dispatcher/requests.rs
+++ b/crates/dispatcher/src/dispatcher/requests.rs
@@ -21,28 +21,29 @@
 impl Dispatcher {
     /// Handles an arriving request: sends it, queues it, or answers it.
     pub(super) fn on_arrival(&mut self, now: Micros, arrival: &Arrival, actions: &mut Vec<Action>) {
-        let request = self.admit(now, arrival);
+        let request = self.create_request(now, arrival);
         let size = request.size;
         self.requests.insert(arrival.request, request);
         self.affinity.record_arrival(arrival.affinity_key);
         self.arrivals.record(now, size);
-        self.subset.follow_load(&self.arrivals);
+        self.subset.resize_for_load(&self.arrivals);
         self.retry_budget.record_arrival();
-        self.place(now, arrival.request, actions);
+        self.send_or_enqueue(now, arrival.request, actions);
     }
 
     /// Returns the state of an arriving request, with defaults for missing values.
-    fn admit(&mut self, now: Micros, arrival: &Arrival) -> Request {
+    fn create_request(&mut self, now: Micros, arrival: &Arrival) -> Request {
         let class = arrival.class.min(self.settings.classes.len() - 1);
         let hint = arrival.work_hint.filter(|&hint| hint > 0).map(|hint| hint as f64);
-        let size = hint.unwrap_or(self.arrivals.largest_lane_size().max(1.0)).min(MAX_SIZE);
-        let first_sent_at = self.first_client_send(now, arrival, class);
-        let spec = &self.settings.classes[class];
-        let objective_until = first_sent_at
-            .saturating_add(spec.latency_objective)
-            .saturating_add((spec.objective_stretch * size) as Micros)
+        let size = hint.unwrap_or(self.arrivals.size_quantile().max(1.0)).min(MAX_SIZE);
+        let first_sent_at = self.estimate_first_send(now, arrival, class);
+        let class_settings = &self.settings.classes[class];
+        let objective_deadline = first_sent_at
+            .saturating_add(class_settings.latency_objective)
+            .saturating_add((class_settings.objective_stretch * size) as Micros)
             .min(arrival.deadline);
-        let useful_until = if spec.late_value_fraction > 0.0 { arrival.deadline } else { objective_until };
+        let value_deadline =
+            if class_settings.late_value_fraction > 0.0 { arrival.deadline } else { objective_deadline };
         Request {
             class,
             size,
@@ -50,8 +51,8 @@
             slots: if arrival.slots.is_finite() { arrival.slots.clamp(0.0, MAX_SLOTS) } else { 1.0 },
             affinity_key: arrival.affinity_key,
             deadline: arrival.deadline,
-            objective_until,
-            useful_until,
+            objective_deadline,
+            value_deadline,
             body_consumed: !arrival.body_sendable,
             ..Request::default()
         }
@@ -60,17 +61,18 @@
     /// Returns when the client sent the request for the first time, from which the latency objective
     /// counts. If the request may be a retry, that is inferred from its deadline and the longest patience
     /// of its class.
-    fn first_client_send(&mut self, now: Micros, arrival: &Arrival, class: usize) -> Micros {
-        let patience = self.arrivals.record_patience(class, arrival.deadline.saturating_sub(now));
+    fn estimate_first_send(&mut self, now: Micros, arrival: &Arrival, class: usize) -> Micros {
+        let longest_timeout =
+            self.arrivals.record_client_timeout(class, arrival.deadline.saturating_sub(now));
         let is_first = self.settings.clients_mark_retries && !arrival.is_retry;
-        if is_first { now } else { now.min(arrival.deadline.saturating_sub(patience)) }
+        if is_first { now } else { now.min(arrival.deadline.saturating_sub(longest_timeout)) }
     }
 
     /// Sends a request, queues it, or gives it up.
-    fn place(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
+    fn send_or_enqueue(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
-        if now >= request.deadline || !self.context().may_retry(request, now) {
-            self.give_up(id, actions);
+        if now >= request.deadline || !self.context().may_start_attempt(request, now) {
+            self.reject_or_fail(id, actions);
         } else if let Some(worker) = self.choose_worker(id, now) {
             self.send(now, id, worker, actions);
         } else {
@@ -107,7 +109,7 @@
         let context = self.context();
         let worker = self.workers.get(worker_id);
         let run = request.size / context.penalised_capacity(worker, request.class, now);
-        let slack = request.useful_until.saturating_sub(now) as f64 - run;
+        let slack = request.value_deadline.saturating_sub(now) as f64 - run;
         let reduction = FAILURE_TIMEOUT_REDUCTION * self.health.excess_failures(worker) as f64;
         let timeout = (slack * SLACK_SHARE * (1.0 - reduction)) as Micros;
         (now + timeout.max(MIN_START_TIMEOUT)).min(request.deadline)
@@ -129,7 +131,7 @@
         let Some(request) = self.requests.get_mut(&id.request) else { return };
         let was_outstanding = request.outstanding.take_if(|outstanding| *outstanding == id).is_some();
         if result.request_concluded {
-            return self.forget(id.request, actions);
+            return self.remove_request(id.request, actions);
         }
         if !was_outstanding {
             return;
@@ -138,17 +140,17 @@
             let execution = FirstExecution { worker: id.worker, sent_at: now - result.elapsed };
             request.first_execution.get_or_insert(execution);
         }
-        let is_unusable = matches!(result.outcome, Outcome::NotSent | Outcome::InvalidRequest);
-        if is_unusable || now >= request.deadline {
-            self.give_up(id.request, actions);
+        let retry_is_useless = matches!(result.outcome, Outcome::NotSent | Outcome::InvalidRequest);
+        if retry_is_useless || now >= request.deadline {
+            self.reject_or_fail(id.request, actions);
         } else {
-            self.place(now, id.request, actions);
+            self.send_or_enqueue(now, id.request, actions);
         }
     }
 
     /// Answers a request without an answer from a worker: rejects it if a repeat is harmless, otherwise
     /// fails it.
-    pub(super) fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    pub(super) fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let repeat_is_harmless = matches!(
             self.settings.classes[request.class].idempotency,
@@ -162,15 +164,15 @@
             Action::Fail { request: id }
         };
         actions.push(answer);
-        self.forget(id, actions);
+        self.remove_request(id, actions);
     }
 
     /// Removes a request that has its final answer, and cancels its outstanding attempt.
-    pub(super) fn forget(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    pub(super) fn remove_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(&id) else { return };
         self.timers.cancel(id);
         self.pending.remove(id);
-        let may_cancel = self.settings.limits.cancel && !request.is_streaming && !request.is_withdrawn;
+        let may_cancel = self.settings.limits.cancel && !request.is_streaming && !request.cancel_requested;
         if may_cancel && let Some(attempt) = request.outstanding {
             actions.push(Action::Cancel { request: id, attempt: attempt.number });
         }
@@ -182,7 +184,7 @@
     let attempt_id = AttemptId { request: id, number: request.attempts, worker };
     request.attempts += 1;
     request.outstanding = Some(attempt_id);
-    request.is_withdrawn = false;
+    request.cancel_requested = false;
     request.tried.push(worker);
     Attempt {
         id: attempt_id,
@@ -190,7 +192,7 @@
         size: request.size,
         slots: request.slots,
         sent_at: now,
-        useful_until: request.useful_until,
+        value_deadline: request.value_deadline,
         started_at: None,
     }
 }
--- a/crates/dispatcher/src/dispatcher/retry_budget.rs
+++ b/crates/dispatcher/src/dispatcher/retry_budget.rs
@@ -4,7 +4,7 @@
 /// subtracted.
 const RETRIES_PER_REQUEST: f64 = 0.1;
 /// Upper bound of the budget.
-const MAX_SAVED_RETRIES: f64 = 10.0;
+const MAX_BUDGET: f64 = 10.0;
 /// The budget starts with the share of this number of requests.
 const INITIAL_REQUESTS: f64 = 10.0;
 
@@ -12,20 +12,20 @@
 /// already slow.
 #[derive(Default)]
 pub(super) struct RetryBudget {
-    earned_per_request: f64,
+    retries_per_request: f64,
     available: f64,
 }
 
 impl RetryBudget {
     /// Creates a budget that is smaller the higher the penalty for wasted work is. It may stay empty.
     pub(super) fn new(wasted_work_penalty: f64) -> Self {
-        let earned_per_request = (RETRIES_PER_REQUEST - wasted_work_penalty).max(0.0);
-        RetryBudget { earned_per_request, available: INITIAL_REQUESTS * earned_per_request }
+        let retries_per_request = (RETRIES_PER_REQUEST - wasted_work_penalty).max(0.0);
+        RetryBudget { retries_per_request, available: INITIAL_REQUESTS * retries_per_request }
     }
 
     /// Adds the share of one arriving request.
     pub(super) fn record_arrival(&mut self) {
-        self.available = (self.available + self.earned_per_request).min(MAX_SAVED_RETRIES);
+        self.available = (self.available + self.retries_per_request).min(MAX_BUDGET);
     }
 
     /// Takes one retry from the budget. Returns false if there is none.
--- a/crates/dispatcher/src/dispatcher/selection.rs
+++ b/crates/dispatcher/src/dispatcher/selection.rs
@@ -9,23 +9,23 @@
 
 /// The part of a fetch's cost that is not counted for a worker of the affinity set, since jobs of other
 /// dispatchers, unknown here, have likely fetched the key.
-const AFFINITY_FETCH_DISCOUNT: f64 = 0.9;
+const MAX_AFFINITY_FETCH_DISCOUNT: f64 = 0.9;
 
 impl Dispatcher {
     /// Chooses the worker for a request; none if it should wait.
     pub(super) fn choose_worker(&mut self, id: RequestId, now: Micros) -> Option<WorkerId> {
         let class = self.requests.get(&id)?.class;
-        let draw = self.rng.f64();
+        let uniform_sample = self.rng.f64();
         self.refresh_ranking(class, now);
         let affinity_set = self.affinity_set(id, now);
         let selection = Selection {
             context: self.context(),
             request: self.requests.get(&id)?,
             affinity_set: &affinity_set,
-            is_most_urgent: self.pending.is_next(id),
+            is_most_urgent: self.pending.is_most_urgent(id),
             now,
         };
-        selection.choose(self.ranking.of_class(class), draw)
+        selection.choose(self.ranking.of_class(class), uniform_sample)
     }
 }
 
@@ -42,16 +42,16 @@
 impl Selection<'_> {
     /// Chooses among the ranked workers, the fastest first. `draw` is uniformly distributed in 0..1 and
     /// selects the random rival.
-    fn choose(&self, ranked: &[WorkerId], draw: f64) -> Option<WorkerId> {
+    fn choose(&self, ranked: &[WorkerId], uniform_sample: f64) -> Option<WorkerId> {
         let permitted = self.permitted(ranked);
         if let Some(probed) = self.worker_to_probe(&permitted) {
             return Some(probed);
         }
         let candidates = self.candidates(permitted);
-        let rival = *candidates.get((draw * candidates.len() as f64) as usize)?;
-        let lane_worker = candidates[candidates.len() - 1 - self.size_lane(candidates.len())];
-        let best = self.best_of_drawn(lane_worker, rival);
-        if self.is_free_for(best) {
+        let random_candidate = *candidates.get((uniform_sample * candidates.len() as f64) as usize)?;
+        let worker_for_size = candidates[candidates.len() - 1 - self.size_interval(candidates.len())];
+        let best = self.cheapest_choice(worker_for_size, random_candidate);
+        if self.can_serve_immediately(best) {
             return Some(best);
         }
         self.best_with_room(candidates)
@@ -85,10 +85,10 @@
     fn is_probe_due(&self, id: WorkerId) -> bool {
         let worker = self.context.workers.get(id);
         let class = self.request.class;
-        let time_left = self.request.useful_until.saturating_sub(self.now) as f64
+        let time_left = self.request.value_deadline.saturating_sub(self.now) as f64
             - self.request.size / worker.capacity.of_class(class);
         self.context.health.excess_failures(worker) > 0
-            && worker.health.probe_pause_is_over(self.now)
+            && worker.health.probe_backoff_elapsed(self.now)
             && worker.outstanding().is_empty()
             && worker.current_wait(class, self.now, 0.0) <= time_left.max(0.0)
     }
@@ -110,19 +110,22 @@
 
     /// Returns the lane of the job among `lanes`, 0 for the smallest jobs, by the paper's thresholds w_r =
     /// (1+…+r)/(1+…+n)·S_max. Larger jobs go to faster workers.
-    fn size_lane(&self, lanes: usize) -> usize {
+    fn size_interval(&self, intervals: usize) -> usize {
         if !self.request.has_work_hint {
-            return lanes / 2;
+            return intervals / 2;
         }
-        let all = (lanes * (lanes + 1) / 2) as f64;
-        let threshold =
-            |lane: usize| (lane * (lane + 1) / 2) as f64 / all * self.context.arrivals.largest_lane_size();
-        (1..lanes).find(|&lane| self.request.size <= threshold(lane)).map_or(lanes - 1, |lane| lane - 1)
+        let all = (intervals * (intervals + 1) / 2) as f64;
+        let threshold = |interval: usize| {
+            (interval * (interval + 1) / 2) as f64 / all * self.context.arrivals.size_quantile()
+        };
+        (1..intervals)
+            .find(|&interval| self.request.size <= threshold(interval))
+            .map_or(intervals - 1, |interval| interval - 1)
     }
 
     /// Returns the cheapest of the lane worker, its random rival and the affinity set.
-    fn best_of_drawn(&self, lane_worker: WorkerId, rival: WorkerId) -> WorkerId {
-        let mut best = self.cheaper(lane_worker, rival);
+    fn cheapest_choice(&self, worker_for_size: WorkerId, random_candidate: WorkerId) -> WorkerId {
+        let mut best = self.cheaper(worker_for_size, random_candidate);
         for &worker in self.affinity_set {
             best = self.cheaper(worker, best);
         }
@@ -132,37 +135,41 @@
     /// Returns the cheaper of two workers, including the load of other dispatchers; the first if they are
     /// equal.
     fn cheaper(&self, first: WorkerId, second: WorkerId) -> WorkerId {
-        if self.cost_with_hidden_wait(second) < self.cost_with_hidden_wait(first) { second } else { first }
+        if self.cost_with_external_wait(second) < self.cost_with_external_wait(first) {
+            second
+        } else {
+            first
+        }
     }
 
     /// The load of other dispatchers, known late, counts only between workers that were drawn at random: it
     /// is the same at all dispatchers, which would otherwise all move to the same workers.
-    fn cost_with_hidden_wait(&self, worker: WorkerId) -> f64 {
-        self.cost(worker) + self.context.hidden_wait(self.request, worker, self.now)
+    fn cost_with_external_wait(&self, worker: WorkerId) -> f64 {
+        self.cost(worker) + self.context.external_wait(self.request, worker, self.now)
     }
 
     /// Returns the cost of sending the request to a worker, in microseconds, without a fetch that is likely
     /// unnecessary.
     fn cost(&self, worker: WorkerId) -> f64 {
         let cost = self.context.cost_of_send(self.request, worker, self.now);
-        let cached = || self.context.workers.get(worker).has_key(self.request.affinity_key);
-        let is_spared_fetch = self.affinity_set.contains(&worker) && !cached();
-        cost - if is_spared_fetch { self.affinity_discount() } else { 0.0 }
+        let known_cached = || self.context.workers.get(worker).has_key(self.request.affinity_key);
+        let assumed_cached = self.affinity_set.contains(&worker) && !known_cached();
+        cost - if assumed_cached { self.fetch_discount() } else { 0.0 }
     }
 
-    fn affinity_discount(&self) -> f64 {
+    fn fetch_discount(&self) -> f64 {
         let workers = self.context.workers;
-        AFFINITY_FETCH_DISCOUNT * workers.excess_zone_groups() / workers.zone_groups()
+        MAX_AFFINITY_FETCH_DISCOUNT * workers.groups_above_small_zone() / workers.zone_groups()
             * KEY_FETCH_COST
             * self.context.arrivals.mean_size()
     }
 
     /// Returns whether a worker would start the request at once and answer it in time.
-    fn is_free_for(&self, id: WorkerId) -> bool {
+    fn can_serve_immediately(&self, id: WorkerId) -> bool {
         let worker = self.context.workers.get(id);
         let expected_wait = self.context.expected_wait(worker, self.request.class, self.now);
-        self.context.starts_at_once(self.request, id, self.now, expected_wait)
-            && self.context.would_be_useful(self.request, id, self.now, false)
+        self.context.starts_immediately(self.request, id, self.now, expected_wait)
+            && self.context.would_be_in_time(self.request, id, self.now, false)
     }
 
     /// Returns the cheapest candidate or member of the affinity set that has room. A request that would be
@@ -172,19 +179,19 @@
         candidates.extend(self.affinity_set.iter().filter(|worker| !members.contains(worker)));
         let (_, best) = candidates
             .into_iter()
-            .filter(|&worker| self.suits_key(worker) && self.context.has_room(worker, self.now))
+            .filter(|&worker| self.satisfies_affinity(worker) && self.context.has_room(worker, self.now))
             .map(|worker| (self.cost(worker), worker))
             .min_by(|left, right| left.0.total_cmp(&right.0))?;
-        self.context.would_be_useful(self.request, best, self.now, self.is_most_urgent).then_some(best)
+        self.context.would_be_in_time(self.request, best, self.now, self.is_most_urgent).then_some(best)
     }
 
     /// Returns whether a worker is likely to have the request's key, since a fetch costs more than a wait.
     /// In a large zone, any free worker will do.
-    fn suits_key(&self, worker: WorkerId) -> bool {
+    fn satisfies_affinity(&self, worker: WorkerId) -> bool {
         let key = self.request.affinity_key;
         key == 0
             || self.affinity_set.contains(&worker)
             || self.context.workers.get(worker).has_key(key)
-            || self.context.workers.excess_zone_groups() > 0.0 && self.is_free_for(worker)
+            || self.context.workers.groups_above_small_zone() > 0.0 && self.can_serve_immediately(worker)
     }
 }
--- a/crates/dispatcher/src/dispatcher/slow_start.rs
+++ b/crates/dispatcher/src/dispatcher/slow_start.rs
@@ -13,7 +13,7 @@
 const BUDGET_SHARE: f64 = 0.9;
 /// Divided by the number of dispatchers plus 2, it is deducted from that part: the work of few dispatchers
 /// varies more.
-const FEW_DISPATCHERS_DEDUCTION: f64 = 1.25;
+const FEW_USERS_DEDUCTION: f64 = 1.25;
 /// The part of a window's capacity that one job may use if it is sent on credit.
 const MAX_SINGLE_JOB_SHARE: f64 = 0.8;
 /// Lower bound of a send's cost, relative to the mean size: a hint far below the mean is likely wrong.
@@ -49,7 +49,7 @@
 
     /// Returns the remaining debt if `rate` is paid off per microsecond; below 0 if less than the share was
     /// sent.
-    fn at(&self, now: Micros, rate: f64) -> f64 {
+    fn remaining_at(&self, now: Micros, rate: f64) -> f64 {
         self.work - (now - self.updated_at) as f64 * rate
     }
 }
@@ -80,8 +80,8 @@
             attempt.waited(now) > expected + START_GRACE as f64
         });
         let fits_share = debt.max(0.0) + cost <= rate.share * window;
-        let fits_on_credit = debt <= 0.0 && cost <= rate.capacity * window * MAX_SINGLE_JOB_SHARE;
-        !is_late && (fits_share || fits_on_credit)
+        let fits_single_job = debt <= 0.0 && cost <= rate.capacity * window * MAX_SINGLE_JOB_SHARE;
+        !is_late && (fits_share || fits_single_job)
     }
 
     /// Returns the work that a send of this request adds to the debt.
@@ -102,7 +102,7 @@
 
     /// Returns the work sent in excess of this dispatcher's share; below 0 if it has sent less.
     fn slow_start_debt(&self, id: WorkerId, now: Micros) -> f64 {
-        self.workers.get(id).slow_start_debt().at(now, self.slow_start_rate(id, now).share)
+        self.workers.get(id).slow_start_debt().remaining_at(now, self.slow_start_rate(id, now).share)
     }
 
     /// Estimates the worker's present capacity from the work of all dispatchers and its share of the total
@@ -111,12 +111,16 @@
     fn slow_start_rate(&self, id: WorkerId, now: Micros) -> SlowStartRate {
         let worker = self.workers.get(id);
         let instances = f64::from(self.settings.instances);
-        let total_work = instances * self.arrivals.mean_size() / self.arrivals.mean_gap().max(1.0);
-        let carried = total_work * self.workers.rated_weight(worker) / self.workers.total_weight();
-        let capacity = carried * self.capacity_fraction(worker, now);
-        let probability = self.subset.probability_of(id, self.present_weight(id, now));
-        let users = (instances * probability.min(1.0)).max(1.0);
-        let share = BUDGET_SHARE - FEW_DISPATCHERS_DEDUCTION / (users + 2.0);
-        SlowStartRate { capacity, share: capacity * self.settings.slow_start.overload_factor * share / users }
+        let total_work_rate = instances * self.arrivals.mean_size() / self.arrivals.mean_gap().max(1.0);
+        let full_capacity =
+            total_work_rate * self.workers.unloaded_weight(worker) / self.workers.total_weight();
+        let capacity = full_capacity * self.capacity_fraction(worker, now);
+        let probability = self.subset.membership_probability(id, self.effective_weight(id, now));
+        let expected_users = (instances * probability.min(1.0)).max(1.0);
+        let share = BUDGET_SHARE - FEW_USERS_DEDUCTION / (expected_users + 2.0);
+        SlowStartRate {
+            capacity,
+            share: capacity * self.settings.slow_start.overload_factor * share / expected_users,
+        }
     }
 }
--- a/crates/dispatcher/src/dispatcher/subset.rs
+++ b/crates/dispatcher/src/dispatcher/subset.rs
@@ -18,15 +18,15 @@
 /// since.
 const WORKERS_PER_RUNNING_JOB: f64 = 3.0;
 /// The subset shrinks if the load requires less than this multiple of its size.
-const SHRINK_BELOW: f64 = 0.7;
+const SHRINK_THRESHOLD: f64 = 0.7;
 /// The subset grows if the load requires more than this multiple of its size.
-const GROW_ABOVE: f64 = 1.3;
+const GROW_THRESHOLD: f64 = 1.3;
 /// The nearest workers are looked up at this interval, since weights change during slow start.
 const REFRESH_INTERVAL: Micros = 1_000_000;
 /// The number of workers looked up for each member, so that ejected ones can be replaced.
 const CANDIDATES_PER_MEMBER: usize = 3;
 /// Ejected workers are replaced if they are among the nearest, up to this multiple of the subset's size.
-const REPLACED_RANGE: usize = 2;
+const REPLACEMENT_RANGE: usize = 2;
 
 /// Lower bound of a total weight that is divided by.
 const MIN_TOTAL_WEIGHT: f64 = 1e-9;
@@ -34,7 +34,7 @@
 /// The result of a lookup of the nearest workers.
 pub(super) struct NearestWorkers {
     /// The nearest to this dispatcher, for all classes.
-    pub(super) for_all: Vec<WorkerId>,
+    pub(super) of_all_kinds: Vec<WorkerId>,
     /// By class: the nearest of the kind that runs it, if only one kind does.
     pub(super) by_class: Vec<Vec<WorkerId>>,
     /// The total present weight of all workers that accept new work.
@@ -82,16 +82,16 @@
 
     /// Returns the probability that a given dispatcher has a worker of this weight in its subset; 1 for a
     /// worker that is not in this subset.
-    pub(super) fn probability_of(&self, id: WorkerId, weight: f64) -> f64 {
+    pub(super) fn membership_probability(&self, id: WorkerId, weight: f64) -> f64 {
         if self.members.contains(&id) { self.probability_per_weight * weight } else { 1.0 }
     }
 
     /// Adapts the size of the subset to the load.
-    pub(super) fn follow_load(&mut self, arrivals: &ArrivalStatistics) {
+    pub(super) fn resize_for_load(&mut self, arrivals: &ArrivalStatistics) {
         let size =
             (WORKERS_PER_RUNNING_JOB * arrivals.mean_size() / arrivals.mean_gap()).max(MIN_SIZE).ceil();
         let current = self.target_size as f64;
-        if size > GROW_ABOVE * current || size < SHRINK_BELOW * current {
+        if size > GROW_THRESHOLD * current || size < SHRINK_THRESHOLD * current {
             self.target_size = size as usize;
             self.nearest_stale = true;
         }
@@ -126,7 +126,7 @@
     pub(super) fn set_nearest(&mut self, now: Micros, workers: usize, nearest: NearestWorkers) {
         let size = self.target_size.min(workers);
         self.probability_per_weight = size as f64 / nearest.total_weight.max(MIN_TOTAL_WEIGHT);
-        self.nearest = nearest.for_all;
+        self.nearest = nearest.of_all_kinds;
         self.nearest_by_class = nearest.by_class;
         self.refresh_at = now + REFRESH_INTERVAL;
     }
@@ -134,7 +134,8 @@
     /// Chooses the members in a list of this length; ejected workers do not count towards the size.
     pub(super) fn choose_members(&mut self, workers: usize, is_ejected: impl Fn(WorkerId) -> bool) {
         let size = self.target_size.min(workers);
-        let ejected = self.nearest.iter().take(REPLACED_RANGE * size).filter(|&&id| is_ejected(id)).count();
+        let ejected =
+            self.nearest.iter().take(REPLACEMENT_RANGE * size).filter(|&&id| is_ejected(id)).count();
         self.members = self.nearest.iter().take(size + ejected).copied().collect();
     }
 }
@@ -147,19 +148,19 @@
         let candidate = |&id: &WorkerId| Candidate {
             id,
             name_hash: context.workers.get(id).entry.name_hash,
-            weight: context.present_weight(id, now),
+            weight: context.effective_weight(id, now),
         };
         let candidates: Vec<Candidate> = context.workers.ready().iter().map(candidate).collect();
         let total_weight: f64 = candidates.iter().map(|candidate| candidate.weight).sum();
         let workers = candidates.len();
         self.affinity.set_candidates(candidates);
         let limit = self.subset.lookup_size(workers);
-        let for_all = self.affinity.nearest_to_instance(limit, |_| true);
+        let of_all_kinds = self.affinity.nearest_to_instance(limit, |_| true);
         let limit_of_class = limit_choices(workers, workers).max(limit);
         let classes = 0..self.settings.classes.len();
         let by_class = classes.map(|class| self.nearest_of_class(class, limit_of_class)).collect();
-        let nearest = NearestWorkers { for_all, by_class, total_weight };
-        for &id in nearest.for_all.iter().chain(nearest.by_class.iter().flatten()) {
+        let nearest = NearestWorkers { of_all_kinds, by_class, total_weight };
+        for &id in nearest.of_all_kinds.iter().chain(nearest.by_class.iter().flatten()) {
             self.capacity.estimate(&mut self.workers, id);
         }
         self.subset.set_nearest(now, workers, nearest);
@@ -180,7 +181,7 @@
         let (workers, health) = (&self.workers, &self.health);
         let is_ejected = |id| {
             let worker = workers.get(id);
-            !health.is_healthy(worker) || worker.health.has_rejected(now)
+            !health.is_healthy(worker) || worker.health.has_recent_rejection(now)
         };
         self.subset.choose_members(workers.ready().len(), is_ejected);
     }
--- a/crates/dispatcher/src/dispatcher/worker.rs
+++ b/crates/dispatcher/src/dispatcher/worker.rs
@@ -98,7 +98,7 @@
     /// wait, which fades to the expected one, or the wait of an attempt that has not started, whichever is
     /// longer.
     pub(super) fn current_wait(&self, class: usize, now: Micros, expected: f64) -> f64 {
-        let measured = self.waits[class].at(now, expected);
+        let measured = self.waits[class].estimate_at(now, expected);
         self.unstarted().map(|attempt| attempt.waited(now)).fold(measured, f64::max)
     }
 
@@ -108,7 +108,7 @@
     }
 
     /// Raises the wait to at least this, in microseconds.
-    pub(super) fn raise_wait(&mut self, class: usize, now: Micros, at_least: f64) {
+    pub(super) fn raise_wait_to(&mut self, class: usize, now: Micros, at_least: f64) {
         let wait = self.current_wait(class, now, 0.0).max(at_least);
         self.waits[class].set(now, wait);
     }
--- a/crates/dispatcher/src/dispatcher/worker_list.rs
+++ b/crates/dispatcher/src/dispatcher/worker_list.rs
@@ -8,7 +8,7 @@
     pub(super) fn on_worker_list(&mut self, update: WorkerListUpdate, actions: &mut Vec<Action>) {
         match update {
             WorkerListUpdate::Failed => {
-                let delay = self.discovery_retry.next_pause(&mut self.rng);
+                let delay = self.discovery_retry.next_delay(&mut self.rng);
                 actions.push(Action::SetTimer { delay, token: DISCOVERY_TIMER });
                 return;
             }
@@ -17,12 +17,12 @@
                 self.discovery_retry.record_success();
             }
             WorkerListUpdate::Full(entries) => {
-                self.workers.remove_all();
+                self.workers.mark_all_gone();
                 self.apply_entries(entries);
                 self.discovery_retry.record_success();
             }
             WorkerListUpdate::Cached(entries) => {
-                self.workers.remove_all();
+                self.workers.mark_all_gone();
                 self.apply_entries(entries);
                 if self.settings.worker_list_needs_watch {
                     actions.push(Action::WatchWorkerList);
--- a/crates/dispatcher/src/dispatcher/worker_table.rs
+++ b/crates/dispatcher/src/dispatcher/worker_table.rs
@@ -7,7 +7,7 @@
 /// The unit of a zone's size. In a zone with more workers than this, dispatchers prefer their own zone.
 pub(super) const ZONE_GROUP_WORKERS: f64 = 4.0;
 /// A zone of more groups is large: a dispatcher sees only a small part of what is sent to its workers.
-const LARGE_ZONE_GROUPS: f64 = 2.0;
+const MAX_SMALL_ZONE_GROUPS: f64 = 2.0;
 /// Higher kinds of machine count as this one, which bounds the memory for them.
 const MAX_KIND: usize = 1023;
 /// Lower bound of a total weight that is divided by.
@@ -71,7 +71,7 @@
     }
 
     /// Marks all workers as gone, before a complete list is applied.
-    pub(super) fn remove_all(&mut self) {
+    pub(super) fn mark_all_gone(&mut self) {
         for worker in &mut self.workers {
             worker.entry.lifecycle = Lifecycle::Gone;
         }
@@ -95,7 +95,7 @@
     /// Recomputes the ready workers and the totals after the list has changed.
     pub(super) fn update_totals(&mut self) {
         self.ready = self.ids().filter(|&id| self.get(id).is_ready()).collect();
-        self.total_weight = self.ready.iter().map(|&id| self.rated_weight(self.get(id))).sum();
+        self.total_weight = self.ready.iter().map(|&id| self.unloaded_weight(self.get(id))).sum();
         let in_zone = self.ready.iter().filter(|&&id| self.get(id).entry.zone == self.zone).count();
         self.zone_groups = (in_zone as f64 / ZONE_GROUP_WORKERS).max(1.0);
     }
@@ -113,7 +113,7 @@
 
     /// Returns a worker's weight without its load. Where listed weights include the load, it is the largest
     /// weight seen of its kind: listed weights are late, and all dispatchers would move together with them.
-    pub(super) fn rated_weight(&self, worker: &Worker) -> f64 {
+    pub(super) fn unloaded_weight(&self, worker: &Worker) -> f64 {
         worker.entry.weight.max(self.kind(worker).largest_weight())
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// Returns by how many groups the own zone exceeds a small one; 0 in a small zone.
-    pub(super) fn excess_zone_groups(&self) -> f64 {
-        (self.zone_groups - LARGE_ZONE_GROUPS).max(0.0)
+    pub(super) fn groups_above_small_zone(&self) -> f64 {
+        (self.zone_groups - MAX_SMALL_ZONE_GROUPS).max(0.0)
     }
 }
