--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -1,18 +1,21 @@
-//! All decisions of a dispatcher. The types of its settings, events and actions are in `interface`.
+//! Decision logic of a dispatcher. The types of its settings, events and actions are in `interface`.
 //!
-//! The ordinary path is the paper's OXTHAS: workers rank by their Estimated Processing Capacity (EPC),
-//! thresholds in integer progression over S_max give each job a lane by its size, and the lane's worker is
-//! compared with one random rival. Each departure from it says what it guards against and when it acts.
+//! In the ordinary case, a worker is chosen by OXTHAS, the algorithm of the publication that comments call
+//! the paper. Workers are ranked by their Estimated Processing Capacity (EPC). Thresholds in integer
+//! progression up to S_max divide the job sizes into as many intervals as there are candidate workers, and
+//! larger jobs go to faster workers. The worker for the job's interval is compared with one candidate picked
+//! at random. Code that departs from the algorithm states which failure it prevents and when it applies.
 //!
-//! [`Dispatcher`] routes events; the modules below it hold the decisions, one concern each:
+//! [`Dispatcher`] passes each event to the module that handles it:
 //!
-//! - Workers: `worker_table`, `worker`, `machine_kind`, and what their answers show: `observations`,
-//!   `worker_evidence`, `capacity`, `health`, `slow_start`.
-//! - The choice of a worker: `subset` and `ranking` narrow the list, `affinity` adds the workers of a key,
-//!   `selection` chooses by `prediction` among those that `permission` allows. All read the state through
-//!   `context`.
-//! - Requests: `requests` is their life, `pending` and `pending_queue` hold those that wait,
-//!   `attempt_timers` and `attempt_timeout` look after those that were sent, `retry_budget` bounds retries.
+//! - Workers: `worker_table`, `worker` and `machine_kind` hold their state. `observations`,
+//!   `worker_evidence`, `capacity`, `health` and `slow_start` derive it from the workers' responses.
+//! - Choice of a worker: `subset` and `ranking` reduce the worker list, `affinity` adds the workers of an
+//!   affinity key, `selection` compares them by `prediction` and uses only those that `permission` allows.
+//!   All of them read the state through `context`.
+//! - Requests: `requests` handles them from arrival to final answer. `pending` and `pending_queue` hold those
+//!   that wait for a worker, `attempt_timers` and `attempt_timeout` check those that wait or were sent,
+//!   `retry_budget` limits retries.
 
 mod affinity;
 mod arrival_statistics;
@@ -64,12 +67,12 @@
 use subset::WorkerSubset;
 use worker_table::WorkerTable;
 
-/// The token of the timer for the checks of requests.
+/// Token of the timer for the next check of a request.
 const ATTEMPT_TIMER: u64 = 0;
-/// The token of the timer after which the worker list is requested again.
+/// Token of the timer for the next watch on the worker list after a discovery failure.
 const DISCOVERY_TIMER: u64 = 1;
 
-/// The decisions of one dispatcher: takes events, and answers with actions.
+/// State and decisions of one dispatcher: takes events and returns actions.
 #[derive(Default)]
 pub struct Dispatcher {
     settings: Settings,
@@ -89,10 +92,11 @@
 }
 
 impl Dispatcher {
-    /// Creates a dispatcher that knows its settings and nothing else. Equal seeds and events give equal
+    /// Creates a dispatcher that has no workers and no requests. Equal settings, seeds and events give equal
     /// actions.
     pub fn new(mut settings: Settings, seed: u64) -> Self {
-        // Requests of a class out of range, which is an error of the host, get the strictest class.
+        // Requests whose class is out of range, which is an error of the host, get this class: it is not
+        // idempotent.
         settings.classes.push(Class { late_value_fraction: 1.0, ..Class::default() });
         let classes = settings.classes.len();
         Dispatcher {
@@ -107,7 +111,7 @@
         }
     }
 
-    /// Handles one event and appends the actions that follow, in order.
+    /// Handles one event and appends the resulting actions, in the order in which to perform them.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         if let Event::Timer(token) = event
             && token != DISCOVERY_TIMER
@@ -177,7 +181,6 @@
         }
     }
 
-    /// Returns the state that decisions depend on.
     fn context(&self) -> DecisionContext<'_> {
         DecisionContext {
             settings: &self.settings,
@@ -188,7 +191,7 @@
         }
     }
 
-    /// Counts the workers in the list by their present status.
+    /// Counts the workers in the list by their status at `now`.
     pub fn worker_counts(&self, now: Micros) -> WorkerCounts {
         self.workers
             .ids()
--- a/crates/dispatcher/src/interface.rs
+++ b/crates/dispatcher/src/interface.rs
@@ -1,6 +1,6 @@
-//! The interface of the decision module: settings, events and actions as plain types.
+//! The types that a dispatcher and its host exchange: settings, events, actions and status counts.
 //!
-//! No type here knows how it is transported, and nothing here decides. Times are microseconds on one clock.
+//! They are plain data, independent of how they are transported. All times are in microseconds on one clock.
 
 mod actions;
 mod events;
--- a/crates/dispatcher/src/interface/actions.rs
+++ b/crates/dispatcher/src/interface/actions.rs
@@ -1,54 +1,56 @@
-//! What a dispatcher asks its host to do.
+//! Actions that a dispatcher asks its host to perform.
 
 use crate::interface::{Micros, RequestId, WorkerId};
 
-/// What a dispatcher does.
+/// An action for the host to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Begin an attempt. The attempts of a request are numbered from 0, in the order of their sends.
+    /// Send an attempt of a request. The attempts of a request are numbered from 0, in the order of their
+    /// sends.
     Send {
-        /// The request.
+        /// Request to send.
         request: RequestId,
-        /// The worker.
+        /// Worker to send it to.
         worker: WorkerId,
-        /// The timeout of this attempt; 0 for the request's deadline.
+        /// Timeout of this attempt; 0 if only the request's deadline applies.
         timeout: Micros,
-        /// It must not be sent from this time on, since workers may have forgotten its idempotency key.
+        /// Time from which the attempt must not be sent any more: workers may have dropped the request's
+        /// idempotency key and would execute a repeat.
         send_by: Micros,
     },
-    /// Withdraw an attempt.
+    /// Cancel an outstanding attempt.
     Cancel {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt within its request.
         attempt: u32,
     },
-    /// Final answer: not executed, and a retry is harmless.
+    /// Give the final answer that the request was rejected: it was not executed, or a retry is harmless.
     Reject {
-        /// The request.
+        /// Request to answer.
         request: RequestId,
         /// How long the client should wait before it retries; 0 for no advice.
         retry_after: Micros,
     },
-    /// Final answer: failed; the request may have taken effect.
+    /// Give the final answer that the request failed: it may have taken effect.
     Fail {
-        /// The request.
+        /// Request to answer.
         request: RequestId,
     },
-    /// Probe a worker.
+    /// Probe a worker; the result is reported as [`crate::Event::ProbeEnded`].
     Probe {
-        /// The worker.
+        /// Worker to probe.
         worker: WorkerId,
     },
-    /// Set a timer, which comes back as [`crate::Event::Timer`].
+    /// Start a timer; its expiry is reported as [`crate::Event::Timer`].
     SetTimer {
-        /// The time from now.
+        /// Delay from now.
         delay: Micros,
-        /// Comes back with the event.
+        /// Token that is reported with the expiry.
         token: u64,
     },
-    /// Subscribe to changes of the worker list.
+    /// Start a watch on the worker list, after which its changes are reported.
     WatchWorkerList,
-    /// Write a log line for the operators.
+    /// Write a message to the operators' log.
     Log(String),
 }
--- a/crates/dispatcher/src/interface/events.rs
+++ b/crates/dispatcher/src/interface/events.rs
@@ -1,52 +1,55 @@
-//! What a dispatcher is notified of.
+//! Events that the host reports to a dispatcher.
 
 use crate::interface::{Micros, RequestId, WorkerId, WorkerListUpdate};
 
-/// How an attempt ended.
+/// Outcome of an attempt or a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The worker served the job.
     Ok,
-    /// The worker answered with an error; the attempt may have been executed.
+    /// The worker responded with an error; the job may have been executed.
     Error,
-    /// The worker rejected the attempt.
+    /// The worker rejected the job; see [`crate::Limits::rejection_may_have_run`].
     Rejected,
-    /// There was no answer in time; the attempt may have been executed.
+    /// No response arrived in time; the job may have been executed.
     Timeout,
-    /// There was no connection; the attempt was not executed.
+    /// No connection to the worker could be established; the job was not executed.
     ConnectFailed,
-    /// The connection broke; the attempt may have been executed.
+    /// The connection broke; the job may have been executed.
     Reset,
-    /// It was withdrawn; the attempt may have been executed.
+    /// The attempt was cancelled; the job may have been executed.
     Cancelled,
-    /// It was not sent.
+    /// The attempt was not sent, so the job was not executed.
     NotSent,
-    /// The request itself is invalid: that says nothing of the worker, and no other worker would accept it.
+    /// The request itself is invalid. That says nothing about the worker, and no other worker would accept
+    /// the request.
     InvalidRequest,
 }
 
-/// A request as it arrives.
+/// An arriving request.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Its id.
+    /// Id that the host has assigned.
     pub request: RequestId,
-    /// Its class; one out of range is treated as not idempotent.
+    /// Index of its class in [`crate::Settings::classes`]; a request with an index out of range is treated as
+    /// not idempotent.
     pub class: usize,
-    /// When the client stops waiting for this answer.
+    /// Time at which the client stops waiting for this answer.
     pub deadline: Micros,
-    /// Its expected running time on a standard core, if known.
+    /// Work hint: expected running time on a standard core, if known.
     pub work_hint: Option<Micros>,
-    /// The slots that it takes.
+    /// Number of slots that the job occupies at a worker.
     pub slots: f64,
-    /// The client marks it as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// A hash of what it is about, the same at every dispatcher; 0 for none.
+    /// Hash of the affinity key, which names the data that the job needs; the same at every dispatcher, 0 for
+    /// none.
     pub affinity_key: u64,
-    /// Its body can be sent. False where it could not be stored, and such requests are rejected.
+    /// Whether the body can be sent to a worker. False if it could not be stored; such requests are rejected.
     pub body_sendable: bool,
 }
 
-/// What happens to a dispatcher.
+/// An event that the host reports to a dispatcher.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The worker list was updated, or an update failed.
@@ -55,72 +58,76 @@
     Arrival(Arrival),
     /// A worker has started the job of an attempt.
     AttemptStarted {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt within its request.
         attempt: u32,
-        /// The worker.
+        /// Worker that the attempt was sent to.
         worker: WorkerId,
     },
-    /// A running job reports its progress.
+    /// A worker has reported the progress of a running job.
     AttemptProgress {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt within its request.
         attempt: u32,
-        /// The worker.
+        /// Worker that the attempt was sent to.
         worker: WorkerId,
-        /// The fraction done.
+        /// Completed fraction of the job, from 0 to 1.
         completed_fraction: f64,
     },
-    /// An attempt ended.
+    /// An attempt has its outcome.
     AttemptEnded {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt within its request.
         attempt: u32,
-        /// The worker.
+        /// Worker that the attempt was sent to.
         worker: WorkerId,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// The time since it was sent.
+        /// Time since the attempt was sent.
         elapsed: Micros,
-        /// The request has its final answer.
+        /// Whether the request has its final answer, so that no further attempt is needed.
         request_concluded: bool,
-        /// The worker's load report; empty if there was none.
+        /// Values of the worker's load report, at the positions in [`crate::ReportFields`]; empty if there
+        /// was none.
         load_report: Vec<f64>,
     },
-    /// The answer of a streamed class has begun: no timeout or deadline applies any longer.
+    /// A worker has begun its response to a request of a streamed class: no timeout or deadline applies any
+    /// longer.
     ResponseStreaming {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt within its request.
         attempt: u32,
-        /// The worker.
+        /// Worker that the attempt was sent to.
         worker: WorkerId,
     },
-    /// The last byte of an attempt with a long body was sent: the time until now is not the worker's.
+    /// The last byte of a long request body was sent. The job's wait at the worker is counted from this time,
+    /// not from the start of the transfer.
     RequestSent {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt within its request.
         attempt: u32,
-        /// The worker.
+        /// Worker that the attempt was sent to.
         worker: WorkerId,
     },
-    /// A part of the request's body that is not stored was sent to a worker: no further attempt is possible.
+    /// A part of a request body that is not stored was sent to a worker, so that no further attempt is
+    /// possible.
     BodyConsumed(RequestId),
-    /// The client has disconnected; it needs no answer.
+    /// The client has disconnected; its request needs no answer.
     ClientDisconnected(RequestId),
-    /// A probe ended.
+    /// A probe has its outcome.
     ProbeEnded {
-        /// The worker.
+        /// Worker that was probed.
         worker: WorkerId,
-        /// How it ended.
+        /// How the probe ended.
         outcome: Outcome,
-        /// The worker's load report; empty if there was none.
+        /// Values of the worker's load report; empty if there was none.
         load_report: Vec<f64>,
     },
-    /// The timer of this token has fired.
+    /// The timer with this token has expired.
     Timer(u64),
 }
--- a/crates/dispatcher/src/interface/ids.rs
+++ b/crates/dispatcher/src/interface/ids.rs
@@ -1,12 +1,13 @@
-//! Time, and the numbers by which requests and workers are known.
+//! Times and identifiers.
 
-/// A point in time or a duration, in microseconds.
+/// Point in time or duration, in microseconds.
 pub type Micros = i64;
 
-/// A request, numbered by the host of the dispatcher. A number is never used again for another request.
+/// Identifier of a request, assigned by the host and never reused for another request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A worker, numbered densely from 0 in the order in which the host first named it to this dispatcher.
+/// Identifier of a worker. The host numbers workers densely from 0, in the order in which it first names them
+/// to this dispatcher.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerId(pub u32);
--- a/crates/dispatcher/src/interface/settings.rs
+++ b/crates/dispatcher/src/interface/settings.rs
@@ -1,136 +1,139 @@
-//! What a dispatcher knows from its start on.
+//! Settings of a dispatcher, which do not change while it runs.
 
 use crate::interface::Micros;
 
-/// The workers that recognise a keyed request as a repeat, and drop it.
+/// The workers that recognise and drop a repeat of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// All workers.
     All,
-    /// The workers in the zone of the worker that received the request first.
+    /// Workers in the zone of the worker that received the request first.
     Zone,
-    /// The workers in the cell of the worker that received the request first.
+    /// Workers in the cell of the worker that received the request first.
     Cell,
 }
 
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// A repeat is harmless.
+    /// Repeated execution is harmless.
     Idempotent,
-    /// The request has an idempotency key: the workers in `scope` drop repeats for `window` after the first
+    /// Requests have an idempotency key: the workers in `scope` drop repeats for `window` after the first
     /// send.
     Keyed {
-        /// The workers that drop a repeat.
+        /// Workers that drop repeats.
         scope: DedupScope,
-        /// How long they remember the key.
+        /// Time for which they keep the key.
         window: Micros,
     },
-    /// A repeat takes effect again.
+    /// Repeated execution takes effect again.
     #[default]
     NotIdempotent,
 }
 
-/// A request class.
+/// Settings of a request class.
 #[derive(Clone, Debug, Default)]
 pub struct Class {
     /// Whether a request may be executed more than once.
     pub idempotency: Idempotency,
-    /// The latency objective: an answer is in time within this duration...
+    /// Fixed part of the latency objective: an answer is in time within this duration plus
+    /// `objective_stretch` times the running time of the job.
     pub latency_objective: Micros,
-    /// ...plus this multiple of the job's own running time.
+    /// Variable part of the latency objective, as a multiple of the running time of the job.
     pub objective_stretch: f64,
-    /// How long the client waits, over all of its attempts.
+    /// Time that a client waits, over all of its attempts.
     pub deadline: Micros,
-    /// The value of one request, relative to those of other classes.
+    /// Value of an answer in time, relative to other classes.
     pub priority_weight: f64,
-    /// The fraction of its value that a late answer has.
+    /// Fraction of that value that a late answer keeps.
     pub late_value_fraction: f64,
-    /// The one kind of worker that runs the class, if not all do.
+    /// The only worker kind that runs this class; `None` if all kinds do.
     pub worker_kind: Option<usize>,
 }
 
-/// What the site permits.
+/// What the platform permits a dispatcher to do.
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
-    /// The most attempts of a request.
+    /// Upper bound of the attempts of a request; 0 counts as 1.
     pub max_attempts: u32,
-    /// A request may have two outstanding attempts at once.
+    /// Whether a request may have two outstanding attempts at the same time.
     pub hedging: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Workers may be probed.
+    /// Whether workers may be probed.
     pub probes: bool,
-    /// The longest time that a rejected client can be asked to wait before it retries; 0 for no such advice.
+    /// Longest wait before a retry that a rejection may advise; 0 if it must not advise any.
     pub max_retry_after: Micros,
-    /// A connection that is not made within this time has failed.
+    /// Time after which an attempt to connect has failed.
     pub connect_timeout: Micros,
-    /// A worker's rejection does not prove that the attempt was not executed.
+    /// Whether a job may have been executed although its worker rejected the attempt.
     pub rejection_may_have_run: bool,
 }
 
-/// Slow start: how much work a worker whose process has just started can take.
+/// Slow start: the reduced capacity of a worker whose process has just started.
 #[derive(Clone, Debug, Default)]
 pub struct SlowStartRules {
-    /// The fraction of its capacity that a worker has when it starts...
+    /// Fraction of its full capacity that a worker has when it starts.
     pub initial_capacity: f64,
-    /// ...and how long it takes, at most, to reach all of it.
+    /// Upper bound of the time from its start until a worker has its full capacity.
     pub duration: Micros,
-    /// A worker in slow start fails if it is sent more than this multiple of its present capacity...
+    /// A worker in slow start fails if the work sent to it within `overload_window` is more than this
+    /// multiple of its current capacity.
     pub overload_factor: f64,
-    /// ...within this window.
+    /// Time window of `overload_factor`.
     pub overload_window: Micros,
 }
 
-/// What is deducted from the value of the requests served, as fractions of it.
+/// Deductions from the value of the answered requests, as fractions of it.
 #[derive(Clone, Debug, Default)]
 pub struct Penalties {
-    /// For work that served no answer, where it is as much as was asked for.
+    /// Deduction if the work that led to no answer is as much as all the work that was requested.
     pub wasted_work: f64,
-    /// For attempts that cross zones, where all requests do.
+    /// Deduction if all requests are sent to another zone.
     pub cross_zone: f64,
 }
 
-/// The positions of the values in a load report.
+/// Positions of values in a load report; `None` for a value that is not reported.
 #[derive(Clone, Debug, Default)]
 pub struct ReportFields {
-    /// The fraction of the CPU in use.
+    /// Fraction of the CPU in use.
     pub cpu_utilization: Option<usize>,
-    /// The free slots.
+    /// Number of free slots.
     pub free_slots: Option<usize>,
 }
 
-/// All that a dispatcher knows when it starts.
+/// Settings that a dispatcher gets when it starts.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// The number of this dispatcher among those that share the workers, from 0.
+    /// Index of this dispatcher among those that share the workers, from 0.
     pub instance: u32,
-    /// The number of dispatchers that share the workers.
+    /// Number of dispatchers that share the workers.
     pub instances: u32,
-    /// The zone of this dispatcher.
+    /// Zone of this dispatcher.
     pub zone: usize,
-    /// How many kinds of machine there are.
+    /// Number of worker kinds, that is, machine types.
     pub worker_kinds: usize,
-    /// The request classes.
+    /// Request classes, in the order of their indexes.
     pub classes: Vec<Class>,
-    /// What the site permits.
+    /// What the platform permits.
     pub limits: Limits,
-    /// The slow start of workers.
+    /// Capacity of workers that have just started.
     pub slow_start: SlowStartRules,
-    /// What is deducted from the value of the requests served.
+    /// Deductions from the value of the answered requests.
     pub penalties: Penalties,
-    /// Clients mark their retries.
+    /// Whether clients mark their retries; if not, any request may be a retry.
     pub clients_mark_retries: bool,
-    /// Changes of the worker list come only after [`crate::Action::WatchWorkerList`].
+    /// Whether changes of the worker list are reported only after [`crate::Action::WatchWorkerList`].
     pub worker_list_needs_watch: bool,
-    /// Workers report when a job starts.
+    /// Whether workers report the start of a job.
     pub workers_report_start: bool,
-    /// The interval at which workers report the progress of a job; 0 if they do not.
+    /// Interval at which workers report the progress of a job; 0 if they do not.
     pub progress_interval: Micros,
-    /// The least time between two events.
+    /// Shortest time between two events, and therefore the shortest delay of a timer.
     pub min_timer_delay: Micros,
-    /// The weights in the worker list are lowered by the load that the workers had at some earlier time.
+    /// Whether the weights in the worker list are reduced by the load that the workers had at some earlier
+    /// time.
     pub weights_include_load: bool,
-    /// What a load report contains.
+    /// Positions of the values in a load report.
     pub report_fields: ReportFields,
 }
--- a/crates/dispatcher/src/interface/status.rs
+++ b/crates/dispatcher/src/interface/status.rs
@@ -1,33 +1,33 @@
-//! How a dispatcher regards its workers, for metrics.
+//! Status of the workers as a dispatcher sees them, for metrics.
 
-/// How a dispatcher regards a worker in its list.
+/// Status of a worker in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerStatus {
-    /// It gets work.
+    /// It gets new work.
     Available,
-    /// The worker list says that it accepts no new work.
+    /// It accepts no new work, according to the worker list.
     Draining,
-    /// It has failed recently, and gets half-open probes only.
+    /// It has failed recently and gets half-open probes only.
     Ejected,
-    /// It has rejected every class that it runs.
+    /// It has recently rejected every class that it runs.
     Saturated,
 }
 
-/// The workers in the list, counted by status.
+/// Number of workers in the list by status.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WorkerCounts {
     /// All workers in the list.
     pub known: u64,
-    /// Those that the list says accept no new work.
+    /// Workers that accept no new work, according to the list.
     pub draining: u64,
-    /// Those that have failed recently.
+    /// Workers that have failed recently.
     pub ejected: u64,
-    /// Those that have rejected every class that they run.
+    /// Workers that have recently rejected every class that they run.
     pub saturated: u64,
 }
 
 impl WorkerCounts {
-    /// The workers that get no work.
+    /// Returns the number of workers that get no new work.
     pub fn unavailable(&self) -> u64 {
         self.draining + self.ejected + self.saturated
     }
--- a/crates/dispatcher/src/interface/worker_list.rs
+++ b/crates/dispatcher/src/interface/worker_list.rs
@@ -2,47 +2,48 @@
 
 use crate::interface::{Micros, WorkerId};
 
-/// The state of a worker's process, as the worker list says.
+/// State of a worker's process, according to the worker list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It accepts work.
+    /// It accepts new work.
     Ready,
-    /// It completes its work and accepts no more.
+    /// It completes the work that it has and accepts no more.
     Draining,
     /// It was removed from the list.
     #[default]
     Gone,
 }
 
-/// One worker of the worker list.
+/// Entry of the worker list.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerEntry {
-    /// The worker.
+    /// Worker that the entry describes.
     pub worker: WorkerId,
-    /// A hash of its name, the same at every dispatcher, used to spread work.
+    /// Hash of the worker's name, the same at every dispatcher, from which workers are assigned to affinity
+    /// keys and dispatchers.
     pub name_hash: u64,
-    /// The state of its process.
+    /// State of its process.
     pub lifecycle: Lifecycle,
-    /// When it last started; 0 when that is long ago.
+    /// Time at which its process started; 0 if that is long ago.
     pub started_at: Micros,
-    /// Its kind of machine.
+    /// Index of its worker kind, that is, its machine type.
     pub kind: usize,
-    /// Its zone.
+    /// Index of its zone.
     pub zone: usize,
-    /// Its cell.
+    /// Identifier of its cell.
     pub cell: u64,
-    /// Its capacity, relative to other workers.
+    /// Capacity relative to other workers; see [`crate::Settings::weights_include_load`].
     pub weight: f64,
 }
 
-/// An update of the worker list.
+/// Update of the worker list.
 #[derive(Clone, Debug)]
 pub enum WorkerListUpdate {
     /// The entries that changed.
     Delta(Vec<WorkerEntry>),
     /// The complete list; a worker that is not in it is gone.
     Full(Vec<WorkerEntry>),
-    /// The complete list from a cache, perhaps out of date.
+    /// The complete list from a cache, which may be outdated.
     Cached(Vec<WorkerEntry>),
     /// A request for the list failed, or the watch on it ended.
     Failed,
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,7 +1,7 @@
-//! The decisions of a dispatcher that pushes jobs to workers.
+//! Decision logic of a dispatcher that sends jobs to workers.
 //!
-//! [`Dispatcher`] takes events and answers with actions. It does no I/O, reads no clock and starts no
-//! thread: the host passes the time in and carries the actions out.
+//! [`Dispatcher`] takes events and returns actions. It does no I/O, reads no clock and starts no thread: its
+//! host passes in the time and performs the actions.
 //!
 //! ```
 //! use sorrelhaven_dispatcher::*;
