--- a/crates/dispatcher/src/dispatcher/cached_keys.rs
+++ b/crates/dispatcher/src/dispatcher/cached_keys.rs
@@ -1,13 +1,14 @@
-//! The affinity keys that a worker is expected to have in its cache.
+//! Affinity keys whose data a worker is expected to have in its cache.
 
 use std::collections::VecDeque;
 
-/// The time that a worker takes to fetch the data of a key that it does not have, in mean job sizes.
+/// Time that a worker takes to fetch the data of a key that it does not have, as a multiple of the mean job
+/// size.
 pub(super) const KEY_FETCH_COST: f64 = 0.45;
-/// The keys that a worker is expected to cache for each of its slots.
+/// Number of keys that a worker is expected to cache for each of its slots.
 const KEYS_PER_SLOT: f64 = 1.3;
 
-/// The keys of the latest jobs that a worker was sent, the most recent last.
+/// Keys of the latest jobs that were sent to a worker, the most recent last.
 #[derive(Default)]
 pub(super) struct CachedKeys(VecDeque<u64>);
 
@@ -23,12 +24,11 @@
         self.0.drain(..self.0.len().saturating_sub(limit));
     }
 
-    /// Returns whether the worker is expected to have this key.
+    /// Returns whether the worker is expected to have the data of this key.
     pub(super) fn contains(&self, key: u64) -> bool {
         self.0.contains(&key)
     }
 
-    /// Removes all keys.
     pub(super) fn clear(&mut self) {
         self.0.clear();
     }
--- a/crates/dispatcher/src/dispatcher/capacity.rs
+++ b/crates/dispatcher/src/dispatcher/capacity.rs
@@ -4,19 +4,20 @@
 use crate::dispatcher::worker_table::WorkerTable;
 use crate::interface::WorkerId;
 
-/// Lower bound of an estimate.
+/// Lower bound of an estimate, in standard cores.
 const MIN_CAPACITY: f64 = 1e-3;
 /// Lower bound of the factor by which a worker's weight changes the mean capacity.
 const MIN_WEIGHT_FACTOR: f64 = 0.5;
 /// Upper bound of the factor by which a worker's weight changes the mean capacity.
 const MAX_WEIGHT_FACTOR: f64 = 2.0;
-/// The history of a kind of machine, relative to that of one worker.
+/// Number of observations averaged for a worker kind, as a multiple of that for one worker.
 const KIND_HISTORY_FACTOR: f64 = 2.0;
-/// The history of all workers together, relative to that of one worker.
+/// Number of observations averaged for all workers together, as a multiple of that for one worker.
 const ALL_WORKERS_HISTORY_FACTOR: f64 = 4.0;
 
-/// The Estimated Processing Capacity (EPC) of one worker outside slow start: the running time of a job on a
-/// standard core over the time that the worker needed for it, averaged. 1 is a standard core without a queue.
+/// Estimated Processing Capacity (EPC) of one worker outside slow start, in standard cores: the average of a
+/// job's running time on a standard core over the time that the worker needed for it. 1 is a standard core
+/// without a queue.
 #[derive(Default)]
 pub(super) struct EstimatedCapacity {
     /// Observations by class.
@@ -36,8 +37,8 @@
         self.estimates.get(class).copied().unwrap_or(1.0)
     }
 
-    /// Recomputes the estimates from the observations of each class and of all classes; `prior` stands in
-    /// for missing observations.
+    /// Recomputes the estimate of each class from its observations and those of all classes; `prior` replaces
+    /// missing observations.
     fn update(&mut self, prior: f64) {
         let overall = DecayedMean::combined(&self.observed).mean(prior);
         self.estimates.clear();
@@ -45,16 +46,15 @@
     }
 }
 
-/// Estimates the capacity of workers from their own history, that of their kind of machine, and their
-/// weight.
+/// Estimates the capacity of workers from their own observations, those of their kind, and their weight.
 #[derive(Default)]
 pub(super) struct CapacityEstimator {
     all_workers: DecayedMean,
 }
 
 impl CapacityEstimator {
-    /// Records the capacity that a worker showed with one job. `is_full` is false in slow start, when the
-    /// observation does not apply to other workers.
+    /// Records the capacity that a worker showed with one job. `at_full_capacity` is false in slow start,
+    /// when the observation does not apply to other workers.
     pub(super) fn observe(
         &mut self,
         workers: &mut WorkerTable,
--- a/crates/dispatcher/src/dispatcher/decayed_mean.rs
+++ b/crates/dispatcher/src/dispatcher/decayed_mean.rs
@@ -1,11 +1,11 @@
-//! A mean in which older observations weigh less.
+//! Mean in which older observations have less weight.
 
-/// The number of observations after which an older one has lost two thirds of its weight.
+/// Number of observations after which an older one has lost two thirds of its weight.
 pub(super) const HISTORY_OBSERVATIONS: f64 = 20.0;
-/// The number of observations that a prior counts for, so that one unusual job does not decide an estimate.
+/// Number of observations that a prior counts for, so that one unusual job does not determine an estimate.
 pub(super) const PRIOR_OBSERVATIONS: f64 = 2.0;
 
-/// The decayed sum and the decayed number of observations.
+/// Decayed sum and decayed number of observations.
 #[derive(Clone, Copy, Default)]
 pub(super) struct DecayedMean {
     sum: f64,
--- a/crates/dispatcher/src/dispatcher/health.rs
+++ b/crates/dispatcher/src/dispatcher/health.rs
@@ -1,30 +1,33 @@
-//! Which workers have failed or rejected work recently.
+//! Recent failures and rejections of each worker, and the backoff after them.
 
 use crate::dispatcher::worker::Worker;
 use crate::interface::Micros;
 
-/// Upper bound of the failures that count against a worker, so that it recovers quickly from a long outage.
+/// Upper bound of the failures that are counted for a worker, so that it recovers quickly from a long outage.
 pub(super) const MAX_FAILURES: u32 = 4;
-/// The pause before a failed worker gets a half-open probe; it doubles with each further failure.
+/// Backoff after a failure or rejection, in microseconds, before it is doubled for each recent one. A failed
+/// worker gets no half-open probe until it has passed, and a rejected class is not sent to the worker.
 const BASE_BACKOFF: Micros = 250_000;
-/// Further doublings of that pause after a rejection that loses the job, since it may have run.
+/// Further doublings of the backoff after a rejection of a job that can't be retried, since it may have been
+/// executed.
 const UNRETRYABLE_REJECTION_DOUBLINGS: u32 = 3;
 
-/// The recent rejections of one class by one worker.
+/// Recent rejections of one class by one worker.
 #[derive(Clone, Copy, Default)]
 struct RejectionBackoff {
     rejections: u32,
-    /// The class is not sent to the worker before this time.
+    /// Time until which the class is not sent to the worker.
     until: Micros,
 }
 
-/// Failures, rejections and signs of life of one worker.
+/// Failures, rejections and last activity of one worker.
 #[derive(Default)]
 pub(super) struct WorkerHealth {
-    /// The paper's R: recent failures, up to [`MAX_FAILURES`].
+    /// Recent failures, up to [`MAX_FAILURES`]; the paper's R.
     failures: u32,
-    /// When a failed worker may get a half-open probe.
+    /// Time from which a failed worker may get a half-open probe.
     probe_at: Micros,
+    /// Last time at which the worker reported the start of a job or served one.
     last_activity: Micros,
     /// By class.
     rejections: Vec<RejectionBackoff>,
@@ -36,44 +39,44 @@
         self.rejections.resize(classes, RejectionBackoff::default());
     }
 
-    /// Clears failures and rejections, since a new process has started.
+    /// Clears failures and rejections after a new process has started.
     pub(super) fn reset(&mut self) {
         self.failures = 0;
         self.rejections.fill(RejectionBackoff::default());
     }
 
-    /// Returns the number of recent failures.
+    /// Returns the number of recent failures, at most [`MAX_FAILURES`].
     pub(super) fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Returns whether the pause after the last failure is over.
+    /// Returns whether the backoff after the last failure has passed.
     pub(super) fn probe_backoff_elapsed(&self, now: Micros) -> bool {
         now >= self.probe_at
     }
 
-    /// Returns whether the worker has shown a sign of life after this time.
+    /// Returns whether the worker has reported the start of a job or served one after this time.
     pub(super) fn was_active_after(&self, time: Micros) -> bool {
         self.last_activity > time
     }
 
-    /// Records a sign of life.
+    /// Records that the worker has reported the start of a job or served one.
     pub(super) fn record_activity(&mut self, now: Micros) {
         self.last_activity = now;
     }
 
-    /// Returns whether the worker has not rejected this class recently.
+    /// Returns whether the backoff after rejections of this class has passed.
     pub(super) fn accepts(&self, class: usize, now: Micros) -> bool {
         self.rejections.get(class).is_none_or(|backoff| backoff.until <= now)
     }
 
-    /// Returns whether the worker has rejected any class recently.
+    /// Returns whether the backoff after rejections has not passed yet for at least one class.
     pub(super) fn has_recent_rejection(&self, now: Micros) -> bool {
         self.rejections.iter().any(|backoff| backoff.until > now)
     }
 
-    /// Records that a job was served. Returns true if that clears earlier failures, which a late answer
-    /// does not.
+    /// Records a served job. An answer in time clears earlier failures, a late one does not. Returns whether
+    /// there were failures to clear.
     pub(super) fn record_success(&mut self, class: usize, now: Micros, in_time: bool) -> bool {
         self.record_activity(now);
         if let Some(backoff) = self.rejections.get_mut(class) {
@@ -98,11 +101,11 @@
     }
 }
 
-/// Compares the failures of a worker with those of the others: an outage that all share ejects none of
-/// them.
+/// Compares the failures of a worker with those of the median worker, so that an outage of all workers ejects
+/// none of them.
 #[derive(Default)]
 pub(super) struct HealthTracker {
-    /// The number of failures of the median worker.
+    /// Number of failures of the median worker.
     median_failures: u32,
 }
 
@@ -113,17 +116,17 @@
         self.median_failures = failures.get(failures.len() / 2).copied().unwrap_or(0);
     }
 
-    /// Returns the failures of a worker beyond those of the median worker.
+    /// Returns the number of failures of a worker beyond those of the median worker.
     pub(super) fn excess_failures(&self, worker: &Worker) -> u32 {
         worker.health.failures().saturating_sub(self.median_failures)
     }
 
-    /// Returns whether a worker has failed no more often than the median worker.
+    /// Returns whether a worker has no more failures than the median worker.
     pub(super) fn is_healthy(&self, worker: &Worker) -> bool {
         self.excess_failures(worker) == 0
     }
 
-    /// Records a failure of a worker.
+    /// Records a failure of a worker. The backoff does not count failures that the median worker has as well.
     pub(super) fn record_failure(&self, worker: &mut Worker, now: Micros) {
         worker.health.record_failure(now, self.median_failures);
     }
--- a/crates/dispatcher/src/dispatcher/observations.rs
+++ b/crates/dispatcher/src/dispatcher/observations.rs
@@ -1,11 +1,11 @@
-//! What start notices, ends of attempts and load reports show about a worker.
+//! Updates of a worker's state from start notices, ends of attempts and load reports.
 
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::attempt::{Attempt, AttemptId};
 use crate::dispatcher::worker_evidence::WorkerEvidence;
 use crate::interface::{Idempotency, Micros, Outcome, WorkerId};
 
-/// Upper bound of the capacity that one job can show, relative to the present estimate.
+/// Upper bound of the capacity derived from one job, as a multiple of the current estimate.
 const MAX_CAPACITY_RATIO: f64 = 4.0;
 /// Load reports with more free slots than this are ignored.
 const MAX_REPORTED_SLOTS: f64 = 1024.0;
@@ -25,7 +25,7 @@
         self.workers.kind_mut(id.worker).record_running(running);
     }
 
-    /// Handles a load report, which says how many slots were free at some earlier time.
+    /// Handles a load report, which contains the number of free slots at some earlier time.
     pub(super) fn on_load_report(&mut self, id: WorkerId, report: &[f64]) {
         let field = self.settings.report_fields.free_slots;
         let Some(&free) = field.and_then(|index| report.get(index)) else { return };
@@ -57,8 +57,8 @@
         }
     }
 
-    /// In slow start, an answer that is slower than the slow start explains lowers the estimate, and a
-    /// faster one does not raise it.
+    /// Updates the worker's capacity after a served job. In slow start, a job that took longer than the
+    /// reduced capacity explains lowers the estimate, but a faster one does not raise it.
     fn record_served(&mut self, now: Micros, attempt: &Attempt, elapsed: Micros) {
         let id = attempt.id.worker;
         let worker = self.workers.get(id);
@@ -74,7 +74,8 @@
         self.ranking.invalidate();
     }
 
-    /// A full queue is assumed to be longer than the job could have waited, however fast the rejection was.
+    /// Records a rejection. The queue is assumed to be longer than the job could have waited, however fast
+    /// the rejection came.
     fn record_rejection(&mut self, now: Micros, attempt: &Attempt) {
         let idempotency = self.settings.classes[attempt.class].idempotency;
         let is_unretryable =
@@ -88,8 +89,8 @@
 
     fn record_failure(&mut self, now: Micros, attempt: &Attempt, outcome: Outcome) {
         let id = attempt.id.worker;
-        // Where many dispatchers share a worker, each sees few starts, and none of the jobs that did not
-        // start.
+        // If many dispatchers share a worker, each gets few start notices from which to measure its wait, and
+        // none for the jobs that did not start. The wait of this job is therefore recorded here.
         let timed_out_in_queue = outcome == Outcome::Timeout && attempt.started_at.is_none();
         if timed_out_in_queue && self.workers.groups_above_small_zone() > 0.0 {
             self.record_wait(now, id, attempt.class, attempt.waited(now));
@@ -98,7 +99,7 @@
         self.health.record_failure(self.workers.get_mut(id), now);
     }
 
-    /// Records how long a job waited at a worker, whether or not it started then.
+    /// Records how long a job waited at a worker, whether or not it has started.
     fn record_wait(&mut self, now: Micros, id: WorkerId, class: usize, waited: f64) {
         let in_slow_start = self.context().capacity_fraction(self.workers.get(id), now) < 1.0;
         self.workers.get_mut(id).record_wait(class, now, waited);
--- a/crates/dispatcher/src/dispatcher/slow_start.rs
+++ b/crates/dispatcher/src/dispatcher/slow_start.rs
@@ -1,29 +1,32 @@
-//! Slow start: how much may be sent to a worker whose process has just started.
+//! Slow start: how much work may be sent to a worker whose process has just started.
 //!
-//! All dispatchers together must stay below a multiple of the worker's present capacity in any window. They
-//! do not communicate, so each estimates its own share.
+//! In any window, all dispatchers together must send less than a multiple of the worker's current capacity.
+//! They do not communicate, so each estimates its own share.
 
 use crate::dispatcher::attempt::START_GRACE;
 use crate::dispatcher::context::DecisionContext;
 use crate::dispatcher::request::Request;
 use crate::interface::{Micros, SlowStartRules, WorkerId};
 
-/// The part of the budget that is used, since hints are rough and the sends of other dispatchers are
-/// unknown.
+/// Fraction of the permitted work that is used, before [`FEW_USERS_DEDUCTION`]. The rest is a reserve: work
+/// hints are inaccurate, and the sends of other dispatchers are unknown.
 const BUDGET_SHARE: f64 = 0.9;
-/// Divided by the number of dispatchers plus 2, it is deducted from that part: the work of few dispatchers
-/// varies more.
+/// [`BUDGET_SHARE`] is reduced by this value divided by n + 2, where n is the expected number of dispatchers
+/// that use the worker: the total work of few dispatchers varies more than that of many.
 const FEW_USERS_DEDUCTION: f64 = 1.25;
-/// The part of a window's capacity that one job may use if it is sent on credit.
+/// Upper bound of a job that exceeds this dispatcher's share, as a fraction of the worker's capacity in a
+/// window.
 const MAX_SINGLE_JOB_SHARE: f64 = 0.8;
-/// Lower bound of a send's cost, relative to the mean size: a hint far below the mean is likely wrong.
+/// Lower bound of the work counted for a send, as a fraction of the mean job size: a work hint far below the
+/// mean is probably wrong.
 const MIN_COST_SHARE: f64 = 0.25;
-/// A worker is late with a job that has been outstanding for longer than this multiple of its expected time.
+/// A worker is late with a job that has been outstanding for more than this multiple of its expected time.
 const LATE_JOB_FACTOR: f64 = 2.0;
-/// Lower bound of the capacity fraction.
+/// Lower bound of the capacity fraction, which is used as a divisor.
 const MIN_CAPACITY_FRACTION: f64 = 0.01;
 
-/// Returns the fraction of its full capacity that a process has now, above 0 and up to 1.
+/// Returns the fraction of its full capacity that a process has at `now`, above 0 and up to 1. It grows
+/// linearly with the age of the process.
 pub(super) fn capacity_fraction(rules: &SlowStartRules, started_at: Micros, now: Micros) -> f64 {
     let age = now - started_at;
     if started_at <= 0 || age >= rules.duration {
@@ -33,7 +36,7 @@
     (rules.initial_capacity + gained).clamp(MIN_CAPACITY_FRACTION, 1.0)
 }
 
-/// The work that this dispatcher has sent to a worker in excess of its share, at one moment.
+/// Work that this dispatcher has sent to a worker in excess of its share, at the time of the last update.
 #[derive(Clone, Copy, Default)]
 pub(super) struct SlowStartDebt {
     /// Running time on a standard core, in microseconds.
@@ -42,30 +45,30 @@
 }
 
 impl SlowStartDebt {
-    /// Creates a debt of this amount of work at this time.
     pub(super) fn new(work: f64, updated_at: Micros) -> Self {
         SlowStartDebt { work, updated_at }
     }
 
-    /// Returns the remaining debt if `rate` is paid off per microsecond; below 0 if less than the share was
-    /// sent.
+    /// Returns the remaining debt if it decreases by `rate` per microsecond; below 0 if less than the share
+    /// was sent.
     fn remaining_at(&self, now: Micros, rate: f64) -> f64 {
         self.work - (now - self.updated_at) as f64 * rate
     }
 }
 
-/// The work that a worker in slow start can accept, per microsecond.
+/// Work that a worker in slow start can accept per microsecond, in microseconds on a standard core.
 struct SlowStartRate {
-    /// The worker's present capacity.
+    /// Current capacity of the worker.
     capacity: f64,
-    /// This dispatcher's share of what all may send.
+    /// This dispatcher's share of the work that all dispatchers may send.
     share: f64,
 }
 
 impl DecisionContext<'_> {
-    /// Returns whether a worker can accept this much more work; always true outside slow start. If this
-    /// dispatcher's share of a window is smaller than a job, a job may be sent on credit, and the next one
-    /// when the debt is paid off. Since the dispatchers start with random debts, they take turns.
+    /// Returns whether a worker can accept `cost` more work; always true outside slow start. If a job exceeds
+    /// this dispatcher's share of a window, it may be sent while there is no debt, and the next one after its
+    /// debt has been worked off. The random initial debts prevent all dispatchers from sending such jobs at
+    /// the same time.
     pub(super) fn has_slow_start_budget(&self, id: WorkerId, cost: f64, now: Micros) -> bool {
         let worker = self.workers.get(id);
         if self.capacity_fraction(worker, now) >= 1.0 {
@@ -74,7 +77,7 @@
         let rate = self.slow_start_rate(id, now);
         let window = self.settings.slow_start.overload_window as f64;
         let debt = self.slow_start_debt(id, now);
-        // A worker that is late with a job has less capacity than assumed.
+        // A worker that is late with a job has less capacity than estimated.
         let is_late = worker.outstanding().iter().any(|attempt| {
             let expected = LATE_JOB_FACTOR * attempt.size / rate.capacity;
             attempt.waited(now) > expected + START_GRACE as f64
@@ -84,7 +87,7 @@
         !is_late && (fits_share || fits_single_job)
     }
 
-    /// Returns the work that a send of this request adds to the debt.
+    /// Returns the work that a send of this request adds to the debt, in microseconds on a standard core.
     pub(super) fn slow_start_cost(&self, request: &Request) -> f64 {
         (request.size * request.slots).max(self.arrivals.mean_size() * MIN_COST_SHARE)
     }
@@ -105,8 +108,8 @@
         self.workers.get(id).slow_start_debt().remaining_at(now, self.slow_start_rate(id, now).share)
     }
 
-    /// Estimates the worker's present capacity from the work of all dispatchers and its share of the total
-    /// weight, and this dispatcher's share from the number of dispatchers that are likely to use the
+    /// Estimates the worker's current capacity from the work of all dispatchers and the worker's fraction of
+    /// the total weight, and this dispatcher's share from the expected number of dispatchers that use the
     /// worker.
     fn slow_start_rate(&self, id: WorkerId, now: Micros) -> SlowStartRate {
         let worker = self.workers.get(id);
--- a/crates/dispatcher/src/dispatcher/worker.rs
+++ b/crates/dispatcher/src/dispatcher/worker.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher knows of one worker.
+//! State of one worker.
 
 use crate::dispatcher::attempt::{Attempt, AttemptId};
 use crate::dispatcher::cached_keys::CachedKeys;
@@ -8,7 +8,7 @@
 use crate::dispatcher::slow_start::SlowStartDebt;
 use crate::interface::{Lifecycle, Micros, WorkerEntry};
 
-/// A worker: its list entry, its outstanding attempts, and what its answers have shown.
+/// A worker: its list entry, its outstanding attempts, and what its responses have shown.
 #[derive(Default)]
 pub(super) struct Worker {
     pub(super) entry: WorkerEntry,
@@ -17,13 +17,13 @@
     slow_start_debt: SlowStartDebt,
     cached_keys: CachedKeys,
     outstanding: Vec<Attempt>,
-    /// By class.
+    /// Measured waits by class.
     waits: Vec<DecayedWait>,
 }
 
 impl Worker {
-    /// Applies an entry of the worker list. A later start time means a new process: the health of the old
-    /// one is cleared, and slow start begins with this debt.
+    /// Applies an entry of the worker list. A later start time indicates a new process: the health and cached
+    /// keys of the old one are cleared, and slow start begins with `initial_debt`.
     pub(super) fn apply(&mut self, entry: WorkerEntry, classes: usize, initial_debt: f64) {
         self.capacity.resize(classes);
         self.health.resize(classes);
@@ -41,8 +41,8 @@
         self.entry.lifecycle == Lifecycle::Ready
     }
 
-    /// Records an attempt that is sent to the worker: the key of its job, the worker's slots, and the
-    /// slow-start debt after it.
+    /// Records an attempt that is sent to the worker: the affinity key of its job, the number of slots of the
+    /// worker, and the slow-start debt after the send.
     pub(super) fn record_send(&mut self, attempt: Attempt, key: u64, slots: f64, debt: SlowStartDebt) {
         self.outstanding.push(attempt);
         self.cached_keys.record_sent(key, slots);
@@ -54,22 +54,22 @@
         &self.outstanding
     }
 
-    /// Returns whether the worker is expected to have the data of this key.
+    /// Returns whether the worker is expected to have the data of this affinity key.
     pub(super) fn has_key(&self, key: u64) -> bool {
         self.cached_keys.contains(key)
     }
 
-    /// Returns the slow-start debt when it was last updated.
+    /// Returns the slow-start debt at the time of its last update.
     pub(super) fn slow_start_debt(&self) -> SlowStartDebt {
         self.slow_start_debt
     }
 
-    /// Returns the slots used by all outstanding attempts.
+    /// Returns the number of slots that all outstanding attempts occupy.
     pub(super) fn outstanding_slots(&self) -> f64 {
         self.outstanding.iter().map(|attempt| attempt.slots).sum()
     }
 
-    /// Returns the slots used by the attempts that have started.
+    /// Returns the number of slots that started attempts occupy.
     pub(super) fn running_slots(&self) -> f64 {
         self.outstanding
             .iter()
@@ -78,7 +78,7 @@
             .sum()
     }
 
-    /// Returns the attempts without a start notice.
+    /// Returns the outstanding attempts without a start notice.
     pub(super) fn unstarted(&self) -> impl Iterator<Item = &Attempt> {
         self.outstanding.iter().filter(|attempt| attempt.started_at.is_none())
     }
@@ -94,20 +94,20 @@
         Some(self.outstanding.swap_remove(index))
     }
 
-    /// Returns how long a job that is sent now would wait for its start, in microseconds: the measured
-    /// wait, which fades to the expected one, or the wait of an attempt that has not started, whichever is
-    /// longer.
+    /// Returns how long a job that is sent now would wait for its start, in microseconds: the measured wait,
+    /// which decays to the expected one, or the wait so far of an attempt that has not started, whichever is
+    /// longest.
     pub(super) fn current_wait(&self, class: usize, now: Micros, expected: f64) -> f64 {
         let measured = self.waits[class].estimate_at(now, expected);
         self.unstarted().map(|attempt| attempt.waited(now)).fold(measured, f64::max)
     }
 
-    /// Records a measured wait, in microseconds, and averages it with earlier ones.
+    /// Adds a measured wait, in microseconds, to the decayed average of its class.
     pub(super) fn record_wait(&mut self, class: usize, now: Micros, waited: f64) {
         self.waits[class].record(now, waited);
     }
 
-    /// Raises the wait to at least this, in microseconds.
+    /// Raises the wait of a class to at least `at_least`, in microseconds.
     pub(super) fn raise_wait_to(&mut self, class: usize, now: Micros, at_least: f64) {
         let wait = self.current_wait(class, now, 0.0).max(at_least);
         self.waits[class].set(now, wait);
--- a/crates/dispatcher/src/dispatcher/worker_evidence.rs
+++ b/crates/dispatcher/src/dispatcher/worker_evidence.rs
@@ -1,34 +1,35 @@
-//! What the end of an attempt shows about its worker.
+//! Conclusions about a worker from the end of an attempt.
 
 use crate::dispatcher::attempt::{Attempt, START_GRACE};
 use crate::dispatcher::worker::Worker;
 use crate::interface::{Micros, Outcome};
 
-/// A worker that showed a sign of life within this time is alive, even if one of its connections breaks.
+/// A broken connection does not count as a failure of a worker that was active within this time.
 const RECENT_ACTIVITY_INTERVAL: Micros = 1_000_000;
-/// If a worker is alive after this multiple of a job's size, the job's missing answer was lost.
+/// If a worker was active later than this multiple of a job's size after the job's start, a missing response
+/// counts as lost on the way.
 const LOST_RESPONSE_FACTOR: Micros = 3;
 
-/// A withdrawn attempt that waited for a shorter time shows nothing about its worker.
+/// A cancelled attempt that waited for less than this shows nothing about its worker.
 const MIN_CONCLUSIVE_WAIT: Micros = 3 * START_GRACE;
 
 /// What the end of an attempt shows about its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WorkerEvidence {
-    /// It served the job.
+    /// The worker served the job.
     Served,
-    /// Nothing.
+    /// The outcome says nothing about the state of the worker.
     Inconclusive,
-    /// It is alive, and its queue is as long as the job has waited.
+    /// The worker is active, and its queue is at least as long as the job has waited.
     Queueing,
-    /// Its queue is full.
+    /// The worker's queue is full.
     QueueFull,
-    /// It failed.
+    /// The worker has failed.
     Failed,
 }
 
 impl WorkerEvidence {
-    /// Judges the end of an attempt, also by the signs of life that the worker has shown since the send.
+    /// Interprets the outcome of an attempt, considering the worker's activity since the send.
     pub(super) fn from_outcome(
         worker: &Worker,
         attempt: &Attempt,
@@ -40,8 +41,8 @@
             Outcome::Ok => WorkerEvidence::Served,
             Outcome::Rejected => WorkerEvidence::QueueFull,
             Outcome::NotSent | Outcome::InvalidRequest => WorkerEvidence::Inconclusive,
-            // Only the connection broke. If the worker has died since, the next connection attempt will
-            // show it.
+            // Only the connection broke. If the worker has died since, the next attempt to connect will show
+            // it.
             Outcome::Reset if health.was_active_after(now - RECENT_ACTIVITY_INTERVAL) => {
                 WorkerEvidence::Inconclusive
             }
@@ -62,7 +63,7 @@
     }
 }
 
-/// Returns whether the worker has shown a sign of life after the attempt should have ended.
+/// Returns whether the worker was active after the job should have ended.
 fn response_was_lost(worker: &Worker, attempt: &Attempt) -> bool {
     attempt.started_at.is_some_and(|started_at| {
         worker.health.was_active_after(started_at + LOST_RESPONSE_FACTOR * attempt.size as Micros)
--- a/crates/dispatcher/src/dispatcher/worker_list.rs
+++ b/crates/dispatcher/src/dispatcher/worker_list.rs
@@ -1,10 +1,10 @@
-//! How updates of the worker list, and failures of discovery, are handled.
+//! Handling of updates of the worker list, and of discovery failures.
 
 use crate::dispatcher::{DISCOVERY_TIMER, Dispatcher};
 use crate::interface::{Action, WorkerEntry, WorkerListUpdate};
 
 impl Dispatcher {
-    /// Applies an update of the worker list.
+    /// Applies an update of the worker list. After a failure, sets a timer for the next watch.
     pub(super) fn on_worker_list(&mut self, update: WorkerListUpdate, actions: &mut Vec<Action>) {
         match update {
             WorkerListUpdate::Failed => {
@@ -35,7 +35,8 @@
         self.subset.invalidate_nearest();
     }
 
-    /// Applies the entries. Each new process gets a random slow-start debt, so that dispatchers take turns.
+    /// Applies entries of the list. Each new process gets a random slow-start debt, which spreads the first
+    /// jobs of all dispatchers over time.
     fn apply_entries(&mut self, entries: Vec<WorkerEntry>) {
         for entry in entries {
             let initial_debt = self.rng.f64() * self.arrivals.mean_size();
--- a/crates/dispatcher/src/dispatcher/worker_table.rs
+++ b/crates/dispatcher/src/dispatcher/worker_table.rs
@@ -1,38 +1,39 @@
-//! All workers that the host has named, and what is known of their kinds of machine.
+//! All workers that the host has named, and the statistics of their kinds.
 
 use crate::dispatcher::machine_kind::MachineKind;
 use crate::dispatcher::worker::Worker;
 use crate::interface::{Lifecycle, Settings, WorkerEntry, WorkerId};
 
-/// The unit of a zone's size. In a zone with more workers than this, dispatchers prefer their own zone.
+/// Number of workers in a group, the unit of a zone's size. The dispatchers of a zone with more workers than
+/// this prefer the workers of that zone.
 pub(super) const ZONE_GROUP_WORKERS: f64 = 4.0;
-/// A zone of more groups is large: a dispatcher sees only a small part of what is sent to its workers.
+/// Largest size of a small zone, in groups of [`ZONE_GROUP_WORKERS`]. In a larger zone, a dispatcher sees
+/// only a small part of the jobs that are sent to its workers.
 const MAX_SMALL_ZONE_GROUPS: f64 = 2.0;
-/// Higher kinds of machine count as this one, which bounds the memory for them.
+/// Largest index of a worker kind; a higher one is reduced to it, which bounds the memory for statistics.
 const MAX_KIND: usize = 1023;
-/// Lower bound of a total weight that is divided by.
+/// Lower bound of the total weight, which is used as a divisor.
 const MIN_TOTAL_WEIGHT: f64 = 1e-9;
 
-/// The workers and kinds of machine that this dispatcher knows.
+/// Workers and worker kinds known to this dispatcher.
 #[derive(Default)]
 pub(super) struct WorkerTable {
-    /// By worker id.
+    /// Indexed by worker id.
     workers: Vec<Worker>,
     kinds: Vec<MachineKind>,
     ready: Vec<WorkerId>,
-    /// The sum of the rated weights of the ready workers.
+    /// Sum of the unloaded weights of the ready workers.
     total_weight: f64,
-    /// Ready workers in the own zone, in units of [`ZONE_GROUP_WORKERS`], at least 1.
+    /// Number of ready workers in this dispatcher's zone, in groups of [`ZONE_GROUP_WORKERS`]; at least 1.
     zone_groups: f64,
-    /// The number of request classes.
+    /// Number of request classes.
     classes: usize,
-    /// The zone of this dispatcher.
+    /// Zone of this dispatcher.
     zone: usize,
     weights_include_load: bool,
 }
 
 impl WorkerTable {
-    /// Creates a table without workers.
     pub(super) fn new(settings: &Settings) -> Self {
         WorkerTable {
             kinds: vec![MachineKind::default(); settings.worker_kinds.max(1)],
@@ -46,12 +47,12 @@
     /// Returns the worker with this id.
     ///
     /// # Panics
-    /// If the host has not named it.
+    /// If the host has not named the worker.
     pub(super) fn get(&self, id: WorkerId) -> &Worker {
         &self.workers[id.0 as usize]
     }
 
-    /// Returns the worker with this id; one that the host has not named is added.
+    /// Returns the worker with this id, and adds it if the host has not named it before.
     pub(super) fn get_mut(&mut self, id: WorkerId) -> &mut Worker {
         let index = id.0 as usize;
         if index >= self.workers.len() {
@@ -60,12 +61,12 @@
         &mut self.workers[index]
     }
 
-    /// Returns the ids of all workers ever named.
+    /// Returns the ids of all workers ever named, in ascending order.
     pub(super) fn ids(&self) -> impl Iterator<Item = WorkerId> {
         (0..self.workers.len() as u32).map(WorkerId)
     }
 
-    /// Returns the workers that accept new work, in order of id.
+    /// Returns the workers that accept new work, in ascending order of id.
     pub(super) fn ready(&self) -> &[WorkerId] {
         &self.ready
     }
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Applies an entry of the worker list; a new process starts with this slow-start debt.
+    /// Applies an entry of the worker list. If it shows a new process, its slow-start debt is `initial_debt`.
     pub(super) fn apply(&mut self, mut entry: WorkerEntry, initial_debt: f64) {
         entry.weight = if entry.weight.is_finite() { entry.weight.max(0.0) } else { 1.0 };
         entry.kind = entry.kind.min(MAX_KIND);
@@ -100,34 +101,37 @@
         self.zone_groups = (in_zone as f64 / ZONE_GROUP_WORKERS).max(1.0);
     }
 
-    /// Returns the statistics of a worker's kind of machine.
+    /// Returns the statistics of a worker's kind.
     pub(super) fn kind(&self, worker: &Worker) -> &MachineKind {
         &self.kinds[worker.entry.kind]
     }
 
-    /// Like [`WorkerTable::kind`], for updates.
+    /// Like [`WorkerTable::kind`], but mutable.
     pub(super) fn kind_mut(&mut self, id: WorkerId) -> &mut MachineKind {
         let kind = self.get_mut(id).entry.kind;
         &mut self.kinds[kind]
     }
 
-    /// Returns a worker's weight without its load. Where listed weights include the load, it is the largest
-    /// weight seen of its kind: listed weights are late, and all dispatchers would move together with them.
+    /// Returns a worker's weight without its load. If listed weights include the load, that is the largest
+    /// weight seen of its kind: listed weights are known with a delay, and if dispatchers followed them, all
+    /// would move to the same workers at once (herding).
     pub(super) fn unloaded_weight(&self, worker: &Worker) -> f64 {
         worker.entry.weight.max(self.kind(worker).largest_weight())
     }
 
-    /// Returns the sum of the rated weights of all ready workers, above 0.
+    /// Returns the sum of the unloaded weights of all ready workers, above 0.
     pub(super) fn total_weight(&self) -> f64 {
         self.total_weight.max(MIN_TOTAL_WEIGHT)
     }
 
-    /// Returns the size of the own zone, in units of [`ZONE_GROUP_WORKERS`], at least 1.
+    /// Returns the number of ready workers in this dispatcher's zone, in groups of [`ZONE_GROUP_WORKERS`]; at
+    /// least 1.
     pub(super) fn zone_groups(&self) -> f64 {
         self.zone_groups
     }
 
-    /// Returns by how many groups the own zone exceeds a small one; 0 in a small zone.
+    /// Returns by how many groups of [`ZONE_GROUP_WORKERS`] this dispatcher's zone exceeds
+    /// [`MAX_SMALL_ZONE_GROUPS`]; 0 in a small zone.
     pub(super) fn groups_above_small_zone(&self) -> f64 {
         (self.zone_groups - MAX_SMALL_ZONE_GROUPS).max(0.0)
     }
