--- a/crates/dispatcher/src/dispatcher/affinity.rs
+++ b/crates/dispatcher/src/dispatcher/affinity.rs
@@ -1,5 +1,5 @@
-//! The affinity set of a key: the few workers of a zone that run the jobs of one key, so that few of them
-//! have to fetch its data.
+//! Affinity sets: the jobs of one affinity key are sent to a few workers of a zone, so that few of them have
+//! to fetch the data of the key.
 
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::rendezvous::{AffinityOrder, Candidate, Snapshot, limit_choices};
@@ -8,12 +8,13 @@
 use crate::interface::{Micros, RequestId, WorkerId};
 use std::collections::VecDeque;
 
-/// The number of recent arrivals from which the share of a key is computed.
+/// Number of recent arrivals from which the share of a key is computed.
 const SHARE_HISTORY_ARRIVALS: usize = 100;
-/// The least number of arrivals that a share is computed for: fewer are not significant.
+/// Lower bound of the number of arrivals by which a share is divided: a share of fewer arrivals is not
+/// significant.
 const MIN_SHARE_ARRIVALS: usize = SHARE_HISTORY_ARRIVALS / 5;
-/// The size of an affinity set in a large zone, relative to the number of workers that the key's jobs would
-/// fill.
+/// Size of an affinity set in a large zone, as a multiple of the number of workers that the key's jobs would
+/// keep busy.
 const SET_SIZE_FACTOR: f64 = 3.0;
 
 /// Finds the workers nearest to a key or to this dispatcher, and tracks the share of each key in recent
@@ -22,23 +23,23 @@
 pub(super) struct AffinityIndex {
     snapshot: Snapshot,
     recent_keys: VecDeque<u64>,
-    /// The rendezvous key of this dispatcher; never 0.
+    /// Rendezvous key of this dispatcher; never 0.
     instance_key: u64,
 }
 
 impl AffinityIndex {
-    /// Creates an index without workers for the dispatcher of this number.
+    /// Creates an index without workers for the dispatcher with this index among all dispatchers.
     pub(super) fn new(instance: u32) -> Self {
         AffinityIndex { instance_key: u64::from(instance) + 1, ..AffinityIndex::default() }
     }
 
-    /// Records the key of an arriving request; 0 for none.
+    /// Records the affinity key of an arriving request; 0 for none.
     pub(super) fn record_arrival(&mut self, key: u64) {
         self.recent_keys.push_back(key);
         self.recent_keys.drain(..self.recent_keys.len().saturating_sub(SHARE_HISTORY_ARRIVALS));
     }
 
-    /// Replaces the snapshot of workers that may be chosen.
+    /// Replaces the workers that may be chosen.
     pub(super) fn set_candidates(&mut self, candidates: Vec<Candidate>) {
         self.snapshot = Snapshot::new(candidates);
     }
@@ -52,7 +53,7 @@
         self.snapshot.nearest_matching(self.instance_key, limit, matches)
     }
 
-    /// Returns the share of this key in the recent arrivals, not counting the latest one.
+    /// Returns the share of a key in the recent arrivals, not counting the latest one.
     fn key_share(&self, key: u64) -> f64 {
         let others = self.recent_keys.iter().filter(|&&recent| recent == key).count().saturating_sub(1);
         others as f64 / self.recent_keys.len().max(MIN_SHARE_ARRIVALS) as f64
@@ -64,8 +65,8 @@
 }
 
 impl Dispatcher {
-    /// Returns the members of the affinity set that may get the request now, the nearest first. All
-    /// dispatchers of a zone compute the same set, as small as the key's share of the load permits.
+    /// Returns the members of the affinity set to which the request may be sent now, the nearest first. All
+    /// dispatchers of a zone compute the same set, which is as small as the key's share of the load permits.
     pub(super) fn affinity_set(&mut self, request: RequestId, now: Micros) -> Vec<WorkerId> {
         let Some(request) = self.requests.get(&request).filter(|request| request.affinity_key != 0) else {
             return Vec::new();
@@ -95,7 +96,8 @@
     }
 }
 
-/// Returns the number of workers over which a key with this share of the load is spread; 0 in a small zone.
+/// Returns the number of workers over which the jobs of a key with this share of the load are spread; 0 in a
+/// small zone.
 fn workers_for_share(share: f64, groups_above_small_zone: f64) -> f64 {
     SET_SIZE_FACTOR * share * groups_above_small_zone * ZONE_GROUP_WORKERS
 }
--- a/crates/dispatcher/src/dispatcher/context.rs
+++ b/crates/dispatcher/src/dispatcher/context.rs
@@ -1,4 +1,4 @@
-//! A read-only view of the dispatcher's state for predictions and checks.
+//! Read-only view of the dispatcher's state for predictions and checks.
 
 use crate::dispatcher::arrival_statistics::ArrivalStatistics;
 use crate::dispatcher::health::HealthTracker;
@@ -9,11 +9,10 @@
 use crate::dispatcher::worker_table::WorkerTable;
 use crate::interface::{Class, Micros, Settings, WorkerId};
 
-/// Lower bound of a worker's weight.
+/// Lower bound of a worker's weight before it is reduced for slow start and other zones.
 const MIN_WEIGHT: f64 = 1e-3;
 
-/// The state that decisions depend on. Predictions, slow start and the rules of a send add their methods in
-/// files of their own.
+/// State that decisions depend on. The modules `prediction`, `slow_start` and `permission` add methods.
 #[derive(Clone, Copy)]
 pub(super) struct DecisionContext<'a> {
     pub(super) settings: &'a Settings,
@@ -24,23 +23,22 @@
 }
 
 impl<'a> DecisionContext<'a> {
-    /// Returns the class of a request.
     pub(super) fn class(&self, request: &Request) -> &'a Class {
         &self.settings.classes[request.class]
     }
 
-    /// Returns this dispatcher's share of all slots, if all dispatchers have the same load.
+    /// Returns the share of all slots that this dispatcher gets if all dispatchers have the same load.
     pub(super) fn fair_share(&self) -> f64 {
         1.0 / f64::from(self.settings.instances.max(1))
     }
 
-    /// Returns the fraction of its capacity that a worker has at present; 1 outside slow start.
+    /// Returns the fraction of its full capacity that a worker has at `now`; 1 outside slow start.
     pub(super) fn capacity_fraction(&self, worker: &Worker, now: Micros) -> f64 {
         capacity_fraction(&self.settings.slow_start, worker.entry.started_at, now)
     }
 
-    /// Returns a worker's weight at present. A worker in another zone counts less the larger the own zone
-    /// is.
+    /// Returns a worker's unloaded weight, reduced during slow start. The weight of a worker in another zone
+    /// is divided by the size of this dispatcher's zone ([`WorkerTable::zone_groups`]).
     pub(super) fn effective_weight(&self, id: WorkerId, now: Micros) -> f64 {
         let worker = self.workers.get(id);
         let same_zone = worker.entry.zone == self.settings.zone;
@@ -48,12 +46,12 @@
         self.workers.unloaded_weight(worker).max(MIN_WEIGHT) * self.capacity_fraction(worker, now) / divisor
     }
 
-    /// Returns whether a worker has failed no more often than the median worker.
+    /// Returns whether a worker has no more recent failures than the median worker.
     pub(super) fn is_healthy(&self, id: WorkerId) -> bool {
         self.health.is_healthy(self.workers.get(id))
     }
 
-    /// Returns whether a worker is of the kind that runs this class.
+    /// Returns whether a worker is of a kind that runs this class.
     pub(super) fn runs_class(&self, id: WorkerId, class: usize) -> bool {
         let kind = self.workers.get(id).entry.kind;
         self.settings.classes[class].worker_kind.is_none_or(|required| required == kind)
--- a/crates/dispatcher/src/dispatcher/prediction.rs
+++ b/crates/dispatcher/src/dispatcher/prediction.rs
@@ -1,4 +1,4 @@
-//! Predictions of how long a job would take at a worker: the work ahead of it, and its own running time.
+//! Predictions of the time that a job takes at a worker: the work ahead of it and its own running time.
 
 use crate::dispatcher::attempt::{Attempt, START_GRACE};
 use crate::dispatcher::cached_keys::KEY_FETCH_COST;
@@ -7,30 +7,31 @@
 use crate::dispatcher::worker::Worker;
 use crate::interface::{Micros, WorkerId};
 
-/// The paper's α: with 1, one failure halves a worker's capacity.
+/// Penalty for a failure (the paper's α): with 1, one failure halves a worker's capacity.
 const FAILURE_PENALTY: f64 = 1.0;
-/// A job that runs for more than this multiple of its expected time counts as a failure.
+/// A job that runs for more than this multiple of its expected time counts as a failure of its worker.
 const OVERDUE_FACTOR: f64 = 3.0;
-/// The cost of a zone crossing for a penalty of 1, in mean job sizes.
+/// Cost of a send to another zone at a cross-zone penalty of 1, as a multiple of the mean job size.
 const ZONE_CROSSING_COST: f64 = 2.0;
-/// Lower bound of the remaining work of a running job, relative to its size.
+/// Lower bound of the remaining work of an outstanding job, as a fraction of its size.
 const MIN_REMAINING_SHARE: f64 = 0.1;
-/// Lower bound of a weight that is divided by.
+/// Lower bound of a listed weight, which is used as a divisor.
 const MIN_WEIGHT: f64 = 1e-6;
 
-/// The predicted duration of a job that is sent now, in microseconds.
+/// Predicted time from the send of a job to its end, in microseconds.
 pub(super) struct Prediction {
-    /// Includes the expected wait and the work ahead of the job.
+    /// Includes the usual wait of the worker's kind where none was measured recently, and the work ahead of
+    /// the job.
     expected: f64,
-    /// Includes measured waits only, and no work ahead of the job where a slot is free.
+    /// Includes measured waits only, and no work ahead of the job if a slot is free.
     lower_bound: f64,
-    /// The worker has free slots for the job.
+    /// Whether the worker has free slots for the job.
     has_free_slot: bool,
 }
 
 impl DecisionContext<'_> {
-    /// Returns c' = c/(1+α·R): the estimated capacity at present, reduced for failures beyond those of the
-    /// median worker. Overdue jobs count as failures until the worker shows a sign of life.
+    /// Returns c' = c/(1+α·R): the estimated capacity at `now`, reduced for failures beyond those of the
+    /// median worker. An overdue job counts as a failure until the worker is active again.
     pub(super) fn penalised_capacity(&self, worker: &Worker, class: usize, now: Micros) -> f64 {
         let capacity = worker.capacity.of_class(class) * self.capacity_fraction(worker, now);
         let overdue =
@@ -39,8 +40,8 @@
         capacity / (1.0 + FAILURE_PENALTY * failures)
     }
 
-    /// Predicts the duration of a job that is sent now: the wait for its start, and the work ahead of it
-    /// and its own, over the worker's capacity.
+    /// Predicts the duration of a job that is sent now: the wait for its start, the work ahead of it and its
+    /// own at the worker's capacity, and the fetch of its key.
     pub(super) fn predict(&self, request: &Request, id: WorkerId, now: Micros) -> Prediction {
         let worker = self.workers.get(id);
         let class = request.class;
@@ -60,8 +61,8 @@
         }
     }
 
-    /// Returns the usual wait at workers of this kind, in microseconds; 0 in slow start, when nothing is
-    /// queued yet.
+    /// Returns the usual wait for workers of this kind, in microseconds; 0 in slow start, when the worker has
+    /// no queue yet.
     pub(super) fn expected_wait(&self, worker: &Worker, class: usize, now: Micros) -> f64 {
         if self.capacity_fraction(worker, now) < 1.0 {
             return 0.0;
@@ -69,8 +70,8 @@
         self.workers.kind(worker).expected_wait(class)
     }
 
-    /// Returns whether a job that is sent now would start at once, with `expected` in place of a wait that
-    /// was not measured recently.
+    /// Returns whether a job that is sent now would start immediately. `expected` replaces a wait that was
+    /// not measured recently.
     pub(super) fn starts_immediately(
         &self,
         request: &Request,
@@ -83,8 +84,9 @@
             && self.workers.get(id).current_wait(request.class, now, expected) < START_GRACE as f64
     }
 
-    /// Returns whether a job that is sent now would be in time. With `accepts_late`, a job that starts at
-    /// once may be late by the error of its hint.
+    /// Returns whether a job that is sent now would be answered before its value deadline. With
+    /// `allow_hint_error`, a job that starts immediately may exceed it by the error of its work hint
+    /// ([`MAX_HINT_ERROR`]).
     pub(super) fn would_be_in_time(
         &self,
         request: &Request,
@@ -100,8 +102,8 @@
                 && self.starts_immediately(request, id, now, 0.0)
     }
 
-    /// Returns whether a worker has room for a further job. A job that has not started indicates a queue or
-    /// a hang.
+    /// Returns whether a worker has room for another job. A job that has not started within [`START_GRACE`]
+    /// indicates a queue or a worker that hangs.
     pub(super) fn has_room(&self, id: WorkerId, now: Micros) -> bool {
         let worker = self.workers.get(id);
         if !worker.health.probe_backoff_elapsed(now) {
@@ -115,8 +117,7 @@
             && worker.unstarted().all(|attempt| now - attempt.sent_at < START_GRACE)
     }
 
-    /// Returns whether this dispatcher's share of the slots, according to load reports, has room for a
-    /// further job.
+    /// Returns whether another job fits into this dispatcher's share of the slots, according to load reports.
     fn has_reported_room(&self, worker: &Worker) -> bool {
         if self.settings.report_fields.free_slots.is_none() {
             return true;
@@ -127,9 +128,9 @@
         worker.outstanding_slots() + 1.0 <= limit
     }
 
-    /// Returns the wait for jobs of other dispatchers, in microseconds, inferred from a weight that
-    /// includes the load. It counts only where one job, which may always be sent, is more than this
-    /// dispatcher's share of the slots.
+    /// Returns the wait for jobs of other dispatchers, in microseconds, derived from a listed weight that
+    /// includes the load. One job may always be sent; the wait counts only to the extent that one job exceeds
+    /// this dispatcher's share of the slots.
     pub(super) fn external_wait(&self, request: &Request, id: WorkerId, now: Micros) -> f64 {
         let worker = self.workers.get(id);
         let slots_per_instance =
@@ -141,8 +142,8 @@
             / self.penalised_capacity(worker, request.class, now)
     }
 
-    /// Returns the expected duration of a job that is sent now, in microseconds, plus the penalty for a
-    /// zone crossing.
+    /// Returns the expected duration of a job that is sent now, in microseconds, plus the penalty for another
+    /// zone.
     pub(super) fn cost_of_send(&self, request: &Request, id: WorkerId, now: Micros) -> f64 {
         let crosses_zones = self.workers.get(id).entry.zone != self.settings.zone;
         let penalty = if crosses_zones {
@@ -154,8 +155,8 @@
     }
 }
 
-/// Returns whether an attempt has run far longer than expected, and the worker has shown no sign of life
-/// since it should have ended.
+/// Returns whether an attempt has run far longer than expected, and its worker has not been active since it
+/// should have ended.
 fn is_overdue(worker: &Worker, attempt: &Attempt, capacity: f64, now: Micros) -> bool {
     let Some(started_at) = attempt.started_at else { return false };
     let latest_end = started_at + (OVERDUE_FACTOR * attempt.size / capacity) as Micros + START_GRACE;
--- a/crates/dispatcher/src/dispatcher/ranking.rs
+++ b/crates/dispatcher/src/dispatcher/ranking.rs
@@ -1,10 +1,10 @@
-//! The ranking of the workers in use by penalised capacity, for each class.
+//! Ranking of the workers in use by penalised capacity, for each class.
 
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::context::DecisionContext;
 use crate::interface::{Micros, WorkerId};
 
-/// The workers for each class, the fastest first, and which classes must be ranked again.
+/// Workers by class, the fastest first, and a flag for each class that must be ranked again.
 #[derive(Default)]
 pub(super) struct Ranking {
     by_class: Vec<Vec<WorkerId>>,
@@ -12,7 +12,6 @@
 }
 
 impl Ranking {
-    /// Creates an empty ranking for this number of classes.
     pub(super) fn new(classes: usize) -> Self {
         Ranking { by_class: vec![Vec::new(); classes], stale: vec![true; classes] }
     }
@@ -22,7 +21,7 @@
         &self.by_class[class]
     }
 
-    /// Marks all classes to be ranked again, since a capacity or the subset has changed.
+    /// Marks all classes to be ranked again, after a capacity or the subset has changed.
     pub(super) fn invalidate(&mut self) {
         self.stale.fill(true);
     }
@@ -33,7 +32,8 @@
 }
 
 impl Dispatcher {
-    /// Ranks the workers for a class again, if a capacity or the subset has changed.
+    /// Updates the subset if it is outdated, and the ranking of a class if a capacity or the subset has
+    /// changed.
     pub(super) fn refresh_ranking(&mut self, class: usize, now: Micros) {
         let nearest_due = self.subset.take_nearest_due(now);
         if nearest_due {
@@ -60,8 +60,8 @@
         let group = if has_runner { members } else { self.subset.nearest_of_class(class) };
         let scored = |&id: &WorkerId| (self.penalised_capacity(self.workers.get(id), class, now), id);
         let mut ranked: Vec<(f64, WorkerId)> = group.iter().filter(runs_class).map(scored).collect();
-        // The sort is stable: equals stay in the order of this dispatcher's subset. In order of id, all
-        // dispatchers that have just started would begin with the same worker.
+        // The sort is stable: workers of equal capacity stay in the order of this dispatcher's subset. Sorted
+        // by id, all dispatchers that have just started would send their first jobs to the same worker.
         ranked.sort_by(|left, right| right.0.total_cmp(&left.0));
         ranked.into_iter().map(|(_, id)| id).collect()
     }
--- a/crates/dispatcher/src/dispatcher/rendezvous.rs
+++ b/crates/dispatcher/src/dispatcher/rendezvous.rs
@@ -1,54 +1,55 @@
-//! The workers nearest to a key: weighted rendezvous hashing over a snapshot of the worker list.
+//! Weighted rendezvous hashing: finds the workers nearest to a key in a snapshot of the worker list.
 //!
-//! Looking at every worker for every request is expensive in long lists, so the order is computed once for
-//! each key and snapshot, and cached. A new snapshot is taken when the list changes, and at intervals,
-//! since weights change during slow start.
+//! Computing the distance of every worker for every request is expensive in long lists. The order is
+//! therefore computed once for each key and snapshot, and cached. A new snapshot is taken when the list
+//! changes, and at intervals, since weights change during slow start.
 
 use crate::interface::WorkerId;
 use std::collections::HashMap;
 
-/// Workers that are cached for a key in addition to its affinity set, since some may not fit a request.
+/// Number of workers cached for a key in addition to its affinity set, since some may not be eligible for a
+/// request.
 const SPARE_WORKERS: usize = 8;
-/// The most workers that one dispatcher considers for a key. The affinity set of a popular key may have
-/// more workers than one dispatcher can make use of; each dispatcher then uses its own part of the set.
+/// Largest number of workers that one dispatcher considers for a key. The affinity set of a popular key may
+/// have more workers than one dispatcher can use; each dispatcher then uses its own part of the set.
 const MAX_WORKERS_PER_KEY: usize = 32;
-/// Up to this many workers, the complete order of a key is cached.
+/// Largest length of a short list, in workers. For a short list, the complete order of a key is cached, and a
+/// dispatcher considers all workers of an affinity set.
 const SHORT_LIST_WORKERS: usize = 256;
-/// A cached order has room for a set that is larger by one part in this many.
+/// A cached order is long enough for sets that exceed the requested size by up to 1/`GROWTH_DIVISOR` of it.
 const GROWTH_DIVISOR: usize = 4;
-/// Lower bound of a weight that is divided by.
+/// Lower bound of a weight, which is used as a divisor.
 const MIN_WEIGHT: f64 = 1e-6;
 
 /// A worker that may be chosen.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
-    /// The worker.
     pub(super) id: WorkerId,
-    /// The hash of the worker's name, the same at every dispatcher.
+    /// Hash of the worker's name, the same at every dispatcher.
     pub(super) name_hash: u64,
-    /// Its capacity, relative to the others.
+    /// Effective weight.
     pub(super) weight: f64,
 }
 
-/// The workers that may be chosen, with their weights at one moment.
+/// Workers that may be chosen, with their weights at the time of the snapshot.
 #[derive(Default)]
 pub(super) struct Snapshot {
     candidates: Vec<Candidate>,
     cache: HashMap<u64, CachedOrder>,
 }
 
-/// The workers nearest to one key.
+/// Workers nearest to one key.
 struct CachedOrder {
-    /// The size of the largest affinity set for which the order is long enough.
+    /// Size of the largest affinity set for which the order is long enough.
     max_set_size: usize,
     order: Vec<WorkerId>,
 }
 
-/// The workers from which the affinity set of a key is taken.
+/// Workers from which the affinity set of a key is taken.
 pub(super) struct AffinityOrder<'a> {
-    /// The nearest first, with spare ones in place of those that do not fit a request.
+    /// The nearest first, including spare ones that replace those not eligible for a request.
     pub(super) workers: &'a [WorkerId],
-    /// The order was not cached.
+    /// Whether the order was not in the cache.
     pub(super) is_new: bool,
 }
 
@@ -65,7 +66,6 @@
 }
 
 impl Snapshot {
-    /// Creates a snapshot of these workers.
     pub(super) fn new(candidates: Vec<Candidate>) -> Snapshot {
         Snapshot { candidates, cache: HashMap::new() }
     }
@@ -92,7 +92,7 @@
         for candidate in self.candidates.iter().filter(|candidate| matches(candidate.id)) {
             let hash_fraction = uniform_hash(key, candidate.name_hash);
             let weight = candidate.weight.max(MIN_WEIGHT);
-            // -ln(x) is at least 1 - x, which excludes most candidates without a logarithm.
+            // -ln(x) is at least 1 - x, which excludes most candidates without computing a logarithm.
             if 1.0 - hash_fraction > max_distance * weight {
                 continue;
             }
@@ -107,7 +107,8 @@
     }
 
     /// Returns the workers from which to take a key's affinity set of `set_size` workers. If the set is
-    /// larger than [`MAX_WORKERS_PER_KEY`], each dispatcher `instance` gets its own part of it.
+    /// larger than [`MAX_WORKERS_PER_KEY`], the dispatcher with the rendezvous key `instance` gets its own
+    /// part of it.
     pub(super) fn affinity_order(&mut self, key: u64, set_size: usize, instance: u64) -> AffinityOrder<'_> {
         let is_cached = self.cache.get(&key).is_some_and(|cached| set_size <= cached.max_set_size);
         if !is_cached {
@@ -122,7 +123,7 @@
         if self.candidates.len() <= SHORT_LIST_WORKERS {
             return CachedOrder { max_set_size: usize::MAX, order: self.nearest(key, self.candidates.len()) };
         }
-        // More than requested, since the share of a popular key varies a little all the time.
+        // More than requested, since the share of a popular key changes slightly with every arrival.
         let max_set_size = set_size + set_size / GROWTH_DIVISOR;
         let nearest = self.nearest(key, max_set_size + SPARE_WORKERS);
         if set_size <= MAX_WORKERS_PER_KEY {
@@ -147,12 +148,12 @@
 }
 
 /// Returns how many of `choices` one dispatcher considers in a list of `workers`: all of them in a short
-/// list.
+/// list, otherwise at most [`MAX_WORKERS_PER_KEY`].
 pub(super) fn limit_choices(choices: usize, workers: usize) -> usize {
     if workers <= SHORT_LIST_WORKERS { choices } else { choices.min(MAX_WORKERS_PER_KEY) }
 }
 
-/// Returns a number above 0 and up to 1, the same at every dispatcher for a key and a worker.
+/// Returns a pseudo-random number above 0 and up to 1, the same at every dispatcher for a key and a worker.
 fn uniform_hash(key: u64, worker: u64) -> f64 {
     let mut hash = key ^ worker.rotate_left(32).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     for _ in 0..2 {
--- a/crates/dispatcher/src/dispatcher/selection.rs
+++ b/crates/dispatcher/src/dispatcher/selection.rs
@@ -1,5 +1,5 @@
-//! Chooses a worker for a request: by the size of the job, compared with one random rival and the affinity
-//! set of its key.
+//! Choice of a worker for a request: compares the worker for the job's size with one random candidate and the
+//! affinity set of the request's key.
 
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::cached_keys::KEY_FETCH_COST;
@@ -7,12 +7,13 @@
 use crate::dispatcher::request::Request;
 use crate::interface::{Idempotency, Micros, RequestId, WorkerId};
 
-/// The part of a fetch's cost that is not counted for a worker of the affinity set, since jobs of other
-/// dispatchers, unknown here, have likely fetched the key.
+/// Upper bound of the fraction of a key's fetch time that does not count in the cost of a worker in the
+/// affinity set. The actual fraction grows with the zone: in a large zone, other dispatchers have probably
+/// sent the worker jobs with the same key, so it has fetched the data already.
 const MAX_AFFINITY_FETCH_DISCOUNT: f64 = 0.9;
 
 impl Dispatcher {
-    /// Chooses the worker for a request; none if it should wait.
+    /// Chooses the worker for a request; returns none if the request has to wait.
     pub(super) fn choose_worker(&mut self, id: RequestId, now: Micros) -> Option<WorkerId> {
         let class = self.requests.get(&id)?.class;
         let uniform_sample = self.rng.f64();
@@ -29,19 +30,19 @@
     }
 }
 
-/// The inputs of one choice.
+/// Inputs of the choice.
 struct Selection<'a> {
     context: DecisionContext<'a>,
     request: &'a Request,
     affinity_set: &'a [WorkerId],
-    /// No pending request is more urgent than this one.
+    /// Whether no pending request is more urgent than this one.
     is_most_urgent: bool,
     now: Micros,
 }
 
 impl Selection<'_> {
-    /// Chooses among the ranked workers, the fastest first. `draw` is uniformly distributed in 0..1 and
-    /// selects the random rival.
+    /// Chooses among the ranked workers, fastest first. `uniform_sample` is uniformly distributed in 0..1 and
+    /// picks the random candidate.
     fn choose(&self, ranked: &[WorkerId], uniform_sample: f64) -> Option<WorkerId> {
         let permitted = self.permitted(ranked);
         if let Some(probed) = self.worker_to_probe(&permitted) {
@@ -57,8 +58,8 @@
         self.best_with_room(candidates)
     }
 
-    /// Returns the workers to which the request may be sent, without those that it was sent to before if
-    /// there are others.
+    /// Returns the workers to which the request may be sent. Those that it was sent to before are included
+    /// only if there are no others.
     fn permitted(&self, ranked: &[WorkerId]) -> Vec<WorkerId> {
         let permitted: Vec<WorkerId> = ranked
             .iter()
@@ -70,8 +71,8 @@
         if untried.is_empty() { permitted } else { untried }
     }
 
-    /// Returns a failed worker that is due for a half-open probe, if the loss of the attempt would be
-    /// harmless.
+    /// Returns a failed worker that is due for a half-open probe, if the request can be sent again when the
+    /// probe fails.
     fn worker_to_probe(&self, permitted: &[WorkerId]) -> Option<WorkerId> {
         let may_repeat = self.context.class(self.request).idempotency != Idempotency::NotIdempotent;
         if !may_repeat || self.request.attempts > 0 {
@@ -80,8 +81,8 @@
         permitted.iter().copied().find(|&worker| self.is_probe_due(worker))
     }
 
-    /// Returns whether the request may serve as a half-open probe of a failed worker: nothing else would
-    /// show that the worker has recovered.
+    /// Returns whether the request may be used as a half-open probe of a failed worker: only a job can show
+    /// that the worker has recovered.
     fn is_probe_due(&self, id: WorkerId) -> bool {
         let worker = self.context.workers.get(id);
         let class = self.request.class;
@@ -93,8 +94,8 @@
             && worker.current_wait(class, self.now, 0.0) <= time_left.max(0.0)
     }
 
-    /// Returns the workers that are healthy and accept the class; if there are none, those that may be
-    /// probed.
+    /// Returns the workers that are healthy and accept the class; if there are none, those that are due for a
+    /// probe.
     fn candidates(&self, permitted: Vec<WorkerId>) -> Vec<WorkerId> {
         let candidates: Vec<WorkerId> = permitted
             .iter()
@@ -108,8 +109,9 @@
         permitted.into_iter().filter(|&worker| self.is_probe_due(worker)).collect()
     }
 
-    /// Returns the lane of the job among `lanes`, 0 for the smallest jobs, by the paper's thresholds w_r =
-    /// (1+…+r)/(1+…+n)·S_max. Larger jobs go to faster workers.
+    /// Returns the size interval of the job among `intervals`, 0 for the smallest jobs, by the paper's
+    /// thresholds w_r = (1+…+r)/(1+…+n)·S_max. Larger jobs go to faster workers. A job without a work hint is
+    /// in the middle interval.
     fn size_interval(&self, intervals: usize) -> usize {
         if !self.request.has_work_hint {
             return intervals / 2;
@@ -123,7 +125,7 @@
             .map_or(intervals - 1, |interval| interval - 1)
     }
 
-    /// Returns the cheapest of the lane worker, its random rival and the affinity set.
+    /// Returns the cheapest of the worker for the job's size, the random candidate and the affinity set.
     fn cheapest_choice(&self, worker_for_size: WorkerId, random_candidate: WorkerId) -> WorkerId {
         let mut best = self.cheaper(worker_for_size, random_candidate);
         for &worker in self.affinity_set {
@@ -132,8 +134,8 @@
         best
     }
 
-    /// Returns the cheaper of two workers, including the load of other dispatchers; the first if they are
-    /// equal.
+    /// Returns the cheaper of two workers, including the load of other dispatchers; the first if the costs
+    /// are equal.
     fn cheaper(&self, first: WorkerId, second: WorkerId) -> WorkerId {
         if self.cost_with_external_wait(second) < self.cost_with_external_wait(first) {
             second
@@ -142,14 +144,16 @@
         }
     }
 
-    /// The load of other dispatchers, known late, counts only between workers that were drawn at random: it
-    /// is the same at all dispatchers, which would otherwise all move to the same workers.
+    /// Returns the cost including the wait for jobs of other dispatchers. That wait is known only with a
+    /// delay, and all dispatchers see the same one. It is therefore used only to compare the few workers
+    /// picked for this request: if it ranked all workers, all dispatchers would send to the same ones at once
+    /// (herding).
     fn cost_with_external_wait(&self, worker: WorkerId) -> f64 {
         self.cost(worker) + self.context.external_wait(self.request, worker, self.now)
     }
 
-    /// Returns the cost of sending the request to a worker, in microseconds, without a fetch that is likely
-    /// unnecessary.
+    /// Returns the cost of sending the request to a worker, in microseconds, with a discount if the worker
+    /// has probably fetched the key for other dispatchers.
     fn cost(&self, worker: WorkerId) -> f64 {
         let cost = self.context.cost_of_send(self.request, worker, self.now);
         let known_cached = || self.context.workers.get(worker).has_key(self.request.affinity_key);
@@ -164,7 +168,7 @@
             * self.context.arrivals.mean_size()
     }
 
-    /// Returns whether a worker would start the request at once and answer it in time.
+    /// Returns whether a worker would start the request immediately and answer it in time.
     fn can_serve_immediately(&self, id: WorkerId) -> bool {
         let worker = self.context.workers.get(id);
         let expected_wait = self.context.expected_wait(worker, self.request.class, self.now);
@@ -172,8 +176,9 @@
             && self.context.would_be_in_time(self.request, id, self.now, false)
     }
 
-    /// Returns the cheapest candidate or member of the affinity set that has room. A request that would be
-    /// late is sent only if no other request waits.
+    /// Returns the cheapest worker that has room, among the candidates and the affinity set. If it would
+    /// answer late, it is returned only if the request is the most urgent one and could be in time within the
+    /// error of its work hint.
     fn best_with_room(&self, mut candidates: Vec<WorkerId>) -> Option<WorkerId> {
         let members = self.context.subset.members();
         candidates.extend(self.affinity_set.iter().filter(|worker| !members.contains(worker)));
@@ -185,8 +190,9 @@
         self.context.would_be_in_time(self.request, best, self.now, self.is_most_urgent).then_some(best)
     }
 
-    /// Returns whether a worker is likely to have the request's key, since a fetch costs more than a wait.
-    /// In a large zone, any free worker will do.
+    /// Returns whether a worker is acceptable for the request's affinity key: it probably has the data, which
+    /// would cost more to fetch than to wait for such a worker. In a large zone, a worker that can serve the
+    /// request immediately is acceptable without the data.
     fn satisfies_affinity(&self, worker: WorkerId) -> bool {
         let key = self.request.affinity_key;
         key == 0
--- a/crates/dispatcher/src/dispatcher/subset.rs
+++ b/crates/dispatcher/src/dispatcher/subset.rs
@@ -1,43 +1,45 @@
-//! The subset of workers that this dispatcher uses: the paper's top N, different for each dispatcher.
+//! The subset of workers that this dispatcher uses: the paper's top N, but different for each dispatcher.
 //!
-//! A worker is in the subset with a probability in proportion to its present weight. Small subsets guard
-//! against outdated estimates, large numbers of connections, and all dispatchers using the same worker in
-//! slow start.
+//! A worker is in the subset with a probability in proportion to its effective weight. A small subset keeps
+//! estimates from being outdated, limits the number of connections, and keeps all dispatchers from sending to
+//! the same worker during its slow start.
 
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::arrival_statistics::ArrivalStatistics;
 use crate::dispatcher::rendezvous::{Candidate, limit_choices};
 use crate::interface::{Micros, WorkerId};
 
-/// The least size: in a smaller one, a failed worker is too large a share, and large and small jobs share
-/// lanes.
+/// Lower bound of the subset's size. In a smaller subset, one failed worker is a large part of it, and large
+/// and small jobs share size intervals.
 const MIN_SIZE: f64 = 8.0;
-/// The size before the first arrival.
+/// Size of the subset before the first arrival.
 const INITIAL_SIZE: usize = 2 * MIN_SIZE as usize;
-/// The number of workers for each running job. With fewer, estimates are based on queues that have changed
-/// since.
+/// Number of workers in the subset for each running job. With fewer, estimates are based on queues that have
+/// changed since they were measured.
 const WORKERS_PER_RUNNING_JOB: f64 = 3.0;
-/// The subset shrinks if the load requires less than this multiple of its size.
+/// The subset shrinks if the load requires less than this fraction of its target size.
 const SHRINK_THRESHOLD: f64 = 0.7;
-/// The subset grows if the load requires more than this multiple of its size.
+/// The subset grows if the load requires more than this multiple of its target size.
 const GROW_THRESHOLD: f64 = 1.3;
-/// The nearest workers are looked up at this interval, since weights change during slow start.
+/// Interval at which the nearest workers are looked up, in microseconds, since weights change during slow
+/// start.
 const REFRESH_INTERVAL: Micros = 1_000_000;
-/// The number of workers looked up for each member, so that ejected ones can be replaced.
+/// Number of workers looked up for each member, so that ejected ones can be replaced.
 const CANDIDATES_PER_MEMBER: usize = 3;
-/// Ejected workers are replaced if they are among the nearest, up to this multiple of the subset's size.
+/// Range in which ejected workers are replaced: the nearest workers, up to this multiple of the subset's
+/// size.
 const REPLACEMENT_RANGE: usize = 2;
 
-/// Lower bound of a total weight that is divided by.
+/// Lower bound of the total weight, which is used as a divisor.
 const MIN_TOTAL_WEIGHT: f64 = 1e-9;
 
-/// The result of a lookup of the nearest workers.
+/// Result of a lookup of the nearest workers.
 pub(super) struct NearestWorkers {
-    /// The nearest to this dispatcher, for all classes.
+    /// Workers of all kinds, the nearest to this dispatcher first.
     pub(super) of_all_kinds: Vec<WorkerId>,
-    /// By class: the nearest of the kind that runs it, if only one kind does.
+    /// By class: workers of the kind that runs it, the nearest first; empty if all kinds run it.
     pub(super) by_class: Vec<Vec<WorkerId>>,
-    /// The total present weight of all workers that accept new work.
+    /// Total effective weight of all workers that accept new work.
     pub(super) total_weight: f64,
 }
 
@@ -50,7 +52,7 @@
     nearest_by_class: Vec<Vec<WorkerId>>,
     nearest_stale: bool,
     refresh_at: Micros,
-    /// The probability of being in a subset, per weight.
+    /// Probability of being in a dispatcher's subset, per unit of effective weight.
     probability_per_weight: f64,
 }
 
@@ -75,18 +77,18 @@
         &self.members
     }
 
-    /// Returns the nearest workers that run a class which only one kind of machine runs.
+    /// Returns the nearest workers that run a class that only one kind runs.
     pub(super) fn nearest_of_class(&self, class: usize) -> &[WorkerId] {
         &self.nearest_by_class[class]
     }
 
-    /// Returns the probability that a given dispatcher has a worker of this weight in its subset; 1 for a
-    /// worker that is not in this subset.
+    /// Returns the probability that a given dispatcher has a worker of this effective weight in its subset; 1
+    /// for a worker that is not in this dispatcher's subset.
     pub(super) fn membership_probability(&self, id: WorkerId, weight: f64) -> f64 {
         if self.members.contains(&id) { self.probability_per_weight * weight } else { 1.0 }
     }
 
-    /// Adapts the size of the subset to the load.
+    /// Adapts the target size to the load. Small changes of the load do not change it.
     pub(super) fn resize_for_load(&mut self, arrivals: &ArrivalStatistics) {
         let size =
             (WORKERS_PER_RUNNING_JOB * arrivals.mean_size() / arrivals.mean_gap()).max(MIN_SIZE).ceil();
@@ -97,12 +99,12 @@
         }
     }
 
-    /// Marks the nearest workers as out of date, since the worker list has changed.
+    /// Marks the nearest workers as outdated, after the worker list has changed.
     pub(super) fn invalidate_nearest(&mut self) {
         self.nearest_stale = true;
     }
 
-    /// Marks the members as out of date, since a worker has failed, recovered or rejected work.
+    /// Marks the members as outdated, after a worker has failed, recovered or rejected a job.
     pub(super) fn invalidate_members(&mut self) {
         self.members_stale = true;
     }
@@ -131,7 +133,7 @@
         self.refresh_at = now + REFRESH_INTERVAL;
     }
 
-    /// Chooses the members in a list of this length; ejected workers do not count towards the size.
+    /// Chooses the members in a list of this length. Ejected workers do not count towards the size.
     pub(super) fn choose_members(&mut self, workers: usize, is_ejected: impl Fn(WorkerId) -> bool) {
         let size = self.target_size.min(workers);
         let ejected =
@@ -141,8 +143,8 @@
 }
 
 impl Dispatcher {
-    /// Looks up the workers that are nearest to this dispatcher among all workers. That is expensive in
-    /// long lists, so it is not done for every request.
+    /// Looks up the workers nearest to this dispatcher among all ready workers. That is expensive in long
+    /// lists, so it is not done for every request.
     pub(super) fn look_up_nearest_workers(&mut self, now: Micros) {
         let context = self.context();
         let candidate = |&id: &WorkerId| Candidate {
@@ -166,8 +168,8 @@
         self.subset.set_nearest(now, workers, nearest);
     }
 
-    /// Returns the nearest workers that run a class, if only one kind of machine does: the subset may
-    /// contain none of them.
+    /// Returns the nearest workers that run a class, if only one kind does: the subset may contain none of
+    /// them.
     fn nearest_of_class(&self, class: usize, limit: usize) -> Vec<WorkerId> {
         if self.settings.classes[class].worker_kind.is_none() {
             return Vec::new();
