--- a/crates/dispatcher/src/dispatcher/arrival_statistics.rs
+++ b/crates/dispatcher/src/dispatcher/arrival_statistics.rs
@@ -1,18 +1,19 @@
-//! Decayed statistics of the arriving requests: rate, sizes, and how long clients wait.
+//! Statistics of the arriving requests: rate, job sizes and client timeouts.
 
 use crate::interface::Micros;
 
-/// The number of requests over which rate and mean size are averaged.
+/// Number of requests over which rate and mean size are averaged.
 const HISTORY_REQUESTS: f64 = 50.0;
-/// The quantile of job sizes that bounds the lanes: one outlier must not empty the top lanes.
+/// Quantile of the job sizes at which the size intervals end (S_max). With the largest size instead, one
+/// outlier would leave the intervals of the fastest workers empty.
 const SIZE_QUANTILE: f64 = 0.9;
-/// How far the quantile moves with one arrival, in mean sizes.
+/// Change of the estimated quantile with one arrival, as a multiple of the mean size.
 const SIZE_QUANTILE_STEP: f64 = 0.2;
-/// Longer gaps between two arrivals count as this.
+/// Upper bound of the time between two arrivals, in microseconds; a longer one is reduced to it.
 const MAX_GAP: Micros = 1_000_000;
 
-/// Statistics of what has arrived at this dispatcher. Sizes are running times on a standard core, in
-/// microseconds.
+/// Statistics of the requests that have arrived at this dispatcher. Sizes are running times on a standard
+/// core, in microseconds.
 #[derive(Default)]
 pub(super) struct ArrivalStatistics {
     /// Number of arrivals, up to [`HISTORY_REQUESTS`].
@@ -21,7 +22,7 @@
     mean_gap: f64,
     mean_size: f64,
     size_quantile: f64,
-    /// By class: the longest time that a client has been willing to wait for one answer.
+    /// By class: longest time between the arrival of a request and its deadline.
     longest_client_timeout: Vec<Micros>,
 }
 
@@ -43,7 +44,7 @@
         self.size_quantile = (self.size_quantile + step * SIZE_QUANTILE_STEP).max(self.mean_size);
     }
 
-    /// Records how long a client waits for a request of this class, and returns the longest such time so
+    /// Records how long the client of a request of this class waits, and returns the longest such time so
     /// far.
     pub(super) fn record_client_timeout(&mut self, class: usize, client_timeout: Micros) -> Micros {
         let longest = &mut self.longest_client_timeout[class];
@@ -56,12 +57,13 @@
         self.mean_gap
     }
 
-    /// Returns the mean size of a job.
+    /// Returns the mean job size.
     pub(super) fn mean_size(&self) -> f64 {
         self.mean_size
     }
 
-    /// Returns the paper's S_max: the size that bounds the lanes.
+    /// Returns the paper's S_max, at which the size intervals end: the estimated [`SIZE_QUANTILE`] of the job
+    /// sizes, but at least their mean.
     pub(super) fn size_quantile(&self) -> f64 {
         self.size_quantile
     }
--- a/crates/dispatcher/src/dispatcher/attempt.rs
+++ b/crates/dispatcher/src/dispatcher/attempt.rs
@@ -2,15 +2,15 @@
 
 use crate::interface::{Micros, Outcome, RequestId, WorkerId};
 
-/// A start notice that takes longer than a connection, a handshake and two network delays indicates a
-/// queue.
+/// Time within which an idle worker's start notice arrives, in microseconds: it covers a connection, a
+/// handshake and two network delays. A later notice indicates a queue.
 pub(super) const START_GRACE: Micros = 25_000;
 
-/// Identifies an attempt, and the worker that it was sent to.
+/// Identifies an attempt and the worker that it was sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct AttemptId {
     pub(super) request: RequestId,
-    /// The attempts of a request are numbered from 0.
+    /// Number of the attempt within its request, from 0.
     pub(super) number: u32,
     pub(super) worker: WorkerId,
 }
@@ -19,30 +19,30 @@
 pub(super) struct Attempt {
     pub(super) id: AttemptId,
     pub(super) class: usize,
-    /// The job's expected running time on a standard core, in microseconds.
+    /// Expected running time of the job on a standard core, in microseconds.
     pub(super) size: f64,
-    /// The slots that it takes.
+    /// Number of slots that the job occupies.
     pub(super) slots: f64,
-    /// When it was sent; for a long body, when the last byte was sent.
+    /// Time of the send; for a long body, time at which its last byte was sent.
     pub(super) sent_at: Micros,
-    /// An answer after this time has no value.
+    /// Time after which an answer has no value.
     pub(super) value_deadline: Micros,
     pub(super) started_at: Option<Micros>,
 }
 
 impl Attempt {
-    /// Returns the time since it was sent, in microseconds: its wait if it has just started or has not
-    /// started.
+    /// Returns the time since the send, in microseconds. For a job that has not started, or is starting now,
+    /// that is its wait.
     pub(super) fn waited(&self, now: Micros) -> f64 {
         (now - self.sent_at) as f64
     }
 }
 
-/// The end of an attempt, as the host reports it.
+/// End of an attempt, as the host reports it.
 pub(super) struct AttemptResult {
     pub(super) outcome: Outcome,
-    /// The time since it was sent.
+    /// Time since the attempt was sent.
     pub(super) elapsed: Micros,
-    /// The request has its final answer.
+    /// Whether the request has its final answer.
     pub(super) request_concluded: bool,
 }
--- a/crates/dispatcher/src/dispatcher/attempt_timeout.rs
+++ b/crates/dispatcher/src/dispatcher/attempt_timeout.rs
@@ -1,18 +1,18 @@
-//! What the dispatcher does when the time that was set for a request has come.
+//! Checks of a request at the time scheduled for it.
 
 use crate::dispatcher::attempt::{AttemptId, START_GRACE};
 use crate::dispatcher::{ATTEMPT_TIMER, Dispatcher};
 use crate::interface::{Action, Idempotency, Micros, RequestId};
 
-/// How long an attempt that has not started is left alone before it is checked again.
+/// Interval between two checks of an attempt that has not started.
 const RECHECK_INTERVAL: Micros = 3 * START_GRACE;
 
 impl Dispatcher {
-    /// Checks a request at the time that was set for it.
+    /// Checks a request whose scheduled time has come.
     pub(super) fn on_attempt_timer(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.is_streaming) else { return };
         match request.outstanding {
-            // An outstanding attempt is answered by its own timeout, which comes soon after the deadline.
+            // The host ends an outstanding attempt by its own timeout, soon after the deadline.
             Some(_) if now >= request.deadline => {}
             Some(attempt) => self.check_attempt(now, attempt, actions),
             None if now >= request.deadline => self.reject_or_fail(id, actions),
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Withdraws an attempt that has not started in time, if the request may be retried at another worker.
-    /// A worker that has shown life since the send is only slow, and the attempt stays there.
+    /// Cancels an attempt that has not started in time, if its request can be sent to another worker. If the
+    /// worker was active after the send, it is only slow, and the attempt is not cancelled.
     fn check_attempt(&mut self, now: Micros, id: AttemptId, actions: &mut Vec<Action>) {
         if !self.may_cancel_for_retry(now, id) {
             return;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Returns whether an attempt may be withdrawn so that its request can be sent elsewhere.
+    /// Returns whether an attempt may be cancelled so that its request can be sent to another worker.
     fn may_cancel_for_retry(&self, now: Micros, id: AttemptId) -> bool {
         let Some(request) = self.requests.get(&id.request) else { return false };
         let context = self.context();
@@ -71,7 +71,7 @@
         actions.push(Action::Cancel { request: id.request, attempt: id.number });
     }
 
-    /// Asks the host for a timer if the earliest time is not covered by the one that is set.
+    /// Requests a host timer for the earliest check, unless one is set that expires no later.
     pub(super) fn arm_next_timer(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if let Some(delay) = self.timers.arm(now, self.settings.min_timer_delay) {
             actions.push(Action::SetTimer { delay, token: ATTEMPT_TIMER });
--- a/crates/dispatcher/src/dispatcher/attempt_timers.rs
+++ b/crates/dispatcher/src/dispatcher/attempt_timers.rs
@@ -1,16 +1,16 @@
-//! The time at which each request is checked next, and the single host timer that serves them all.
+//! Schedule of the next check of each request, which uses a single timer of the host.
 
 use crate::interface::{Micros, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The longest delay that the host is asked for; a later time needs several timers.
+/// Upper bound of the delay of a host timer; several timers in a row cover a longer time.
 const MAX_TIMER_DELAY: Micros = 3_600_000_000;
 
-/// The next check of each request, ordered by time; at most one per request.
+/// Next check of each request, ordered by time; at most one per request.
 pub(super) struct AttemptTimers {
     by_time: BTreeSet<(Micros, RequestId)>,
     by_request: BTreeMap<RequestId, Micros>,
-    /// When the host's timer fires; [`Micros::MAX`] while none is set.
+    /// Time at which the host's timer expires; [`Micros::MAX`] if none is set.
     armed_for: Micros,
 }
 
@@ -21,22 +21,22 @@
 }
 
 impl AttemptTimers {
-    /// Sets the time of a request's next check, in place of an earlier one.
+    /// Schedules the next check of a request and replaces an earlier schedule.
     pub(super) fn schedule(&mut self, request: RequestId, at: Micros) {
         self.cancel(request);
         self.by_time.insert((at, request));
         self.by_request.insert(request, at);
     }
 
-    /// Removes the next check of a request, if one is set.
+    /// Removes the scheduled check of a request, if there is one.
     pub(super) fn cancel(&mut self, request: RequestId) {
         if let Some(at) = self.by_request.remove(&request) {
             self.by_time.remove(&(at, request));
         }
     }
 
-    /// Records that a host timer fired. Returns false if the timer was superseded by an earlier one: it
-    /// must not set a further timer then, or timers would multiply.
+    /// Records that a host timer has expired. Returns false if an earlier timer has replaced it: such a timer
+    /// must not lead to a new one, or the number of timers would grow.
     pub(super) fn on_fired(&mut self, now: Micros) -> bool {
         if now < self.armed_for {
             return false;
@@ -52,8 +52,8 @@
         Some(request)
     }
 
-    /// Returns the delay of the host timer to set, at least `min_delay`; none if the one that is set
-    /// suffices.
+    /// Returns the delay of the host timer to set, at least `min_delay`; none if the one that is set expires
+    /// early enough.
     pub(super) fn arm(&mut self, now: Micros, min_delay: Micros) -> Option<Micros> {
         let &(at, _) = self.by_time.first().filter(|(at, _)| *at < self.armed_for)?;
         self.armed_for = at;
--- a/crates/dispatcher/src/dispatcher/pending.rs
+++ b/crates/dispatcher/src/dispatcher/pending.rs
@@ -1,14 +1,16 @@
-//! When requests are queued, and when they are taken from the queue and sent.
+//! Queueing of requests for which no worker has room, and sending them once one has.
 
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::request::MAX_HINT_ERROR;
 use crate::interface::{Action, Micros, RequestId};
 
-/// The search stops after this number of requests that find no worker, since the next ones rarely find one.
+/// A search of the queue stops after this number of requests for which there is no worker, since the requests
+/// behind them rarely find one.
 const MAX_REQUESTS_WITHOUT_WORKER: usize = 3;
 
 impl Dispatcher {
-    /// Queues a request, with a margin for the error of its work hint.
+    /// Queues a request by its latest start. The margin covers the error of its work hint and, if late
+    /// answers keep part of their value, the time between the latency objective and the value deadline.
     pub(super) fn enqueue(&mut self, now: Micros, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let start_by = self.latest_start(id);
@@ -17,7 +19,8 @@
         self.pending.enqueue(now, id, start_by, margin);
     }
 
-    /// Returns the last moment at which the fastest worker could start a request and complete it in time.
+    /// Returns the latest time at which a request must start to be answered before its value deadline by the
+    /// fastest worker.
     pub(super) fn latest_start(&self, id: RequestId) -> Micros {
         let Some(request) = self.requests.get(&id) else { return 0 };
         let fastest = self.ranking.of_class(request.class).first();
--- a/crates/dispatcher/src/dispatcher/pending_queue.rs
+++ b/crates/dispatcher/src/dispatcher/pending_queue.rs
@@ -1,28 +1,30 @@
-//! The queue of requests that wait until a worker has room.
+//! Queue of requests that wait until a worker has room.
 
 use crate::interface::{Micros, RequestId};
 
-/// Added to the start time of a request that is unlikely to be in time, so that it sorts after all others.
+/// Added to the sort key of a request that is unlikely to be answered in time, in microseconds: it then
+/// follows all others.
 const LATE_OFFSET: Micros = 1 << 60;
 
-/// A request in the queue.
+/// Entry of the queue, ordered by urgency.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PendingRequest {
-    /// The latest useful start, plus [`LATE_OFFSET`] if the request is unlikely to be in time.
+    /// Latest start that leaves a margin for errors. If that has already passed, latest start plus
+    /// [`LATE_OFFSET`].
     start_by: Micros,
     request: RequestId,
 }
 
-/// Requests that wait for room, the most urgent first.
+/// Requests that wait for a worker, the most urgent first.
 #[derive(Default)]
 pub(super) struct PendingQueue {
     by_urgency: Vec<PendingRequest>,
 }
 
 impl PendingQueue {
-    /// Queues a request that must start by `start_by` to be in time, within an error of `margin`. A request
-    /// that is likely late already goes after all others: in a backlog, every request would otherwise wait
-    /// until it is late.
+    /// Queues a request that must start by `start_by` to be answered in time, where `start_by` may be wrong
+    /// by `margin`. A request that is probably late already goes behind all others: if it went first, each
+    /// request in a backlog would wait until it is late.
     pub(super) fn enqueue(&mut self, now: Micros, request: RequestId, start_by: Micros, margin: Micros) {
         let conservative_start_by = start_by - margin;
         let start_by = if conservative_start_by > now {
@@ -35,7 +37,7 @@
         self.by_urgency.insert(position, pending);
     }
 
-    /// Removes and returns the first request whose start time has passed since it was queued.
+    /// Removes and returns the first request if its time to start has passed while it was queued.
     pub(super) fn pop_expired(&mut self, now: Micros) -> Option<RequestId> {
         self.by_urgency.first().filter(|pending| pending.start_by <= now)?;
         Some(self.by_urgency.remove(0).request)
@@ -46,17 +48,17 @@
         self.by_urgency.get(position).map(|pending| pending.request)
     }
 
-    /// Removes the request at a position, which must be in the queue.
+    /// Removes the request at a position, which must be below the length of the queue.
     pub(super) fn remove_at(&mut self, position: usize) {
         self.by_urgency.remove(position);
     }
 
-    /// Removes a request, if it is queued.
+    /// Removes a request if it is queued.
     pub(super) fn remove(&mut self, request: RequestId) {
         self.by_urgency.retain(|pending| pending.request != request);
     }
 
-    /// Returns whether no other request is more urgent than this one.
+    /// Returns whether the request is the first of the queue, or the queue is empty.
     pub(super) fn is_most_urgent(&self, request: RequestId) -> bool {
         self.get(0).is_none_or(|first| first == request)
     }
--- a/crates/dispatcher/src/dispatcher/request.rs
+++ b/crates/dispatcher/src/dispatcher/request.rs
@@ -1,9 +1,9 @@
-//! A request that has no final answer yet.
+//! State of a request that has no final answer yet.
 
 use crate::dispatcher::attempt::AttemptId;
 use crate::interface::{Micros, WorkerId};
 
-/// The factor by which a work hint may exceed the actual running time.
+/// Factor by which a work hint may differ from the actual running time.
 pub(super) const MAX_HINT_ERROR: f64 = 2.0;
 
 /// The first attempt of a request that may have been executed.
@@ -13,36 +13,35 @@
     pub(super) sent_at: Micros,
 }
 
-/// What the dispatcher knows of a request.
 #[derive(Default)]
 pub(super) struct Request {
     pub(super) class: usize,
-    /// The expected running time on a standard core, in microseconds.
+    /// Expected running time on a standard core, in microseconds.
     pub(super) size: f64,
-    /// The size was given with the request rather than assumed.
+    /// Whether `size` is the request's work hint; otherwise it is a default.
     pub(super) has_work_hint: bool,
-    /// The slots that it takes.
+    /// Number of slots that the job occupies.
     pub(super) slots: f64,
-    /// 0 if it has none.
+    /// 0 for none.
     pub(super) affinity_key: u64,
-    /// When the client stops waiting.
+    /// Time at which the client stops waiting.
     pub(super) deadline: Micros,
-    /// The end of its latency objective.
+    /// Time at which the latency objective ends.
     pub(super) objective_deadline: Micros,
-    /// An answer after this time has no value: the objective's end or, where late answers count, the
-    /// deadline.
+    /// Time after which an answer has no value: `deadline` if late answers keep part of their value,
+    /// otherwise `objective_deadline`.
     pub(super) value_deadline: Micros,
-    /// The number of attempts sent.
+    /// Number of attempts sent.
     pub(super) attempts: u32,
-    /// The attempt without an outcome.
+    /// Attempt that has no outcome yet.
     pub(super) outstanding: Option<AttemptId>,
-    /// The outstanding attempt was withdrawn.
+    /// Whether the outstanding attempt is being cancelled so that the request can be sent to another worker.
     pub(super) cancel_requested: bool,
-    /// Its answer has begun.
+    /// Whether a worker has begun a streamed response.
     pub(super) is_streaming: bool,
-    /// Its body can't be sent again.
+    /// Whether the body can't be sent to a worker, or not again.
     pub(super) body_consumed: bool,
     pub(super) first_execution: Option<FirstExecution>,
-    /// The workers that it was sent to.
+    /// Workers that the request was sent to.
     pub(super) tried: Vec<WorkerId>,
 }
--- a/crates/dispatcher/src/dispatcher/requests.rs
+++ b/crates/dispatcher/src/dispatcher/requests.rs
@@ -1,4 +1,4 @@
-//! The life of a request: its arrival, its attempts and their ends, its one final answer.
+//! Handling of requests: arrival, attempts, the end of attempts, and the final answer.
 
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher::attempt::{Attempt, AttemptId, AttemptResult, START_GRACE};
@@ -6,20 +6,21 @@
 use crate::dispatcher::request::{FirstExecution, Request};
 use crate::interface::{Action, Arrival, DedupScope, Idempotency, Micros, Outcome, RequestId, WorkerId};
 
-/// The paper's β, relative to T_init. At least half of T_init remains with [`MAX_FAILURES`].
+/// Fraction of T_init by which each excess failure of a worker shortens the start timeout (the paper's β).
+/// With [`MAX_FAILURES`] failures, at least half of T_init remains.
 const FAILURE_TIMEOUT_REDUCTION: f64 = 0.125;
 const _: () = assert!(FAILURE_TIMEOUT_REDUCTION * MAX_FAILURES as f64 <= 0.5);
-/// The share of a request's slack after which an attempt that has not started is checked.
+/// T_init as a fraction of a request's slack: the start timeout of an attempt at a worker without failures.
 const SLACK_SHARE: f64 = 0.5;
-/// The least time after which an attempt that has not started is checked.
+/// Lower bound of the time after which an attempt that has not started is checked.
 const MIN_START_TIMEOUT: Micros = 3 * START_GRACE;
-/// Larger job sizes count as this, in microseconds on a standard core.
+/// Upper bound of a job's size, in microseconds on a standard core; a larger work hint is reduced to it.
 const MAX_SIZE: f64 = 1e12;
-/// Larger numbers of slots count as this.
+/// Upper bound of the slots of a job; a larger number is reduced to it.
 const MAX_SLOTS: f64 = 1024.0;
 
 impl Dispatcher {
-    /// Handles an arriving request: sends it, queues it, or answers it.
+    /// Handles an arriving request: sends it, queues it or answers it.
     pub(super) fn on_arrival(&mut self, now: Micros, arrival: &Arrival, actions: &mut Vec<Action>) {
         let request = self.create_request(now, arrival);
         let size = request.size;
@@ -31,7 +32,8 @@
         self.send_or_enqueue(now, arrival.request, actions);
     }
 
-    /// Returns the state of an arriving request, with defaults for missing values.
+    /// Creates the state of an arriving request, with defaults for missing values: without a work hint, its
+    /// size is S_max.
     fn create_request(&mut self, now: Micros, arrival: &Arrival) -> Request {
         let class = arrival.class.min(self.settings.classes.len() - 1);
         let hint = arrival.work_hint.filter(|&hint| hint > 0).map(|hint| hint as f64);
@@ -58,9 +60,9 @@
         }
     }
 
-    /// Returns when the client sent the request for the first time, from which the latency objective
-    /// counts. If the request may be a retry, that is inferred from its deadline and the longest patience
-    /// of its class.
+    /// Estimates when the client sent the request for the first time, which is when its latency objective
+    /// starts. For a request that may be a retry, that is its deadline minus the longest timeout that clients
+    /// have used in its class.
     fn estimate_first_send(&mut self, now: Micros, arrival: &Arrival, class: usize) -> Micros {
         let longest_timeout =
             self.arrivals.record_client_timeout(class, arrival.deadline.saturating_sub(now));
@@ -68,7 +70,8 @@
         if is_first { now } else { now.min(arrival.deadline.saturating_sub(longest_timeout)) }
     }
 
-    /// Sends a request, queues it, or gives it up.
+    /// Sends a request, queues it, or answers it if its deadline has passed or no further attempt is
+    /// permitted.
     fn send_or_enqueue(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         if now >= request.deadline || !self.context().may_start_attempt(request, now) {
@@ -81,7 +84,7 @@
         }
     }
 
-    /// Sends a request to a worker.
+    /// Sends a request to a worker and schedules the check of its start.
     pub(super) fn send(
         &mut self,
         now: Micros,
@@ -103,8 +106,9 @@
         self.timers.schedule(id, check_at);
     }
 
-    /// Returns when an attempt that has not started is checked, after T = T_init − β·R. T_init is half of
-    /// the request's slack, so that another worker can still be in time.
+    /// Returns the time at which an attempt is checked if it has not started: T = T_init − β·R from now.
+    /// T_init is half of the request's slack, the time that is left until the value deadline after the job
+    /// has run, so that another worker can still answer in time.
     fn start_timeout_at(&self, now: Micros, request: &Request, worker_id: WorkerId) -> Micros {
         let context = self.context();
         let worker = self.workers.get(worker_id);
@@ -115,8 +119,8 @@
         (now + timeout.max(MIN_START_TIMEOUT)).min(request.deadline)
     }
 
-    /// Handles the end of an attempt: updates what is known of its worker, then retries the request or
-    /// gives it up, unless it is concluded.
+    /// Handles the end of an attempt: records what it shows about the worker, then retries or answers the
+    /// request, unless it is concluded.
     pub(super) fn on_attempt_ended(
         &mut self,
         now: Micros,
@@ -148,8 +152,8 @@
         }
     }
 
-    /// Answers a request without an answer from a worker: rejects it if a repeat is harmless, otherwise
-    /// fails it.
+    /// Answers a request that gets no response from a worker: rejects it if a repeat is harmless or it never
+    /// ran, otherwise fails it.
     pub(super) fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let repeat_is_harmless = matches!(
@@ -157,7 +161,7 @@
             Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. }
         );
         let never_ran = request.outstanding.is_none() && request.first_execution.is_none();
-        // A request that can't be repeated is rejected only if it never ran.
+        // A request that must not or cannot be sent again is rejected only if it never ran.
         let answer = if repeat_is_harmless && !request.body_consumed || never_ran {
             Action::Reject { request: id, retry_after: self.settings.limits.max_retry_after }
         } else {
@@ -179,7 +183,7 @@
     }
 }
 
-/// Records the next attempt of a request, and returns it.
+/// Adds the next attempt to a request and returns it.
 fn begin_attempt(now: Micros, id: RequestId, request: &mut Request, worker: WorkerId) -> Attempt {
     let attempt_id = AttemptId { request: id, number: request.attempts, worker };
     request.attempts += 1;
--- a/crates/dispatcher/src/dispatcher/retry_budget.rs
+++ b/crates/dispatcher/src/dispatcher/retry_budget.rs
@@ -1,15 +1,13 @@
-//! The budget for retries after withdrawn attempts.
+//! Budget for retries after cancelled attempts.
 
-/// The retries that each arriving request adds to the budget, before the penalty for wasted work is
-/// subtracted.
+/// Retries that each arriving request adds to the budget, before the penalty for wasted work is subtracted.
 const RETRIES_PER_REQUEST: f64 = 0.1;
-/// Upper bound of the budget.
+/// Upper bound of the budget, in retries.
 const MAX_BUDGET: f64 = 10.0;
-/// The budget starts with the share of this number of requests.
+/// Number of arriving requests whose retries the budget contains from the start.
 const INITIAL_REQUESTS: f64 = 10.0;
 
-/// Limits the retries that follow a withdrawn attempt, since each of them adds load when workers are
-/// already slow.
+/// Limits the retries after cancelled attempts, since each of them adds load when workers are already slow.
 #[derive(Default)]
 pub(super) struct RetryBudget {
     retries_per_request: f64,
@@ -17,13 +15,14 @@
 }
 
 impl RetryBudget {
-    /// Creates a budget that is smaller the higher the penalty for wasted work is. It may stay empty.
+    /// Creates a budget. The higher the penalty for wasted work, the fewer retries each request adds, down to
+    /// none.
     pub(super) fn new(wasted_work_penalty: f64) -> Self {
         let retries_per_request = (RETRIES_PER_REQUEST - wasted_work_penalty).max(0.0);
         RetryBudget { retries_per_request, available: INITIAL_REQUESTS * retries_per_request }
     }
 
-    /// Adds the share of one arriving request.
+    /// Adds the retries for one arriving request.
     pub(super) fn record_arrival(&mut self) {
         self.available = (self.available + self.retries_per_request).min(MAX_BUDGET);
     }
