--- a/crates/dispatcher/src/dispatcher/requests.rs
+++ b/crates/dispatcher/src/dispatcher/requests.rs
@@ -108,7 +108,7 @@
 
     /// Returns the time at which an attempt is checked if it has not started: T = T_init − β·R from now.
     /// T_init is half of the request's slack, the time that is left until the value deadline after the job
-    /// has run, so that another worker can still answer in time.
+    /// has run, so that another worker can still respond in time.
     fn start_timeout_at(&self, now: Micros, request: &Request, worker_id: WorkerId) -> Micros {
         let context = self.context();
         let worker = self.workers.get(worker_id);
--- a/crates/dispatcher/src/dispatcher/selection.rs
+++ b/crates/dispatcher/src/dispatcher/selection.rs
@@ -168,7 +168,7 @@
             * self.context.arrivals.mean_size()
     }
 
-    /// Returns whether a worker would start the request immediately and answer it in time.
+    /// Returns whether a worker would start the request immediately and respond in time.
     fn can_serve_immediately(&self, id: WorkerId) -> bool {
         let worker = self.context.workers.get(id);
         let expected_wait = self.context.expected_wait(worker, self.request.class, self.now);
@@ -177,7 +177,7 @@
     }
 
     /// Returns the cheapest worker that has room, among the candidates and the affinity set. If it would
-    /// answer late, it is returned only if the request is the most urgent one and could be in time within the
+    /// respond late, it is returned only if the request is the most urgent one and could be in time within the
     /// error of its work hint.
     fn best_with_room(&self, mut candidates: Vec<WorkerId>) -> Option<WorkerId> {
         let members = self.context.subset.members();
--- a/crates/dispatcher/src/dispatcher/worker_evidence.rs
+++ b/crates/dispatcher/src/dispatcher/worker_evidence.rs
@@ -20,7 +20,7 @@
     Served,
     /// The outcome says nothing about the state of the worker.
     Inconclusive,
-    /// The worker is active, and its queue is at least as long as the job has waited.
+    /// The worker is active, and jobs wait in its queue at least as long as this one has waited.
     Queueing,
     /// The worker's queue is full.
     QueueFull,
