--- a/crates/dispatcher/src/dispatcher/selection.rs
+++ b/crates/dispatcher/src/dispatcher/selection.rs
@@ -177,8 +177,8 @@
     }
 
     /// Returns the cheapest worker that has room, among the candidates and the affinity set. If it would
-    /// respond late, it is returned only if the request is the most urgent one and could be in time within the
-    /// error of its work hint.
+    /// respond late, it is returned only if the request is the most urgent one and could be in time within
+    /// the error of its work hint.
     fn best_with_room(&self, mut candidates: Vec<WorkerId>) -> Option<WorkerId> {
         let members = self.context.subset.members();
         candidates.extend(self.affinity_set.iter().filter(|worker| !members.contains(worker)));
