--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Builders and a harness that the tests share.
+//! Settings, event constructors and a dispatcher harness for the integration tests.
 #![allow(dead_code)]
 
 use sorrelhaven_dispatcher::*;
@@ -22,7 +22,8 @@
     Idempotency::Keyed { scope, window: 3 * SEC }
 }
 
-/// Class 0 is idempotent, 1 not idempotent, 2 keyed within a zone, 3 keyed everywhere, 4 keyed within a cell.
+/// Settings of one of two dispatchers, in zone 0. Class 0 is idempotent, class 1 is not. The others have an
+/// idempotency key, with the deduplication scope zone (class 2), all workers (3) and cell (4).
 pub fn settings() -> Settings {
     Settings {
         instance: 0,
@@ -64,7 +65,7 @@
     }
 }
 
-/// A ready worker; those of an even number are in zone 0, the others in zone 1.
+/// List entry of a ready worker: even numbers are in zone 0, odd ones in zone 1. There are three cells.
 pub fn entry(number: u32) -> WorkerEntry {
     WorkerEntry {
         worker: WorkerId(number),
@@ -78,7 +79,8 @@
     }
 }
 
-/// The first attempt of a request without a key, whose body can be sent.
+/// Arrival of a request that is not a retry, has no affinity key, occupies one slot and whose body can be
+/// sent.
 pub fn arrival(request: RequestId, class: usize, deadline: Micros, work_hint: Micros) -> Arrival {
     Arrival {
         request,
@@ -92,17 +94,17 @@
     }
 }
 
-/// A complete worker list.
+/// Update with a complete worker list.
 pub fn full_list(entries: impl IntoIterator<Item = WorkerEntry>) -> Event {
     Event::WorkerList(WorkerListUpdate::Full(entries.into_iter().collect()))
 }
 
-/// Changed entries of the worker list.
+/// Update with the changed entries of the worker list.
 pub fn list_delta(entries: impl IntoIterator<Item = WorkerEntry>) -> Event {
     Event::WorkerList(WorkerListUpdate::Delta(entries.into_iter().collect()))
 }
 
-/// The end of an attempt without a load report; the request has its final answer if it was served.
+/// End of an attempt, without a load report. The request is concluded if the outcome is [`Outcome::Ok`].
 pub fn attempt_ended(
     request: RequestId,
     (worker, attempt): (WorkerId, u32),
@@ -120,14 +122,14 @@
     }
 }
 
-/// A dispatcher, and the numbers of its requests.
+/// A dispatcher under test, and the number of its next request.
 pub struct DispatcherHarness {
     pub dispatcher: Dispatcher,
     pub next_request: u64,
 }
 
 impl DispatcherHarness {
-    /// With so many ready workers.
+    /// Creates a dispatcher with this number of ready workers.
     pub fn new(settings: Settings, workers: u32) -> Self {
         let mut harness = DispatcherHarness::without_workers(settings, 7);
         harness.dispatch(0, full_list((0..workers).map(entry)));
@@ -138,33 +140,35 @@
         DispatcherHarness { dispatcher: Dispatcher::new(settings, seed), next_request: 0 }
     }
 
+    /// Handles one event and returns the resulting actions.
     pub fn dispatch(&mut self, now: Micros, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.dispatcher.handle(now, event, &mut actions);
         actions
     }
 
-    /// The id of the next request.
+    /// Returns a new request id; they are numbered consecutively.
     pub fn next_id(&mut self) -> RequestId {
         self.next_request += 1;
         RequestId(self.next_request - 1)
     }
 
-    /// A request arrives whose client waits for 5 s.
+    /// Handles the arrival of a request whose client waits for 5 s; returns its id and the actions.
     pub fn arrive(&mut self, now: Micros, class: usize, work_hint: Micros) -> (RequestId, Vec<Action>) {
         let request = self.next_id();
         let arrival = arrival(request, class, now + 5 * SEC, work_hint);
         (request, self.dispatch(now, Event::Arrival(arrival)))
     }
 
-    /// A request of class 0 and 100 ms arrives with an affinity key; the worker it is sent to, if it is.
+    /// Handles the arrival of a request of class 0 with an affinity key and a work hint of 100 ms. Returns
+    /// the worker that it is sent to, if it is sent at once.
     pub fn arrive_with_key(&mut self, now: Micros, affinity_key: u64) -> Option<WorkerId> {
         let request = self.next_id();
         let arrival = Arrival { affinity_key, ..arrival(request, 0, now + 5 * SEC, 100 * MS) };
         sends(&self.dispatch(now, Event::Arrival(arrival))).first().map(|send| send.worker)
     }
 
-    /// An attempt ends after 10 ms.
+    /// Handles the end of an attempt 10 ms after its send.
     pub fn end_attempt(
         &mut self,
         now: Micros,
@@ -175,7 +179,8 @@
         self.dispatch(now, attempt_ended(request, sent, outcome, 10 * MS))
     }
 
-    /// Sends a job that is served by a worker of this speed; the worker that got it, if one did.
+    /// Handles a request of class 0 from its arrival until a worker has served it; `speed` is the worker's
+    /// speed in standard cores. Returns the worker, or none if the request was not sent at once.
     pub fn serve(
         &mut self,
         now: Micros,
@@ -191,14 +196,14 @@
     }
 }
 
-/// A request that was sent to a worker.
+/// Request and worker of an [`Action::Send`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SentRequest {
     pub request: RequestId,
     pub worker: WorkerId,
 }
 
-/// The requests that were sent, in order.
+/// Returns the requests that these actions send, in order.
 pub fn sends(actions: &[Action]) -> Vec<SentRequest> {
     let send = |action: &Action| match *action {
         Action::Send { request, worker, .. } => Some(SentRequest { request, worker }),
--- a/crates/dispatcher/tests/large_worker_lists.rs
+++ b/crates/dispatcher/tests/large_worker_lists.rs
@@ -1,4 +1,5 @@
-//! More workers and dispatchers than any list may be limited to.
+//! Long worker lists: 1025 workers of 1024 kinds, for 1024 dispatchers. None of these lists
+//! may be limited to fewer entries.
 
 mod common;
 use common::*;
@@ -9,6 +10,7 @@
 const KINDS: usize = 1024;
 const DISPATCHERS: u32 = 1024;
 
+/// List entry of a ready worker; the workers are spread over all kinds and 37 zones.
 fn numbered_entry(number: u32) -> WorkerEntry {
     WorkerEntry {
         kind: number as usize % KINDS,
@@ -27,10 +29,10 @@
     DispatcherHarness::without_workers(settings, u64::from(instance))
 }
 
-/// One job with a key, served after 100 ms; its worker.
+/// Sends a job with an affinity key, which is served after 100 ms; returns its worker.
 fn serve_with_key(harness: &mut DispatcherHarness, now: Micros, key: u64) -> WorkerId {
     let request = RequestId(harness.next_request);
-    let worker = harness.arrive_with_key(now, key).expect("it is sent");
+    let worker = harness.arrive_with_key(now, key).expect("an idle worker gets the job");
     harness.dispatch(now + MS, Event::AttemptStarted { request, attempt: 0, worker });
     harness.end_attempt(now + 100 * MS, request, (worker, 0), Outcome::Ok);
     worker
@@ -40,25 +42,26 @@
 fn complete_list_and_single_changes_of_1025_workers_are_both_accepted() {
     let (mut with_list, mut with_changes) = (dispatcher(0), dispatcher(DISPATCHERS - 1));
     with_list.dispatch(0, all_entries());
-    let begun = Instant::now();
+    let measured_from = Instant::now();
     for number in 0..WORKERS {
         with_changes.dispatch(0, list_delta([numbered_entry(number)]));
     }
-    println!("a change of the list: {:?}", begun.elapsed() / WORKERS);
+    println!("mean time to apply a change of one entry: {:?}", measured_from.elapsed() / WORKERS);
     let mut now = SEC;
-    let begun = Instant::now();
+    let measured_from = Instant::now();
     for key in 1..400 {
         now += 200 * MS;
         serve_with_key(&mut with_list, now, key);
         serve_with_key(&mut with_changes, now, key);
     }
-    println!("a job: {:?}", begun.elapsed() / 798);
+    println!("mean time to handle a job: {:?}", measured_from.elapsed() / 798);
     for harness in [&with_list, &with_changes] {
         assert_eq!(harness.dispatcher.worker_counts(now).known, u64::from(WORKERS));
     }
 }
 
-/// Wherever the worker is in the list, and whichever dispatcher sends the key first.
+/// Guards against an affinity set that depends on the dispatcher, or on the position of a worker in a long
+/// list.
 #[test]
 fn key_has_the_same_worker_among_1025_at_all_dispatchers() {
     let mut workers = Vec::new();
@@ -68,10 +71,13 @@
             harness.dispatch(0, all_entries());
             serve_with_key(&mut harness, SEC, key).0
         });
-        assert_eq!(first, last, "key {key}");
+        assert_eq!(first, last, "worker of key {key} at the first and the last dispatcher");
         workers.push(first);
     }
     workers.sort_unstable();
     workers.dedup();
-    assert!(workers.len() > 40 && workers[0] < 100 && workers.last() > Some(&900), "{workers:?}");
+    assert!(
+        workers.len() > 40 && workers[0] < 100 && workers.last() > Some(&900),
+        "workers with a key: {workers:?}"
+    );
 }
--- a/crates/dispatcher/tests/pending_and_timers.rs
+++ b/crates/dispatcher/tests/pending_and_timers.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a worker, and the timers that are set for them.
+//! Requests that wait for a worker, the timers for their checks, and the backoff of the discovery watch.
 
 mod common;
 use common::*;
@@ -8,7 +8,9 @@
 fn request_without_any_worker_is_rejected_within_its_objective() {
     let mut harness = DispatcherHarness::new(settings(), 0);
     let (request, actions) = harness.arrive(SEC, 1, 100 * MS);
-    let Some(&Action::SetTimer { delay, token }) = actions.first() else { panic!("no timer: {actions:?}") };
+    let Some(&Action::SetTimer { delay, token }) = actions.first() else {
+        panic!("the arrival of a waiting request sets no timer: {actions:?}")
+    };
     assert!(delay <= 450 * MS);
     let actions = harness.dispatch(SEC + delay, Event::Timer(token));
     assert!(
@@ -18,9 +20,9 @@
     );
 }
 
-/// A job that can still be in time goes before one that is late anyway, though that one has less time left:
-/// else a backlog makes each job wait until it is late. One that could be in time only if nothing errs,
-/// least of all its hint, would mostly be late as well.
+/// Guards against a backlog in which each job waits until it is late: a job that can be answered in time must
+/// go before one that is late already, although that one has less time left. A job that would be in time only
+/// if its work hint were exact counts as late, since most such jobs are.
 #[test]
 fn pending_job_that_is_late_goes_after_those_that_can_be_in_time() {
     for freed_at in [900 * MS, 320 * MS] {
@@ -28,21 +30,26 @@
         settings.classes[0].late_value_fraction = 0.5;
         let mut harness = DispatcherHarness::new(settings, 1);
         let (running, actions) = harness.arrive(0, 0, 100 * MS);
-        let worker = sends(&actions).first().expect("it is sent").worker;
+        let worker = sends(&actions).first().expect("the idle worker gets the first job").worker;
         let (late, actions) = harness.arrive(MS, 0, 100 * MS);
-        assert!(sends(&actions).is_empty(), "it waits behind the first");
+        assert!(sends(&actions).is_empty(), "the second job waits until the first has ended");
         let (recent, actions) = harness.arrive(freed_at - 10 * MS, 0, 100 * MS);
-        assert!(sends(&actions).is_empty(), "it waits as well");
+        assert!(sends(&actions).is_empty(), "the third job waits until the first has ended");
         let served = attempt_ended(running, (worker, 0), Outcome::Ok, 100 * MS);
         let actions = harness.dispatch(freed_at, served);
         let first = sends(&actions).first().map(|send| send.request);
-        assert_eq!(first, Some(recent), "not {late:?} at {freed_at}");
+        assert_eq!(
+            first,
+            Some(recent),
+            "first request sent after the worker is free at {freed_at} µs; {late:?} is late"
+        );
     }
 }
 
-/// A timer that was overtaken by an earlier one sets no further timer.
+/// Guards against a growing number of timers: a timer that fires after an earlier one has replaced it must
+/// not set a further one.
 #[test]
-fn overtaken_timers_do_not_multiply() {
+fn timer_that_an_earlier_one_has_replaced_sets_no_further_timer() {
     let mut harness = DispatcherHarness::new(settings(), 4);
     let mut timers: Vec<(Micros, u64)> = Vec::new();
     let mut count = 0;
@@ -64,18 +71,24 @@
             }
         }
     }
-    assert!(count < 2_500, "{count} timers for 400 requests");
+    assert!(count < 2_500, "{count} timers were set for 400 requests");
 }
 
-/// A timer may fire too early: an earlier one was set in the meantime, or its request is gone.
+/// A timer may fire before the next check is due, since an earlier timer has replaced it or its request was
+/// removed.
 #[test]
 fn timer_that_fires_before_the_next_check_sets_no_further_timer() {
     let mut harness = DispatcherHarness::new(settings(), 0);
     let (_, actions) = harness.arrive(SEC, 1, 100 * MS);
-    let Some(&Action::SetTimer { delay, token }) = actions.first() else { panic!("no timer: {actions:?}") };
+    let Some(&Action::SetTimer { delay, token }) = actions.first() else {
+        panic!("the arrival of a waiting request sets no timer: {actions:?}")
+    };
     assert!(delay > MS);
     assert_eq!(harness.dispatch(SEC + MS, Event::Timer(token)), []);
-    assert!(!harness.dispatch(SEC + delay, Event::Timer(token)).is_empty(), "the check takes place");
+    assert!(
+        !harness.dispatch(SEC + delay, Event::Timer(token)).is_empty(),
+        "the request is checked when the check is due"
+    );
 }
 
 #[test]
@@ -91,7 +104,9 @@
     let mut last_delay = 0;
     for _ in 0..4 {
         let actions = harness.dispatch(SEC, Event::WorkerList(WorkerListUpdate::Failed));
-        let Some(&Action::SetTimer { delay, token }) = actions.first() else { panic!("no timer") };
+        let Some(&Action::SetTimer { delay, token }) = actions.first() else {
+            panic!("the failure of the watch sets no timer: {actions:?}")
+        };
         assert!(delay > last_delay);
         last_delay = delay;
         assert!(harness.dispatch(SEC + delay, Event::Timer(token)).contains(&Action::WatchWorkerList));
--- a/crates/dispatcher/tests/slow_start.rs
+++ b/crates/dispatcher/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! How much work a worker gets in slow start.
+//! How much work a dispatcher sends to a worker in slow start.
 
 mod common;
 use common::*;
@@ -19,11 +19,13 @@
             harness.dispatch(now + MS, Event::AttemptStarted { request, attempt: 0, worker });
         }
     }
-    // One standard core at a fifth: three times that over two seconds, of which this dispatcher has half.
-    assert!(sent_work > 0 && sent_work <= 600 * MS, "{sent_work}");
+    // The worker has a fifth of one standard core. All dispatchers may send it three times that within 2 s,
+    // which is 1.2 s of work, and this dispatcher is one of two.
+    assert!(sent_work > 0 && sent_work <= 600 * MS, "{sent_work} µs of work were sent within 1 s");
 }
 
-/// Jobs with tiny hints that run far longer must not overload a worker in slow start.
+/// Guards against an overload by jobs that run far longer than their work hints say: each must count as at
+/// least a fraction of the mean job size.
 #[test]
 fn job_with_a_tiny_hint_still_counts_against_the_slow_start_budget() {
     let mut harness = DispatcherHarness::new(settings(), 1);
@@ -42,5 +44,5 @@
             harness.dispatch(now + MS, Event::AttemptStarted { request, attempt: 0, worker });
         }
     }
-    assert!((1..=4).contains(&sent), "{sent} jobs");
+    assert!((1..=4).contains(&sent), "{sent} jobs were sent within 1 s");
 }
