--- a/crates/dispatcher/tests/retries.rs
+++ b/crates/dispatcher/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Which requests are retried, where, and how requests end that are not.
+//! Which requests are retried, at which workers, and how the others are answered.
 
 mod common;
 use common::*;
@@ -59,8 +59,8 @@
     assert!(!actions.iter().any(|action| matches!(action, Action::Reject { .. })), "{actions:?}");
 }
 
-/// A body that was sent and not stored can't be sent again, whatever the class: the request fails where it
-/// may have run, and is rejected only where it never did.
+/// A body that was sent and is not stored can't be sent again, whatever the class: the request fails if it
+/// may have been executed, and is rejected only if it was not.
 #[test]
 fn request_with_a_consumed_body_is_not_retried() {
     for class in 0..5 {
@@ -87,8 +87,7 @@
     }
 }
 
-/// The body could not be stored, where such requests are rejected: the dispatcher chooses the answer, and
-/// nothing is sent.
+/// If a body could not be stored, the dispatcher rejects the request and sends nothing.
 #[test]
 fn request_without_a_sendable_body_is_rejected_at_once() {
     let mut harness = DispatcherHarness::new(settings(), 3);
@@ -100,8 +99,8 @@
     }
 }
 
-/// Clients that give up early: a first attempt with little time left is sent, a retry whose objective is
-/// over is not.
+/// Guards against requests with a short client timeout that are taken for retries: a request is sent unless it
+/// is marked as a retry and its latency objective has passed.
 #[test]
 fn first_attempt_with_a_short_deadline_is_not_taken_for_a_retry() {
     let mut harness = DispatcherHarness::new(settings(), 2);
@@ -110,10 +109,13 @@
     let retry = Arrival { request: RequestId(91), is_retry: true, ..first.clone() };
     assert_eq!(sends(&harness.dispatch(3 * SEC, Event::Arrival(first))).len(), 1);
     let sent_retries = sends(&harness.dispatch(3 * SEC, Event::Arrival(retry)));
-    assert!(sent_retries.is_empty(), "its objective is long over");
+    assert!(
+        sent_retries.is_empty(),
+        "a retry is sent after its latency objective has passed: {sent_retries:?}"
+    );
 }
 
-/// When the timer that was set fires, and its token.
+/// Returns the expiry and the token of the first timer that these actions set.
 fn timer_of(actions: &[Action], now: Micros) -> Option<(Micros, u64)> {
     actions.iter().find_map(|action| match action {
         Action::SetTimer { delay, token } => Some((now + delay, *token)),
@@ -122,13 +124,13 @@
 }
 
 #[test]
-fn attempt_at_a_silent_worker_is_withdrawn_and_retried_in_time() {
+fn attempt_at_a_silent_worker_is_cancelled_and_retried_in_time() {
     let mut harness = DispatcherHarness::new(settings(), 3);
     let (request, actions) = harness.arrive(SEC, 0, 200 * MS);
     let worker = sends(&actions)[0].worker;
     let mut timer = timer_of(&actions, SEC);
     while let Some((now, token)) = timer.take() {
-        assert!(now < SEC + 700 * MS, "no withdrawal in time");
+        assert!(now < SEC + 700 * MS, "the attempt is not cancelled within 700 ms");
         let actions = harness.dispatch(now, Event::Timer(token));
         if actions.contains(&Action::Cancel { request, attempt: 0 }) {
             let again = sends(&harness.end_attempt(now + MS, request, (worker, 0), Outcome::Cancelled));
@@ -138,5 +140,5 @@
         }
         timer = timer_of(&actions, now);
     }
-    panic!("the request was forgotten");
+    panic!("the attempt is not cancelled, and no further check of it is scheduled");
 }
