--- a/crates/dispatcher/tests/random_event_orders.rs
+++ b/crates/dispatcher/tests/random_event_orders.rs
@@ -1,4 +1,15 @@
-//! Odd but legal event orders: the rules are checked on the actions that follow, by bookkeeping of the test's own.
+//! Random orders of events, including unusual ones: outcomes without a start notice, unknown ids, classes out
+//! of range, workers that restart or leave the list at any time, and requests that arrive after their
+//! deadline.
+//!
+//! The test keeps a model of all requests and outstanding attempts, and checks each action against it:
+//!
+//! - A request gets at most one final answer, and is concluded soon after its deadline.
+//! - An attempt is sent only to a ready worker, and only for a request that is not concluded, has no
+//!   outstanding attempt and has not reached the limit of attempts.
+//! - A request that may have been executed is repeated only if it is idempotent, or within the scope and the
+//!   window of its idempotency key.
+//! - A request is rejected only if it was not executed, or if a repeat is harmless.
 
 mod common;
 use common::*;
@@ -9,17 +20,18 @@
 
 const WORKERS: usize = 6;
 const MAX_ATTEMPTS: u32 = 3;
-/// How long workers remember an idempotency key.
+/// Time for which workers keep an idempotency key.
 const KEY_WINDOW: Micros = 3 * SEC;
-/// How late an answer may be.
+/// Upper bound of the time from a request's deadline to its answer.
 const MAX_LATENESS: Micros = 5 * MS;
 
+/// Step of a test case. An index is reduced modulo the number of attempts or requests to choose from.
 #[derive(Clone, Debug)]
 enum Step {
     Arrive { class: usize, work_hint: Micros, time_left: Micros },
-    EndAttempt { pick: usize, outcome: Outcome },
-    StartAttempt { pick: usize },
-    Disconnect { pick: usize },
+    EndAttempt { index: usize, outcome: Outcome },
+    StartAttempt { index: usize },
+    Disconnect { index: usize },
     UpdateWorker { worker: u32, lifecycle: Lifecycle, restarts: bool },
     UnknownIds { number: u64 },
     Wait { time: Micros },
@@ -41,9 +53,9 @@
         6 => (0usize..7, work_hint, -10i64..5_000).prop_map(|(class, work_hint, left)| {
             Step::Arrive { class, work_hint, time_left: left * MS }
         }),
-        6 => (any::<usize>(), outcome).prop_map(|(pick, outcome)| Step::EndAttempt { pick, outcome }),
-        3 => any::<usize>().prop_map(|pick| Step::StartAttempt { pick }),
-        1 => any::<usize>().prop_map(|pick| Step::Disconnect { pick }),
+        6 => (any::<usize>(), outcome).prop_map(|(index, outcome)| Step::EndAttempt { index, outcome }),
+        3 => any::<usize>().prop_map(|index| Step::StartAttempt { index }),
+        1 => any::<usize>().prop_map(|index| Step::Disconnect { index }),
         2 => (0u32..WORKERS as u32, lifecycle, any::<bool>()).prop_map(|(worker, lifecycle, restarts)| {
             Step::UpdateWorker { worker, lifecycle, restarts }
         }),
@@ -52,14 +64,15 @@
     ]
 }
 
-/// What the test knows of a request.
+/// State of a request that has arrived.
 #[derive(Clone)]
-struct KnownRequest {
+struct ModelRequest {
     class: usize,
     deadline: Micros,
     attempts: u32,
-    /// The first worker that may have executed it, and when it was sent there.
+    /// First attempt that may have been executed: its worker and the time of its send.
     first_execution: Option<(WorkerId, Micros)>,
+    /// Whether the request has its final answer, or its client has disconnected.
     is_concluded: bool,
 }
 
@@ -71,17 +84,19 @@
     is_cancelled: bool,
 }
 
-struct World {
+/// The dispatcher under test, and the state that follows from its events and actions.
+struct Model {
     harness: DispatcherHarness,
     now: Micros,
-    requests: BTreeMap<RequestId, KnownRequest>,
+    requests: BTreeMap<RequestId, ModelRequest>,
     outstanding: Vec<OutstandingAttempt>,
     timers: Vec<(Micros, u64)>,
     ready: [bool; WORKERS],
     rejection_proves_not_run: bool,
 }
 
-/// Whether a worker drops a repeat of a request of this class that another worker had first.
+/// Returns whether a request of this class that `first` may have executed can be repeated at `worker`: it is
+/// idempotent, or both workers are in the scope of its idempotency key.
 fn may_repeat_at(class: usize, first: WorkerId, worker: WorkerId) -> bool {
     match class {
         0 | 3 => true,
@@ -91,9 +106,9 @@
     }
 }
 
-impl World {
-    fn new(harness: DispatcherHarness, rejection_proves_not_run: bool) -> World {
-        World {
+impl Model {
+    fn new(harness: DispatcherHarness, rejection_proves_not_run: bool) -> Model {
+        Model {
             harness,
             now: SEC,
             requests: BTreeMap::new(),
@@ -106,21 +121,21 @@
 
     fn dispatch(&mut self, event: Event) {
         for action in self.harness.dispatch(self.now, event) {
-            self.carry_out(action);
+            self.check_action(action);
         }
     }
 
-    fn request(&mut self, id: RequestId) -> &mut KnownRequest {
-        self.requests.get_mut(&id).expect("a known request")
+    fn request(&mut self, id: RequestId) -> &mut ModelRequest {
+        self.requests.get_mut(&id).expect("the request has arrived")
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn check_action(&mut self, action: Action) {
         match action {
             Action::Send { request, worker, .. } => self.check_send(request, worker),
             Action::Reject { request, .. } => self.check_rejection(request),
             Action::Fail { request } => {
                 let request = self.request(request);
-                assert!(!request.is_concluded, "two answers");
+                assert!(!request.is_concluded, "a request that is concluded is failed");
                 request.is_concluded = true;
             }
             Action::Cancel { request, attempt } => {
@@ -133,7 +148,7 @@
                 assert!(delay > 0);
                 self.timers.push((self.now + delay, token));
             }
-            Action::Probe { .. } => panic!("probes are not permitted here"),
+            Action::Probe { .. } => panic!("a worker is probed, which the settings do not permit"),
             Action::WatchWorkerList | Action::Log(_) => {}
         }
     }
@@ -143,13 +158,22 @@
         let is_ready = self.ready[worker.0 as usize];
         let is_outstanding = self.outstanding.iter().any(|attempt| attempt.request == id);
         let request = self.request(id);
-        assert!(!request.is_concluded, "sent after its end");
-        assert!(is_ready, "sent to a draining worker");
-        assert!(!is_outstanding, "two attempts at once");
-        assert!(request.attempts < MAX_ATTEMPTS, "too many attempts");
+        assert!(!request.is_concluded, "an attempt is sent for a request that is concluded");
+        assert!(is_ready, "an attempt is sent to a worker that is not ready");
+        assert!(!is_outstanding, "an attempt is sent while another one is outstanding");
+        assert!(
+            request.attempts < MAX_ATTEMPTS,
+            "an attempt is sent beyond the {MAX_ATTEMPTS} permitted ones"
+        );
         if let Some((first, at)) = request.first_execution {
-            assert!(may_repeat_at(request.class, first, worker), "repeat outside its scope");
-            assert!(request.class == 0 || now - at <= KEY_WINDOW, "repeat outside its window");
+            assert!(
+                may_repeat_at(request.class, first, worker),
+                "a request is repeated at a worker that would execute it again"
+            );
+            assert!(
+                request.class == 0 || now - at <= KEY_WINDOW,
+                "a request is repeated after the window of its idempotency key"
+            );
         }
         let number = request.attempts;
         request.attempts += 1;
@@ -160,9 +184,12 @@
     fn check_rejection(&mut self, id: RequestId) {
         let is_running = self.outstanding.iter().any(|attempt| attempt.request == id);
         let request = self.request(id);
-        assert!(!request.is_concluded, "two answers");
+        assert!(!request.is_concluded, "a request that is concluded is rejected");
         let never_ran = request.first_execution.is_none() && !is_running;
-        assert!(matches!(request.class, 0 | 3) || never_ran, "harmful rejection");
+        assert!(
+            matches!(request.class, 0 | 3) || never_ran,
+            "a request that may have been executed, and must not be repeated, is rejected"
+        );
         request.is_concluded = true;
     }
 
@@ -190,7 +217,8 @@
         });
     }
 
-    /// Lets time pass: timers fire, withdrawn attempts end, attempts time out at their request's deadline.
+    /// Advances the clock in steps of 1 ms: timers expire, cancelled attempts end, and attempts time out at
+    /// the deadline of their request.
     fn wait(&mut self, time: Micros) {
         let until = self.now + time;
         while self.now < until {
@@ -203,8 +231,11 @@
                 self.end_attempt(index, Outcome::Timeout);
             }
             for (id, request) in &self.requests {
-                let may_be_open = self.now <= request.deadline + MAX_LATENESS;
-                assert!(request.is_concluded || may_be_open, "no answer in time for {id:?}");
+                let may_be_unanswered = self.now <= request.deadline + MAX_LATENESS;
+                assert!(
+                    request.is_concluded || may_be_unanswered,
+                    "{id:?} is not concluded {MAX_LATENESS} µs after its deadline"
+                );
             }
         }
     }
@@ -225,16 +256,16 @@
     fn run(&mut self, step: Step) {
         match step {
             Step::Arrive { class, work_hint, time_left } => self.arrive(class, work_hint, time_left),
-            Step::EndAttempt { pick, outcome } if !self.outstanding.is_empty() => {
-                self.end_attempt(pick % self.outstanding.len(), outcome);
+            Step::EndAttempt { index, outcome } if !self.outstanding.is_empty() => {
+                self.end_attempt(index % self.outstanding.len(), outcome);
             }
-            Step::StartAttempt { pick } if !self.outstanding.is_empty() => {
-                let attempt = &self.outstanding[pick % self.outstanding.len()];
+            Step::StartAttempt { index } if !self.outstanding.is_empty() => {
+                let attempt = &self.outstanding[index % self.outstanding.len()];
                 let (request, worker) = (attempt.request, attempt.worker);
                 self.dispatch(Event::AttemptStarted { request, attempt: attempt.number, worker });
             }
-            Step::Disconnect { pick } if !self.requests.is_empty() => {
-                let id = RequestId((pick % self.requests.len()) as u64);
+            Step::Disconnect { index } if !self.requests.is_empty() => {
+                let id = RequestId((index % self.requests.len()) as u64);
                 self.request(id).is_concluded = true;
                 self.dispatch(Event::ClientDisconnected(id));
             }
@@ -243,7 +274,7 @@
                 let started_at = if restarts { self.now } else { 0 };
                 self.dispatch(list_delta([WorkerEntry { lifecycle, started_at, ..entry(worker) }]));
             }
-            Step::UnknownIds { number } => self.name_unknown_ids(number),
+            Step::UnknownIds { number } => self.report_unknown_ids(number),
             Step::Wait { time } => self.wait(time),
             Step::EndAttempt { .. } | Step::StartAttempt { .. } | Step::Disconnect { .. } => {}
         }
@@ -253,7 +284,7 @@
         let id = self.harness.next_id();
         let deadline = self.now + time_left;
         let request =
-            KnownRequest { class, deadline, attempts: 0, first_execution: None, is_concluded: false };
+            ModelRequest { class, deadline, attempts: 0, first_execution: None, is_concluded: false };
         self.requests.insert(id, request);
         self.dispatch(Event::Arrival(Arrival {
             work_hint: (work_hint != 0).then_some(work_hint),
@@ -261,8 +292,8 @@
         }));
     }
 
-    /// Timers that were not set, and requests that the dispatcher does not know.
-    fn name_unknown_ids(&mut self, number: u64) {
+    /// Reports a timer that may not have been set, and events of requests that have not arrived.
+    fn report_unknown_ids(&mut self, number: u64) {
         self.dispatch(Event::Timer(number % 4));
         self.dispatch(Event::ClientDisconnected(RequestId(u64::MAX - number % 9)));
         let worker = WorkerId((number % WORKERS as u64) as u32);
@@ -281,16 +312,16 @@
             let mut settings = settings();
             settings.limits.rejection_may_have_run = !rejection_proves_not_run;
             let harness = DispatcherHarness::new(settings, WORKERS as u32);
-            let mut world = World::new(harness, rejection_proves_not_run);
+            let mut model = Model::new(harness, rejection_proves_not_run);
             for step in steps {
-                world.run(step);
+                model.run(step);
             }
-            world.wait(6 * SEC);
+            model.wait(6 * SEC);
             assert!(
-                world.requests.values().all(|request| request.is_concluded),
-                "a request was never answered"
+                model.requests.values().all(|request| request.is_concluded),
+                "a request is not concluded 6 s after the last step"
             );
             Ok(())
         })
-        .expect("every order obeys the rules");
+        .expect("the rules hold in every order of events");
 }
--- a/crates/dispatcher/tests/retries.rs
+++ b/crates/dispatcher/tests/retries.rs
@@ -99,8 +99,8 @@
     }
 }
 
-/// Guards against requests with a short client timeout that are taken for retries: a request is sent unless it
-/// is marked as a retry and its latency objective has passed.
+/// Guards against requests with a short client timeout that are taken for retries: a request is sent unless
+/// it is marked as a retry and its latency objective has passed.
 #[test]
 fn first_attempt_with_a_short_deadline_is_not_taken_for_a_retry() {
     let mut harness = DispatcherHarness::new(settings(), 2);
