--- a/crates/dispatcher/tests/many_dispatchers.rs
+++ b/crates/dispatcher/tests/many_dispatchers.rs
@@ -1,4 +1,5 @@
-//! Many dispatchers that do not talk to each other, on a simulated clock, with the workers in common.
+//! Simulations of dispatchers that share workers and do not communicate: 100 of them, or two processes of one
+//! dispatcher during an upgrade.
 
 mod common;
 use common::*;
@@ -9,7 +10,7 @@
 const DISPATCHERS: usize = 100;
 const WORKERS: u32 = 60;
 const ZONES: usize = 3;
-/// What a worker can do outside slow start, in standard cores; each of its slots is one.
+/// Full capacity of a worker, in standard cores. Each of its slots is one core.
 const CORES: f64 = 4.0;
 const SLOTS: usize = CORES as usize;
 const MEAN_SIZE_SECONDS: f64 = 0.35;
@@ -17,27 +18,27 @@
 const SLOW_START: Micros = 24 * SEC;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Occurrence {
+enum SimulationEvent {
     Arrival,
     Started { request: RequestId, worker: WorkerId },
     Served { request: RequestId, worker: WorkerId, elapsed: Micros },
     Timer(u64),
 }
 
-/// A job that was sent to a worker.
 struct SentJob {
     at: Micros,
     worker: u32,
     size_seconds: f64,
 }
 
-/// All dispatchers and workers, and what was sent.
+/// Simulated dispatchers and workers, and the jobs that were sent.
 struct Cluster {
     dispatchers: Vec<DispatcherHarness>,
-    schedule: BinaryHeap<Reverse<(Micros, usize, Occurrence)>>,
+    schedule: BinaryHeap<Reverse<(Micros, usize, SimulationEvent)>>,
     rng: fastrand::Rng,
+    /// Start times of the workers that were restarted.
     started_at: BTreeMap<u32, Micros>,
-    /// When each slot of each worker is free.
+    /// By worker: time from which each of its slots is free.
     free_at: Vec<[Micros; SLOTS]>,
     sent: Vec<SentJob>,
 }
@@ -75,13 +76,13 @@
         for instance in 0..DISPATCHERS {
             cluster.dispatch(0, instance, full_list(list.clone()));
             let first_arrival = cluster.rng.i64(0..200 * MS);
-            cluster.schedule(first_arrival, instance, Occurrence::Arrival);
+            cluster.schedule(first_arrival, instance, SimulationEvent::Arrival);
         }
         cluster
     }
 
-    fn schedule(&mut self, at: Micros, instance: usize, occurrence: Occurrence) {
-        self.schedule.push(Reverse((at, instance, occurrence)));
+    fn schedule(&mut self, at: Micros, instance: usize, event: SimulationEvent) {
+        self.schedule.push(Reverse((at, instance, event)));
     }
 
     fn entry(&self, number: u32) -> WorkerEntry {
@@ -89,7 +90,7 @@
         WorkerEntry { started_at, weight: CORES, zone: number as usize % ZONES, ..entry(number) }
     }
 
-    /// A worker starts again, and all dispatchers are notified.
+    /// Restarts a worker and notifies all dispatchers at once.
     fn restart(&mut self, now: Micros, number: u32) {
         self.started_at.insert(number, now);
         self.free_at[number as usize].fill(now);
@@ -108,49 +109,50 @@
             match action {
                 Action::Send { request, worker, .. } => self.execute(now, instance, request, worker),
                 Action::SetTimer { delay, token } => {
-                    self.schedule(now + delay, instance, Occurrence::Timer(token));
+                    self.schedule(now + delay, instance, SimulationEvent::Timer(token));
                 }
                 _ => {}
             }
         }
     }
 
-    /// A worker runs a job in the slot that is free first.
+    /// Runs a job in the slot of the worker that is free first.
     fn execute(&mut self, now: Micros, instance: usize, request: RequestId, worker: WorkerId) {
         let size_seconds = self.size_seconds(instance, request);
         self.sent.push(SentJob { at: now, worker: worker.0, size_seconds });
         let slots = &self.free_at[worker.0 as usize];
-        let slot = (0..SLOTS).min_by_key(|&slot| slots[slot]).expect("it has slots");
+        let slot = (0..SLOTS).min_by_key(|&slot| slots[slot]).expect("a worker has slots");
         let start = slots[slot].max(now + 2 * MS);
         let end = start + (size_seconds * 1e6 / self.capacity_fraction(start, worker.0)) as Micros;
         self.free_at[worker.0 as usize][slot] = end;
-        self.schedule(start, instance, Occurrence::Started { request, worker });
-        self.schedule(end, instance, Occurrence::Served { request, worker, elapsed: end - now });
+        self.schedule(start, instance, SimulationEvent::Started { request, worker });
+        self.schedule(end, instance, SimulationEvent::Served { request, worker, elapsed: end - now });
     }
 
-    /// The size of a dispatcher's job: exponential, drawn from its number.
+    /// Returns the size of a job. Sizes are exponentially distributed, up to a limit, and depend only on the
+    /// dispatcher and the request.
     fn size_seconds(&self, instance: usize, request: RequestId) -> f64 {
-        let draw = fastrand::Rng::with_seed(request.0 << 8 | instance as u64).f64();
-        -MEAN_SIZE_SECONDS * (1.0 - draw).ln().max(-4.0)
+        let uniform_sample = fastrand::Rng::with_seed(request.0 << 8 | instance as u64).f64();
+        -MEAN_SIZE_SECONDS * (1.0 - uniform_sample).ln().max(-4.0)
     }
 
-    /// Continues until that time; each dispatcher gets a job every 0.25 s or so.
+    /// Handles all events before `until`. A job arrives at each dispatcher every 0.25 s on average.
     fn run(&mut self, until: Micros) {
-        while let Some(Reverse((now, instance, occurrence))) = self.schedule.pop() {
+        while let Some(Reverse((now, instance, event))) = self.schedule.pop() {
             if now >= until {
-                self.schedule(now, instance, occurrence);
+                self.schedule(now, instance, event);
                 return;
             }
-            match occurrence {
-                Occurrence::Arrival => self.arrive(now, instance),
-                Occurrence::Started { request, worker } => {
+            match event {
+                SimulationEvent::Arrival => self.arrive(now, instance),
+                SimulationEvent::Started { request, worker } => {
                     self.dispatch(now, instance, Event::AttemptStarted { request, attempt: 0, worker });
                 }
-                Occurrence::Served { request, worker, elapsed } => {
+                SimulationEvent::Served { request, worker, elapsed } => {
                     let served = attempt_ended(request, (worker, 0), Outcome::Ok, elapsed);
                     self.dispatch(now, instance, served);
                 }
-                Occurrence::Timer(token) => self.dispatch(now, instance, Event::Timer(token)),
+                SimulationEvent::Timer(token) => self.dispatch(now, instance, Event::Timer(token)),
             }
         }
     }
@@ -161,18 +163,19 @@
         let arrival = arrival(request, 1, now + 5 * SEC, work_hint);
         self.dispatch(now, instance, Event::Arrival(arrival));
         let gap = self.rng.i64(MS..500 * MS);
-        self.schedule(now + gap, instance, Occurrence::Arrival);
+        self.schedule(now + gap, instance, SimulationEvent::Arrival);
     }
 
-    /// The work sent to a worker within a time, in seconds on a standard core.
+    /// Returns the work sent to a worker between these times, in seconds on a standard core.
     fn work_sent(&self, worker: u32, from: Micros, to: Micros) -> f64 {
         let matches = |job: &&SentJob| job.worker == worker && job.at >= from && job.at < to;
         self.sent.iter().filter(matches).map(|job| job.size_seconds).sum()
     }
 }
 
-/// Each dispatcher's share of what a worker in slow start can take is less than a job: none may take that for a
-/// reason to send it nothing, and not all may send it one job.
+/// Each dispatcher's share of the work that a worker in slow start can accept is less than one job. Guards
+/// against workers in slow start that stay idle, since no dispatcher sends such a job, and against an
+/// overload, since all dispatchers send one.
 #[test]
 fn hundred_dispatchers_use_workers_in_slow_start_without_an_overload() {
     for restarted in [vec![7], (0..WORKERS).filter(|number| number % 5 < 3).collect::<Vec<_>>()] {
@@ -201,21 +204,23 @@
             .iter()
             .map(|&number| cluster.work_sent(number, cluster.started_at[&number] + 4 * SEC, last + 9 * SEC))
             .sum();
-        assert!(max_overload < 3.0, "a window of 1 s held {max_overload} times what a worker could do");
-        // A single one is the slowest of mostly idle workers, and rightly gets little at first.
+        assert!(max_overload < 3.0, "a worker was sent {max_overload} times its capacity within 1 s");
+        // A single worker in slow start is the slowest of mostly idle ones, so it may get little work at
+        // first.
         let min_use = if restarted.len() > 1 { 0.3 } else { 0.0 };
         let available = capacity * CORES;
-        assert!(used >= min_use * capacity * CORES, "{used} of {available} s of capacity were used");
+        assert!(used >= min_use * capacity * CORES, "{used} of {available} core seconds were used");
         println!(
-            "{} in slow start: at most {max_overload:.2} times, {used:.0} s of {available:.0} s used",
+            "{} workers in slow start: at most {max_overload:.2} times their capacity was sent within 1 s, \
+             {used:.0} of {available:.0} core seconds were used",
             restarted.len()
         );
     }
 }
 
-/// Each dispatcher sees few jobs, so that data which a worker has fetched for a key is of use only if the others know,
-/// without talking to each other, where it is: jobs of a key must meet at few workers of a zone, and stay in the zone
-/// while it has room.
+/// Guards against jobs of one key that are spread over many workers. Each dispatcher gets few jobs, so data
+/// that a worker has fetched are reused only if dispatchers that do not communicate send the jobs of a key to
+/// the same few workers of a zone. Jobs must stay in the zone while it has room.
 #[test]
 fn hundred_dispatchers_send_a_key_to_few_workers_of_their_zone() {
     let mut workers_of_key: BTreeMap<(usize, u64), BTreeMap<u32, u32>> = BTreeMap::new();
@@ -244,31 +249,32 @@
         }
     }
     let used: usize = workers_of_key.values().map(|workers| workers.len()).sum();
-    // A key that is not asked for twice has one worker, which is in another zone for some dispatchers.
+    // The affinity set of a key that has not arrived before has one worker, which is in another zone for some
+    // dispatchers.
     let keys = workers_of_key.len();
-    assert!(used <= 2 * keys, "{used} workers for {keys} keys of a zone");
-    assert!(crossed_zones * 3 < all, "{crossed_zones} of {all} jobs crossed zones");
+    assert!(used <= 2 * keys, "{used} workers are used for {keys} pairs of a zone and a key");
+    assert!(crossed_zones * 3 < all, "{crossed_zones} of {all} jobs were sent to another zone");
 }
 
 const UPGRADE_SLOW_START: Micros = 10 * SEC;
 const UPGRADE_RESTART: Micros = 5 * SEC;
 const UPGRADE_JOB: Micros = 200 * MS;
-/// Each worker does four jobs at once; with this gap, four workers outside slow start are nine tenths busy.
+/// Time between two requests: outside slow start, about nine tenths of the 16 slots of all workers are busy.
 const UPGRADE_GAP: Micros = UPGRADE_JOB / 14;
 const UPGRADE_WORKERS: usize = 4;
 
-/// Two dispatchers that believe to be the only one, and four workers, one of which starts again.
-struct Upgrade {
+/// Simulation of two processes of the only dispatcher, and of four workers, one of which restarts.
+struct UpgradeSimulation {
     dispatchers: [DispatcherHarness; 2],
-    /// By time and number: the dispatcher that is notified, and of what.
+    /// By time and sequence number: the dispatcher to notify, and the event.
     schedule: BTreeMap<(Micros, u64), (usize, Event)>,
-    next_number: u64,
+    last_sequence_number: u64,
     free_at: [[Micros; SLOTS]; UPGRADE_WORKERS],
-    /// The times of the sends to the restarted worker.
+    /// Times of the sends to the restarted worker.
     sent_to_restarted: Vec<Micros>,
 }
 
-impl Upgrade {
+impl UpgradeSimulation {
     fn new() -> Self {
         let slow_start = SlowStartRules {
             initial_capacity: 0.2,
@@ -281,20 +287,20 @@
             let dispatcher = Dispatcher::new(settings, seed);
             DispatcherHarness { dispatcher, next_request: seed << 32 }
         };
-        let mut upgrade = Upgrade {
+        let mut simulation = UpgradeSimulation {
             dispatchers: [dispatcher(1), dispatcher(2)],
             schedule: BTreeMap::new(),
-            next_number: 0,
+            last_sequence_number: 0,
             free_at: [[0; SLOTS]; UPGRADE_WORKERS],
             sent_to_restarted: Vec::new(),
         };
-        for dispatcher in &mut upgrade.dispatchers {
+        for dispatcher in &mut simulation.dispatchers {
             dispatcher.dispatch(0, full_list(Self::list(0)));
         }
-        upgrade
+        simulation
     }
 
-    /// The worker list, where the first worker started at this time.
+    /// Returns the worker list if the process of the first worker started at `started_at`.
     fn list(started_at: Micros) -> Vec<WorkerEntry> {
         let entry = |number| {
             let started_at = if number == 0 { started_at } else { 0 };
@@ -315,7 +321,8 @@
         }
     }
 
-    /// Handles what is scheduled until now; the actions that follow, each with its dispatcher and time.
+    /// Handles the events that are scheduled until `now`. Returns the resulting actions, each with its
+    /// dispatcher and time.
     fn handle_scheduled(&mut self, now: Micros) -> Vec<(usize, Micros, Vec<Action>)> {
         let later = self.schedule.split_off(&(now + 1, 0));
         let scheduled = std::mem::replace(&mut self.schedule, later);
@@ -327,12 +334,13 @@
             .collect()
     }
 
-    fn carry_out(&mut self, instance: usize, at: Micros, action: &Action) {
-        self.next_number += 1;
+    fn perform(&mut self, instance: usize, at: Micros, action: &Action) {
+        self.last_sequence_number += 1;
         match *action {
             Action::Send { request, worker, .. } => self.execute(instance, at, request, worker),
             Action::SetTimer { delay, token } => {
-                self.schedule.insert((at + delay, self.next_number), (instance, Event::Timer(token)));
+                self.schedule
+                    .insert((at + delay, self.last_sequence_number), (instance, Event::Timer(token)));
             }
             _ => {}
         }
@@ -351,13 +359,13 @@
         let end = start + (UPGRADE_JOB as f64 / speed) as Micros;
         slots[slot] = end;
         let started = Event::AttemptStarted { request, attempt: 0, worker };
-        self.schedule.insert((start, self.next_number), (instance, started));
+        self.schedule.insert((start, self.last_sequence_number), (instance, started));
         let served = attempt_ended(request, (worker, 0), Outcome::Ok, end - at);
-        self.schedule.insert((end, self.next_number), (instance, served));
+        self.schedule.insert((end, self.last_sequence_number), (instance, served));
     }
 
-    /// The most that was sent to the restarted worker in a window of 2 s, relative to what its four slots could do by
-    /// its least capacity in the window.
+    /// Returns the most work that was sent to the restarted worker within 2 s, as a multiple of what its four
+    /// slots can do in that time. Their capacity is that at the beginning of the 2 s, when it is least.
     fn max_overload(&self) -> f64 {
         let mut max_overload: f64 = 0.0;
         for from in (UPGRADE_RESTART..13 * SEC).step_by(50 * MS as usize) {
@@ -370,33 +378,38 @@
     }
 }
 
-/// An upgrade: two processes stand for one dispatcher, each gets half of its requests and knows nothing of the other. A
-/// worker in slow start gets work from them, and under three times what it can do at present.
+/// Guards against an overload during an upgrade, when two processes of one dispatcher run: each gets half of
+/// the requests and assumes that it is the only one. Together they must send a worker in slow start some
+/// work, but less than three times its current capacity.
 #[test]
 fn two_processes_of_one_dispatcher_do_not_overload_a_worker_in_slow_start() {
-    let mut upgrade = Upgrade::new();
+    let mut simulation = UpgradeSimulation::new();
     let mut rng = fastrand::Rng::with_seed(5);
     for step in 0..(15 * SEC / UPGRADE_GAP) {
         let now = step * UPGRADE_GAP;
         if now >= UPGRADE_RESTART && now - UPGRADE_GAP < UPGRADE_RESTART {
-            upgrade.restart_first_worker(now);
+            simulation.restart_first_worker(now);
         }
-        let mut actions = upgrade.handle_scheduled(now);
+        let mut actions = simulation.handle_scheduled(now);
         let instance = rng.usize(0..2);
         let work_hint = rng.i64(UPGRADE_JOB / 2..UPGRADE_JOB * 3 / 2);
-        actions.push((instance, now, upgrade.dispatchers[instance].arrive(now, 0, work_hint).1));
+        actions.push((instance, now, simulation.dispatchers[instance].arrive(now, 0, work_hint).1));
         for (instance, at, actions) in actions {
             for action in actions {
-                upgrade.carry_out(instance, at, &action);
+                simulation.perform(instance, at, &action);
             }
         }
     }
-    let max_overload = upgrade.max_overload();
-    assert!(max_overload < 3.0, "{max_overload:.2} times what it could do");
-    let early = upgrade.sent_to_restarted.iter().filter(|&&at| at < 8 * SEC).count();
-    assert!(early >= 10, "{early} jobs in its first 3 s");
+    let max_overload = simulation.max_overload();
+    assert!(
+        max_overload < 3.0,
+        "the worker in slow start was sent {max_overload:.2} times its capacity within 2 s"
+    );
+    let early = simulation.sent_to_restarted.iter().filter(|&&at| at < 8 * SEC).count();
+    assert!(early >= 10, "the worker in slow start was sent {early} jobs in its first 3 s");
     println!(
-        "at most {max_overload:.2} times what it could do; {early} jobs in its first 3 s, {} in all",
-        upgrade.sent_to_restarted.len()
+        "the worker in slow start was sent at most {max_overload:.2} times its capacity within 2 s; \
+         {early} jobs in its first 3 s, {} in total",
+        simulation.sent_to_restarted.len()
     );
 }
