--- a/crates/dispatcher/tests/unreported_starts.rs
+++ b/crates/dispatcher/tests/unreported_starts.rs
@@ -1,5 +1,6 @@
-//! Workers that report neither starts nor progress, jobs without keys, load reports in answers, weights that fall with
-//! the load: three dispatchers and twelve workers on a simulated clock.
+//! Simulations of three dispatchers and twelve workers that report neither the start nor the progress of a
+//! job. The responses of the workers contain load reports, and their listed weights include the load. Jobs
+//! have no affinity key.
 
 mod common;
 use common::*;
@@ -12,59 +13,58 @@
 const WORKERS: usize = 12;
 const SLOTS: usize = 3;
 const MAX_ATTEMPTS: usize = 3;
-/// Load reports and weights are at least this old...
+/// Lower bound of the age of load reports and listed weights.
 const REPORT_AGE: Micros = 300 * MS;
-/// ...and renewed at this interval.
+/// Interval at which load reports and listed weights are updated.
 const REPORT_INTERVAL: Micros = 700 * MS;
 const CONNECT_FAILURE_TIME: Micros = 150 * MS;
 const INITIAL_CAPACITY: f64 = 0.15;
 const SLOW_START: Micros = 20 * SEC;
-/// The speed of the workers of each kind.
+/// By worker kind: speed in standard cores.
 const SPEEDS: [f64; 2] = [1.4, 0.9];
 
-/// What is requested of a class.
+/// Settings and load of a request class. `mean_size` is in microseconds on a standard core.
 struct ClassLoad {
     mean_size: f64,
     latency_objective: Micros,
     objective_stretch: f64,
-    patience: Micros,
+    client_timeout: Micros,
     share_of_requests: f64,
 }
 
 const SHORT: usize = 0;
 const LONG: usize = 1;
-/// Must not run twice.
-const ONCE: usize = 2;
+const NON_IDEMPOTENT: usize = 2;
 const CLASSES: [ClassLoad; 3] = [
     ClassLoad {
         mean_size: 320e3,
         latency_objective: 150 * MS,
         objective_stretch: 2.0,
-        patience: 5 * SEC,
+        client_timeout: 5 * SEC,
         share_of_requests: 0.37,
     },
     ClassLoad {
         mean_size: 1_900e3,
         latency_objective: SEC,
         objective_stretch: 2.0,
-        patience: 25 * SEC,
+        client_timeout: 25 * SEC,
         share_of_requests: 0.32,
     },
     ClassLoad {
         mean_size: 160e3,
         latency_objective: 150 * MS,
         objective_stretch: 1.5,
-        patience: 5 * SEC,
+        client_timeout: 5 * SEC,
         share_of_requests: 0.31,
     },
 ];
 
-/// The mean size of all requests.
+/// Returns the mean size of the requests of all classes, in microseconds on a standard core.
 fn mean_size() -> f64 {
     CLASSES.iter().map(|class| class.mean_size * class.share_of_requests).sum()
 }
 
-/// One attempt of a job.
+/// Identifies an attempt: the dispatcher and the request of its job, and its number within the request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct SentAttempt {
     dispatcher: usize,
@@ -79,56 +79,55 @@
 }
 
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
-enum Occurrence {
+enum SimulationEvent {
     Arrival,
     Served { worker: usize, incarnation: u32, attempt: SentAttempt },
     ConnectFailed { worker: usize, attempt: SentAttempt },
     ClientTimeout { dispatcher: usize, request: RequestId },
     Timer { dispatcher: usize, token: u64 },
-    RenewReports,
+    UpdateReports,
 }
 
 struct Job {
     class: usize,
     size: f64,
     arrived_at: Micros,
-    /// Each attempt: its worker and when it was sent.
+    /// Worker and time of the send of each attempt.
     attempts: Vec<(usize, Micros)>,
-    /// Attempts that may have run.
+    /// Number of attempts that may have been executed.
     executions: u32,
     is_concluded: bool,
 }
 
-/// A job that was served.
 struct ServedJob {
     class: usize,
     arrived_at: Micros,
     in_time: bool,
 }
 
-/// A simulated worker.
 #[derive(Default)]
-struct FakeWorker {
+struct SimulatedWorker {
     incarnation: u32,
-    is_dead: bool,
-    /// 0 for long ago.
+    is_down: bool,
+    /// 0 if that is long ago.
     started_at: Micros,
     running: Vec<SentAttempt>,
     queue: VecDeque<SentAttempt>,
-    /// The number of its jobs at each renewal of the reports.
+    /// Number of its jobs at each update of the load reports, with the time of the update.
     reported_jobs: VecDeque<(Micros, usize)>,
-    /// The sizes of the jobs that it was sent in slow start, and when.
+    /// Jobs sent to it in slow start: time of the send and size.
     sent_in_slow_start: Vec<(Micros, f64)>,
 }
 
-impl FakeWorker {
-    /// The number of its jobs, as the latest report that has come through says.
+impl SimulatedWorker {
+    /// Returns the number of its jobs according to the latest update that is at least [`REPORT_AGE`] old.
     fn reported_jobs(&self, now: Micros) -> usize {
         self.reported_jobs.iter().rev().find(|(at, _)| now - at >= REPORT_AGE).map_or(0, |(_, jobs)| *jobs)
     }
 
-    /// The work sent within a second from then on in slow start, relative to that at which a worker fails:
-    /// N + 3·√N + 3 jobs of mean size, where N are three times those that it can do in that time.
+    /// Returns the work sent in slow start within the second that begins at `from`, as a fraction of the work
+    /// at which a worker fails: N + 3·√N + 3 jobs of mean size, where N is three times the number of jobs
+    /// that it can run in that second.
     fn overload_from(&self, from: Micros) -> f64 {
         let in_window = self.sent_in_slow_start.iter().filter(|(at, _)| (from..from + SEC).contains(at));
         let capacity = capacity_fraction(from, self.started_at);
@@ -138,19 +137,19 @@
     }
 }
 
-struct World {
+struct Simulation {
     dispatchers: Vec<DispatcherHarness>,
-    workers: Vec<FakeWorker>,
+    workers: Vec<SimulatedWorker>,
     jobs: BTreeMap<(usize, RequestId), Job>,
-    schedule: BinaryHeap<Reverse<(Micros, u64, Occurrence)>>,
+    schedule: BinaryHeap<Reverse<(Micros, u64, SimulationEvent)>>,
     rng: fastrand::Rng,
-    next_number: u64,
+    last_sequence_number: u64,
     mean_gap: f64,
-    /// No update of the worker list reaches a dispatcher.
+    /// Whether no update of the worker list reaches a dispatcher.
     discovery_is_down: bool,
-    /// The most jobs that any worker had at once.
+    /// Largest number of jobs that a worker had at the same time.
     max_jobs_at_worker: usize,
-    /// Clients use this many of the dispatchers.
+    /// Number of dispatchers to which clients send requests, from the first one.
     used_dispatchers: usize,
     served: Vec<ServedJob>,
 }
@@ -172,12 +171,12 @@
     }
 }
 
-fn world_settings(instance: usize) -> Settings {
+fn simulation_settings(instance: usize) -> Settings {
     let class = |load: &ClassLoad, idempotency| Class {
         idempotency,
         latency_objective: load.latency_objective,
         objective_stretch: load.objective_stretch,
-        deadline: load.patience,
+        deadline: load.client_timeout,
         priority_weight: 1.0,
         late_value_fraction: 0.3,
         worker_kind: None,
@@ -188,7 +187,7 @@
         classes: vec![
             class(&CLASSES[SHORT], Idempotency::Idempotent),
             class(&CLASSES[LONG], Idempotency::Idempotent),
-            class(&CLASSES[ONCE], Idempotency::NotIdempotent),
+            class(&CLASSES[NON_IDEMPOTENT], Idempotency::NotIdempotent),
         ],
         slow_start: slow_start_rules(),
         workers_report_start: false,
@@ -200,20 +199,20 @@
     }
 }
 
-impl World {
-    /// The work requested is this multiple of what all workers can do.
-    fn new(load: f64, seed: u64) -> World {
+impl Simulation {
+    /// Creates a simulation in which clients request `load` times the work that all workers can do.
+    fn new(load: f64, seed: u64) -> Simulation {
         let dispatcher = |instance: usize| {
-            DispatcherHarness::without_workers(world_settings(instance), seed + instance as u64)
+            DispatcherHarness::without_workers(simulation_settings(instance), seed + instance as u64)
         };
         let total_speed = (WORKERS * SLOTS) as f64 * SPEEDS.iter().sum::<f64>() / 2.0;
-        let mut world = World {
+        let mut simulation = Simulation {
             dispatchers: (0..DISPATCHERS).map(dispatcher).collect(),
-            workers: (0..WORKERS).map(|_| FakeWorker::default()).collect(),
+            workers: (0..WORKERS).map(|_| SimulatedWorker::default()).collect(),
             jobs: BTreeMap::new(),
             schedule: BinaryHeap::new(),
             rng: fastrand::Rng::with_seed(seed),
-            next_number: 0,
+            last_sequence_number: 0,
             mean_gap: mean_size() / (load * total_speed),
             discovery_is_down: false,
             max_jobs_at_worker: 0,
@@ -221,19 +220,19 @@
             served: Vec::new(),
         };
         for dispatcher in 0..DISPATCHERS {
-            let list = (0..WORKERS).map(|number| world.entry(0, number)).collect();
-            world.dispatch(0, dispatcher, Event::WorkerList(WorkerListUpdate::Cached(list)));
+            let list = (0..WORKERS).map(|number| simulation.entry(0, number)).collect();
+            simulation.dispatch(0, dispatcher, Event::WorkerList(WorkerListUpdate::Cached(list)));
         }
-        world.schedule(0, Occurrence::Arrival);
-        world.schedule(0, Occurrence::RenewReports);
-        world
+        simulation.schedule(0, SimulationEvent::Arrival);
+        simulation.schedule(0, SimulationEvent::UpdateReports);
+        simulation
     }
 
     fn entry(&self, now: Micros, number: usize) -> WorkerEntry {
         let worker = &self.workers[number];
         let jobs_per_slot = worker.reported_jobs(now) as f64 / SLOTS as f64;
         WorkerEntry {
-            lifecycle: if worker.is_dead { Lifecycle::Gone } else { Lifecycle::Ready },
+            lifecycle: if worker.is_down { Lifecycle::Gone } else { Lifecycle::Ready },
             started_at: worker.started_at,
             weight: SLOTS as f64 / (1.0 + jobs_per_slot),
             kind: number % SPEEDS.len(),
@@ -242,9 +241,9 @@
         }
     }
 
-    fn schedule(&mut self, at: Micros, occurrence: Occurrence) {
-        self.next_number += 1;
-        self.schedule.push(Reverse((at, self.next_number, occurrence)));
+    fn schedule(&mut self, at: Micros, event: SimulationEvent) {
+        self.last_sequence_number += 1;
+        self.schedule.push(Reverse((at, self.last_sequence_number, event)));
     }
 
     fn dispatch(&mut self, now: Micros, dispatcher: usize, event: Event) {
@@ -254,11 +253,11 @@
                     self.send(now, dispatcher, request, worker.0 as usize);
                 }
                 Action::SetTimer { delay, token } => {
-                    self.schedule(now + delay, Occurrence::Timer { dispatcher, token });
+                    self.schedule(now + delay, SimulationEvent::Timer { dispatcher, token });
                 }
                 Action::Reject { request, .. } | Action::Fail { request } => {
-                    let job = self.jobs.get_mut(&(dispatcher, request)).expect("a request");
-                    assert!(!job.is_concluded, "answered twice");
+                    let job = self.jobs.get_mut(&(dispatcher, request)).expect("the request has arrived");
+                    assert!(!job.is_concluded, "a request that is concluded is rejected or failed");
                     job.is_concluded = true;
                 }
                 _ => {}
@@ -267,15 +266,21 @@
     }
 
     fn send(&mut self, now: Micros, dispatcher: usize, request: RequestId, number: usize) {
-        let job = self.jobs.get_mut(&(dispatcher, request)).expect("a request");
+        let job = self.jobs.get_mut(&(dispatcher, request)).expect("the request has arrived");
         let attempt = SentAttempt { dispatcher, request, number: job.attempts.len() as u32 };
-        assert!(!job.is_concluded && job.attempts.len() < MAX_ATTEMPTS, "a send too many");
-        assert!(job.class != ONCE || job.executions == 0, "it may have run, and was sent again");
+        assert!(
+            !job.is_concluded && job.attempts.len() < MAX_ATTEMPTS,
+            "an attempt is sent for a request that is concluded, or beyond the {MAX_ATTEMPTS} permitted ones"
+        );
+        assert!(
+            job.class != NON_IDEMPOTENT || job.executions == 0,
+            "a request that is not idempotent and may have been executed is sent again"
+        );
         job.attempts.push((number, now));
         let size = job.size;
         let worker = &mut self.workers[number];
-        if worker.is_dead {
-            let failed = Occurrence::ConnectFailed { worker: number, attempt };
+        if worker.is_down {
+            let failed = SimulationEvent::ConnectFailed { worker: number, attempt };
             return self.schedule(now + CONNECT_FAILURE_TIME, failed);
         }
         if capacity_fraction(now, worker.started_at) < 1.0 {
@@ -295,14 +300,14 @@
             let size = self.jobs[&attempt.job()].size;
             let run_time = size / capacity_fraction(now, worker.started_at) / SPEEDS[number % SPEEDS.len()];
             let incarnation = worker.incarnation;
-            let served = Occurrence::Served { worker: number, incarnation, attempt };
+            let served = SimulationEvent::Served { worker: number, incarnation, attempt };
             self.schedule(now + run_time as Micros, served);
         }
     }
 
     fn end_attempt(&mut self, now: Micros, number: usize, attempt: SentAttempt, outcome: Outcome) {
         let free_slots = SLOTS.saturating_sub(self.workers[number].reported_jobs(now)) as f64;
-        let job = self.jobs.get_mut(&attempt.job()).expect("a request");
+        let job = self.jobs.get_mut(&attempt.job()).expect("the request has arrived");
         let elapsed = now - job.attempts[attempt.number as usize].1;
         job.executions += u32::from(outcome != Outcome::ConnectFailed);
         job.is_concluded |= outcome == Outcome::Ok;
@@ -327,7 +332,8 @@
         self.dispatch(now, attempt.dispatcher, ended);
     }
 
-    /// A load report, odd at times: the host drops what is malformed, the dispatcher must cope with odd values.
+    /// Returns a load report with these free slots. One in five is empty or has unusual values: the host
+    /// drops malformed reports, but the dispatcher must cope with any values.
     fn load_report(&mut self, free_slots: f64) -> Vec<f64> {
         match self.rng.u8(0..20) {
             0 => vec![f64::NAN, 0.5],
@@ -340,45 +346,45 @@
 
     fn arrive(&mut self, now: Micros) {
         let dispatcher = self.rng.usize(..self.used_dispatchers);
-        let class = self.draw_class();
+        let class = self.random_class();
         let mean_size = CLASSES[class].mean_size;
         let size = (-mean_size * (1.0 - self.rng.f64()).ln()).clamp(20e3, 5.0 * mean_size);
         let work_hint = (size * (0.6 + 0.9 * self.rng.f64())) as Micros;
         let request = self.dispatchers[dispatcher].next_id();
-        let deadline = now + CLASSES[class].patience;
+        let deadline = now + CLASSES[class].client_timeout;
         let job =
             Job { class, size, arrived_at: now, attempts: Vec::new(), executions: 0, is_concluded: false };
         self.jobs.insert((dispatcher, request), job);
-        self.schedule(deadline, Occurrence::ClientTimeout { dispatcher, request });
+        self.schedule(deadline, SimulationEvent::ClientTimeout { dispatcher, request });
         self.dispatch(now, dispatcher, Event::Arrival(arrival(request, class, deadline, work_hint)));
     }
 
-    fn draw_class(&mut self) -> usize {
-        let draw = self.rng.f64();
-        if draw < CLASSES[SHORT].share_of_requests {
+    fn random_class(&mut self) -> usize {
+        let uniform_sample = self.rng.f64();
+        if uniform_sample < CLASSES[SHORT].share_of_requests {
             SHORT
-        } else if draw < CLASSES[SHORT].share_of_requests + CLASSES[LONG].share_of_requests {
+        } else if uniform_sample < CLASSES[SHORT].share_of_requests + CLASSES[LONG].share_of_requests {
             LONG
         } else {
-            ONCE
+            NON_IDEMPOTENT
         }
     }
 
     fn run(&mut self, until: Micros) {
         while self.schedule.peek().is_some_and(|next| next.0.0 < until) {
-            let Some(Reverse((now, _, occurrence))) = self.schedule.pop() else { return };
-            self.handle(now, occurrence);
+            let Some(Reverse((now, _, event))) = self.schedule.pop() else { return };
+            self.handle(now, event);
         }
     }
 
-    fn handle(&mut self, now: Micros, occurrence: Occurrence) {
-        match occurrence {
-            Occurrence::Arrival => {
+    fn handle(&mut self, now: Micros, event: SimulationEvent) {
+        match event {
+            SimulationEvent::Arrival => {
                 self.arrive(now);
                 let gap = -self.mean_gap * (1.0 - self.rng.f64()).ln();
-                self.schedule(now + gap as Micros + 1, Occurrence::Arrival);
+                self.schedule(now + gap as Micros + 1, SimulationEvent::Arrival);
             }
-            Occurrence::Served { worker, incarnation, attempt } => {
+            SimulationEvent::Served { worker, incarnation, attempt } => {
                 if self.workers[worker].incarnation != incarnation {
                     return;
                 }
@@ -388,23 +394,23 @@
                 }
                 self.start_jobs(now, worker);
             }
-            Occurrence::ConnectFailed { worker, attempt } => {
+            SimulationEvent::ConnectFailed { worker, attempt } => {
                 if !self.jobs[&attempt.job()].is_concluded {
                     self.end_attempt(now, worker, attempt, Outcome::ConnectFailed);
                 }
             }
-            Occurrence::ClientTimeout { dispatcher, request } => {
+            SimulationEvent::ClientTimeout { dispatcher, request } => {
                 self.on_client_timeout(now, dispatcher, request);
             }
-            Occurrence::Timer { dispatcher, token } => {
+            SimulationEvent::Timer { dispatcher, token } => {
                 self.dispatch(now, dispatcher, Event::Timer(token));
             }
-            Occurrence::RenewReports => {
+            SimulationEvent::UpdateReports => {
                 for worker in &mut self.workers {
                     worker.reported_jobs.push_back((now, worker.running.len() + worker.queue.len()));
                 }
                 self.update_lists(now);
-                self.schedule(now + REPORT_INTERVAL, Occurrence::RenewReports);
+                self.schedule(now + REPORT_INTERVAL, SimulationEvent::UpdateReports);
             }
         }
     }
@@ -416,8 +422,11 @@
             self.end_attempt(now, worker, attempt, Outcome::Timeout);
         }
         self.dispatch(now, dispatcher, Event::ClientDisconnected(request));
-        let job = self.jobs.get_mut(&(dispatcher, request)).expect("a request");
-        assert!(job.is_concluded || job.attempts.is_empty() || job.executions > 0, "no answer in time");
+        let job = self.jobs.get_mut(&(dispatcher, request)).expect("the request has arrived");
+        assert!(
+            job.is_concluded || job.attempts.is_empty() || job.executions > 0,
+            "a request that was sent and never executed has no answer at its deadline"
+        );
         job.is_concluded = true;
     }
 
@@ -431,12 +440,12 @@
         }
     }
 
-    /// Workers die at once, with all jobs that they have.
+    /// Kills workers with all their jobs, whose attempts end with [`Outcome::Reset`].
     fn kill_workers(&mut self, now: Micros, numbers: Range<usize>) {
         for number in numbers {
             let worker = &mut self.workers[number];
             worker.incarnation += 1;
-            worker.is_dead = true;
+            worker.is_down = true;
             let mut lost: Vec<SentAttempt> = worker.running.drain(..).collect();
             lost.extend(worker.queue.drain(..));
             for lost in lost {
@@ -451,24 +460,26 @@
 
     fn restart_workers(&mut self, now: Micros, numbers: Range<usize>) {
         for worker in &mut self.workers[numbers] {
-            worker.is_dead = false;
+            worker.is_down = false;
             worker.started_at = now;
         }
     }
 
-    /// The most that a worker in slow start was sent within a second, relative to that at which it fails.
+    /// Returns the most work that a worker in slow start was sent within a second, as a fraction of the work
+    /// at which it fails.
     fn max_overload(&self) -> f64 {
-        let of_worker = |worker: &FakeWorker| {
+        let of_worker = |worker: &SimulatedWorker| {
             let windows = worker.sent_in_slow_start.iter();
             windows.map(|&(at, _)| worker.overload_from(at)).fold(0.0, f64::max)
         };
         self.workers.iter().map(of_worker).fold(0.0, f64::max)
     }
 
-    /// The share of each class that arrived between these times and was served within its objective.
+    /// Returns by class the share of the requests that were served within their latency objective, of those
+    /// that arrived between these times.
     fn in_time(&self, from: Micros, to: Micros) -> [f64; 3] {
         let is_within = |at: Micros| (from..to).contains(&at);
-        [SHORT, LONG, ONCE].map(|class| {
+        [SHORT, LONG, NON_IDEMPOTENT].map(|class| {
             let arrived =
                 self.jobs.values().filter(|job| job.class == class && is_within(job.arrived_at)).count();
             let served = self
@@ -481,65 +492,97 @@
     }
 }
 
-/// A dispatcher that begins a queue where it can't see one fills every worker with all that it has: then all are late.
+/// Guards against long queues at workers that report no starts: since a dispatcher does not see these queues,
+/// it must not send all of its jobs at once, or all are late.
 #[test]
 fn jobs_wait_at_the_dispatcher_where_workers_report_no_starts() {
-    let mut world = World::new(1.15, 5);
-    world.run(45 * SEC);
-    let [short, long, once] = world.in_time(5 * SEC, 30 * SEC);
-    let max_jobs = world.max_jobs_at_worker;
-    println!("in time {short:.2} {long:.2} {once:.2}, at most {max_jobs} jobs at a worker");
-    assert!(max_jobs <= SLOTS + DISPATCHERS, "a worker had {max_jobs} jobs");
-    assert!(short >= 0.4 && long >= 0.5 && once >= 0.4, "in time {short:.2} {long:.2} {once:.2}");
-    // Larger jobs go to faster workers, also where nothing but answers shows how fast these are.
+    let mut simulation = Simulation::new(1.15, 5);
+    simulation.run(45 * SEC);
+    let [short, long, non_idempotent] = simulation.in_time(5 * SEC, 30 * SEC);
+    let max_jobs = simulation.max_jobs_at_worker;
+    println!(
+        "share in time: short {short:.2}, long {long:.2}, non-idempotent {non_idempotent:.2}; \
+         at most {max_jobs} jobs at a worker"
+    );
+    assert!(max_jobs <= SLOTS + DISPATCHERS, "a worker had {max_jobs} jobs at the same time");
+    assert!(
+        short >= 0.4 && long >= 0.5 && non_idempotent >= 0.4,
+        "share in time: short {short:.2}, long {long:.2}, non-idempotent {non_idempotent:.2}"
+    );
+    // Larger jobs should go to faster workers, although only responses show how fast these are; this is
+    // printed, not checked.
     let mean_size_at = |kind: usize| {
         let is_at_kind =
             |job: &&Job| job.class == LONG && job.attempts.first().is_some_and(|sent| sent.0 % 2 == kind);
-        let sizes: Vec<f64> = world.jobs.values().filter(is_at_kind).map(|job| job.size).collect();
+        let sizes: Vec<f64> = simulation.jobs.values().filter(is_at_kind).map(|job| job.size).collect();
         sizes.iter().sum::<f64>() / sizes.len() as f64
     };
-    println!("mean size at fast ones {:.0}, at slow ones {:.0}", mean_size_at(0), mean_size_at(1));
+    println!(
+        "mean size of long jobs in µs: {:.0} at fast workers, {:.0} at slow ones",
+        mean_size_at(0),
+        mean_size_at(1)
+    );
 }
 
-/// A quarter of the workers die at once with all that they have, and come back in slow start 8 s later.
+/// Guards against an overload of restarted workers, and against the repeat of jobs that may have been
+/// executed: a quarter of the workers are killed at once, with all their jobs, and restart in slow start 8 s
+/// later.
 #[test]
 fn quarter_of_the_workers_that_restarts_is_not_overloaded_and_nothing_runs_twice() {
-    let mut world = World::new(0.7, 6);
-    world.run(10 * SEC);
-    world.kill_workers(10 * SEC, 0..3);
-    world.run(18 * SEC);
-    world.restart_workers(18 * SEC, 0..3);
-    world.run(50 * SEC);
-    let ([short, long, once], overload) = (world.in_time(11 * SEC, 35 * SEC), world.max_overload());
-    println!("in time {short:.2} {long:.2} {once:.2}, overload {overload:.2}");
-    assert!(overload > 0.1 && overload < 1.0, "a worker was sent {overload:.2} of what it fails at");
-    assert!(short >= 0.6 && long >= 0.7 && once >= 0.6, "in time {short:.2} {long:.2} {once:.2}");
+    let mut simulation = Simulation::new(0.7, 6);
+    simulation.run(10 * SEC);
+    simulation.kill_workers(10 * SEC, 0..3);
+    simulation.run(18 * SEC);
+    simulation.restart_workers(18 * SEC, 0..3);
+    simulation.run(50 * SEC);
+    let ([short, long, non_idempotent], overload) =
+        (simulation.in_time(11 * SEC, 35 * SEC), simulation.max_overload());
+    println!(
+        "share in time: short {short:.2}, long {long:.2}, non-idempotent {non_idempotent:.2}; \
+         at most {overload:.2} of the work at which a worker fails"
+    );
+    assert!(
+        overload > 0.1 && overload < 1.0,
+        "a worker in slow start was sent {overload:.2} of the work at which it fails"
+    );
+    assert!(
+        short >= 0.6 && long >= 0.7 && non_idempotent >= 0.6,
+        "share in time: short {short:.2}, long {long:.2}, non-idempotent {non_idempotent:.2}"
+    );
 }
 
-/// Discovery is down from the start and for 25 s: three of the workers that the old list names are dead, three more die,
-/// and all come back before any dispatcher is notified.
+/// Guards against requests that are not served because the worker list is outdated. Discovery is down for the
+/// first 25 s: three workers of the cached list are down from the start, three more are killed at 6 s, and
+/// all of them restart at 15 s.
 #[test]
 fn requests_are_served_while_discovery_is_down() {
-    let mut world = World::new(0.5, 7);
-    world.discovery_is_down = true;
-    for worker in &mut world.workers[0..3] {
-        worker.is_dead = true;
+    let mut simulation = Simulation::new(0.5, 7);
+    simulation.discovery_is_down = true;
+    for worker in &mut simulation.workers[0..3] {
+        worker.is_down = true;
     }
-    world.run(6 * SEC);
-    world.kill_workers(6 * SEC, 3..6);
-    world.run(15 * SEC);
-    world.restart_workers(15 * SEC, 0..6);
-    world.run(25 * SEC);
-    world.discovery_is_down = false;
-    world.run(50 * SEC);
-    let [short, long, once] = world.in_time(0, 25 * SEC);
-    println!("in time {short:.2} {long:.2} {once:.2}");
-    assert!(short >= 0.5 && long >= 0.6 && once >= 0.5, "in time {short:.2} {long:.2} {once:.2}");
-    let later = world.in_time(27 * SEC, 40 * SEC);
-    assert!(later.iter().all(|share| *share >= 0.8), "{later:?} once the list is back");
+    simulation.run(6 * SEC);
+    simulation.kill_workers(6 * SEC, 3..6);
+    simulation.run(15 * SEC);
+    simulation.restart_workers(15 * SEC, 0..6);
+    simulation.run(25 * SEC);
+    simulation.discovery_is_down = false;
+    simulation.run(50 * SEC);
+    let [short, long, non_idempotent] = simulation.in_time(0, 25 * SEC);
+    println!("share in time: short {short:.2}, long {long:.2}, non-idempotent {non_idempotent:.2}");
+    assert!(
+        short >= 0.5 && long >= 0.6 && non_idempotent >= 0.5,
+        "share in time: short {short:.2}, long {long:.2}, non-idempotent {non_idempotent:.2}"
+    );
+    let later = simulation.in_time(27 * SEC, 40 * SEC);
+    assert!(
+        later.iter().all(|share| *share >= 0.8),
+        "share in time by class after the worker list was updated: {later:?}"
+    );
 }
 
-/// The jobs that an idle worker in slow start gets, where the weights of all others fall by this factor at once.
+/// Returns the number of jobs sent to an idle worker in slow start, if the listed weights of all other
+/// workers fall to 1/`load` when it starts.
 fn jobs_sent_in_slow_start(load: f64) -> usize {
     let settings = Settings { weights_include_load: true, slow_start: slow_start_rules(), ..settings() };
     let mut harness = DispatcherHarness::without_workers(settings, 3);
@@ -553,7 +596,8 @@
     let mut list: Vec<WorkerEntry> = (1..6).map(|number| entry(number, 3.0 / load)).collect();
     list.push(WorkerEntry { started_at: now, ..entry(0, 3.0) });
     harness.dispatch(now, list_delta(list));
-    // The others answer no more, and are soon full: only its budget limits the one in slow start.
+    // The other workers send no more responses and are soon full, so that only the slow-start budget limits
+    // the jobs sent to worker 0.
     let mut sent = 0;
     for job in 0..200 {
         let at = now + job * 4 * MS;
@@ -568,28 +612,37 @@
     sent
 }
 
-/// Every weight falls to a fifth at once, but that of a worker that has just started and has no jobs. It is no larger
-/// than it was for that, and is sent no more.
+/// Guards against an overload of an idle worker in slow start: the weights of all other workers, which
+/// include their load, fall to a fifth at once. The weight of the idle worker is then larger than the others,
+/// but its capacity is not, so it must not be sent more jobs than otherwise.
 #[test]
 fn weights_that_fall_with_the_load_send_no_more_to_an_idle_worker_in_slow_start() {
     let sent = [jobs_sent_in_slow_start(5.0), jobs_sent_in_slow_start(1.0)];
-    println!("{sent:?}");
-    assert!(sent[1] > 0 && sent[0] <= sent[1], "{sent:?}");
+    println!("jobs sent if the other weights fall, and if not: {sent:?}");
+    assert!(sent[1] > 0 && sent[0] <= sent[1], "jobs sent if the other weights fall, and if not: {sent:?}");
 }
 
-/// Two of three dispatchers are drained: the third has all the work, and learns from reports which slots they leave free.
+/// Guards against a dispatcher that uses only its fair share of the slots: two of three dispatchers get no
+/// requests, and the third learns from load reports which slots they leave free.
 #[test]
 fn dispatcher_uses_the_slots_that_idle_dispatchers_leave_free() {
-    let mut world = World::new(0.55, 8);
-    world.used_dispatchers = 1;
-    world.run(40 * SEC);
-    let [short, long, once] = world.in_time(2 * SEC, 30 * SEC);
-    let max_jobs = world.max_jobs_at_worker;
-    println!("in time {short:.2} {long:.2} {once:.2}, at most {max_jobs} jobs at a worker");
-    assert!(short >= 0.85 && long >= 0.85 && once >= 0.85, "in time {short:.2} {long:.2} {once:.2}");
+    let mut simulation = Simulation::new(0.55, 8);
+    simulation.used_dispatchers = 1;
+    simulation.run(40 * SEC);
+    let [short, long, non_idempotent] = simulation.in_time(2 * SEC, 30 * SEC);
+    let max_jobs = simulation.max_jobs_at_worker;
+    println!(
+        "share in time: short {short:.2}, long {long:.2}, non-idempotent {non_idempotent:.2}; \
+         at most {max_jobs} jobs at a worker"
+    );
+    assert!(
+        short >= 0.85 && long >= 0.85 && non_idempotent >= 0.85,
+        "share in time: short {short:.2}, long {long:.2}, non-idempotent {non_idempotent:.2}"
+    );
 }
 
-/// How many of 48 dispatchers that have just started, and have the same lists, send their first job to each worker.
+/// Returns by worker how many of 48 dispatchers send it their first job. All of them have just started and
+/// have received the same lists.
 fn first_jobs(settings: &Settings, lists: &[&[WorkerEntry]]) -> Vec<usize> {
     let mut jobs_at = vec![0; lists[0].len()];
     for instance in 0..48 {
@@ -604,46 +657,52 @@
     jobs_at
 }
 
-fn settings_of_load_weights(instances: u32) -> Settings {
+fn settings_with_load_in_weights(instances: u32) -> Settings {
     Settings { instances, workers_report_start: false, weights_include_load: true, ..settings() }
 }
 
-/// Ten workers, the first five of this weight, the others of weight 3.
-fn half_of_weight(weight: f64) -> Vec<WorkerEntry> {
+/// Returns the entries of ten workers: the first five have this weight, the others have weight 3.
+fn half_with_weight(weight: f64) -> Vec<WorkerEntry> {
     let weight_of = |number| if number < 5 { weight } else { 3.0 };
     (0..10).map(|number| WorkerEntry { weight: weight_of(number), ..entry(number) }).collect()
 }
 
-/// All dispatchers start at once and know nothing: their first jobs must not all go to the first of the list.
+/// Guards against herding: all dispatchers start at once, without statistics, and must not all send their
+/// first job to the first worker of the list.
 #[test]
 fn first_jobs_of_many_dispatchers_are_spread_over_the_workers() {
     let list: Vec<WorkerEntry> = (0..9).map(|number| WorkerEntry { weight: 3.0, ..entry(number) }).collect();
-    let jobs_at = first_jobs(&settings_of_load_weights(48), &[&list]);
-    println!("{jobs_at:?}");
-    assert!(jobs_at.iter().all(|&jobs| jobs <= 16), "{jobs_at:?}");
+    let jobs_at = first_jobs(&settings_with_load_in_weights(48), &[&list]);
+    println!("first jobs by worker: {jobs_at:?}");
+    assert!(jobs_at.iter().all(|&jobs| jobs <= 16), "first jobs by worker: {jobs_at:?}");
 }
 
-/// Weights that include the load say that half of the workers have four jobs a core. Where one job is more than a
-/// dispatcher's share, it compares the two workers that it draws by that; a dispatcher that is the only one goes by what
-/// it sent itself.
+/// The listed weights, which include the load, show four jobs for each core at half of the workers. If one
+/// job exceeds a dispatcher's share of the slots, the dispatcher adds the external wait that follows from
+/// these weights when it compares the worker for the job's size with the random candidate. A dispatcher that
+/// is the only one considers only its own jobs.
 #[test]
 fn dispatcher_among_many_avoids_workers_whose_weight_shows_load() {
-    let (idle, half_loaded) = (half_of_weight(3.0), half_of_weight(0.6));
+    let (idle, half_loaded) = (half_with_weight(3.0), half_with_weight(0.6));
     let jobs_at_loaded = |instances| {
-        let jobs_at = first_jobs(&settings_of_load_weights(instances), &[&idle, &half_loaded]);
+        let jobs_at = first_jobs(&settings_with_load_in_weights(instances), &[&idle, &half_loaded]);
         jobs_at[..5].iter().sum::<usize>()
     };
     let (among_many, alone) = (jobs_at_loaded(48), jobs_at_loaded(1));
-    println!("of 48: {among_many} among 48 dispatchers, {alone} where there is one");
-    assert!(among_many <= 18, "{among_many}");
-    assert!((18..=30).contains(&alone), "{alone}");
+    println!("first jobs at loaded workers: {among_many} of 48 with 48 dispatchers, {alone} of 48 with one");
+    assert!(among_many <= 18, "{among_many} of 48 first jobs at loaded workers if there are 48 dispatchers");
+    assert!(
+        (18..=30).contains(&alone),
+        "{alone} of 48 first jobs at loaded workers if there is one dispatcher"
+    );
 }
 
-/// A weight of 0 does not mean that a worker is idle: it gets no job while there are others.
+/// Guards against workers of weight 0 that are taken for idle ones: they get almost no jobs while there are
+/// others.
 #[test]
 fn workers_of_weight_zero_get_no_first_jobs() {
     let settings = Settings { instances: 48, ..settings() };
-    let jobs: usize = first_jobs(&settings, &[&half_of_weight(0.0)])[..5].iter().sum();
-    println!("{jobs} of 48");
-    assert!(jobs <= 4, "{jobs} of 48");
+    let jobs: usize = first_jobs(&settings, &[&half_with_weight(0.0)])[..5].iter().sum();
+    println!("{jobs} of 48 first jobs at workers of weight 0");
+    assert!(jobs <= 4, "{jobs} of 48 first jobs at workers of weight 0");
 }
