--- a/crates/body-store/src/decision.rs
+++ b/crates/body-store/src/decision.rs
@@ -1,32 +1,33 @@
-//! Where a body can be stored, and why it is not: the plain types that other modules share.
+//! Types for storage decisions: where a body is stored, and why it is not.
 
 use std::time::Duration;
 
-/// A point in time, as the duration since any fixed moment.
+/// A point in time, as the duration since a start that the caller chooses and keeps.
 pub type Timestamp = Duration;
 
 /// Where a body is stored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StorageTier {
-    /// In memory.
+    /// All bytes that have arrived are in memory.
     #[default]
     Memory,
-    /// In a file, or on its way there.
+    /// In a file, except for the blocks that have not been written yet: these are in memory.
     File,
-    /// Not stored: what arrives can be streamed to one reader only.
+    /// The rest of the body is not stored, but streamed to a single reader as it arrives.
     NotStored,
 }
 
 /// Why a body is not stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum NotStoredReason {
-    /// It is larger than the limit for one stored body, or the budgets are used up.
+    /// The body exceeds the limits for one stored body, a byte budget is used up, there is no directory for
+    /// files, or the node's budget of file descriptors is used up.
     Budget,
-    /// The disk is full, or has no more than the space that must stay free.
+    /// The disk is full, or a file would leave less free space than the configured minimum.
     DiskFull,
-    /// The disk has failed.
+    /// A disk call returned an error other than a lack of space.
     DiskFailed,
-    /// The disk was slower than the client.
+    /// A disk call timed out, or the writes of the body were slower than the minimum rate.
     DiskSlow,
 }
 
@@ -39,7 +40,7 @@
         NotStoredReason::DiskSlow,
     ];
 
-    /// The name of its counter.
+    /// The name of the metric that counts bodies not stored for this reason.
     pub fn metric_name(self) -> &'static str {
         match self {
             NotStoredReason::Budget => "not_stored_budget",
@@ -50,13 +51,13 @@
     }
 }
 
-/// What to do with the next piece of a body.
+/// What the writer does with the next piece of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StorageDecision {
-    /// Store it in this tier.
+    /// Stores the piece; the whole body belongs in this tier now.
     Store(StorageTier),
-    /// Store nothing more of this body.
+    /// Stores neither the piece nor anything after it.
     NotStored(NotStoredReason),
-    /// Reject the body: it is larger than any that is accepted.
+    /// Rejects the body, which is longer than the largest body that is accepted.
     TooLarge,
 }
--- a/crates/body-store/src/disk_health.rs
+++ b/crates/body-store/src/disk_health.rs
@@ -1,37 +1,39 @@
-//! Whether the disk may be used: a circuit breaker that failures open for a time that doubles. No I/O, time
-//! passed in.
+//! A circuit breaker for the disk, with exponential backoff. No I/O; callers pass the time.
 
 use crate::decision::{NotStoredReason, Timestamp};
 use std::time::Duration;
 
-/// How long the first failure disables the disk; each further one doubles it.
+/// The backoff after the first failure. Doubles with each further failure.
 const MIN_BACKOFF: Duration = Duration::from_secs(1);
-/// The longest time that failures disable the disk before one body tries it again.
+/// The upper limit of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(30);
 
-/// The failures of the disk since its last success.
+/// Disables the disk for a backoff after each failure, and enables it again on the first success.
 #[derive(Debug, Default)]
 pub(crate) struct DiskHealth {
+    /// `None` if no call has failed since the last success.
     last_failure: Option<NotStoredReason>,
     disabled_until: Timestamp,
     backoff: Duration,
 }
 
 impl DiskHealth {
-    /// Whether a file may be created now.
+    /// Checks that the disk is not disabled, so that a file may be created.
     ///
     /// # Errors
-    /// The reason of the last failure, while that disables the disk.
-    pub(crate) fn check(&self, now: Timestamp) -> Result<(), NotStoredReason> {
+    /// The reason of the last failure, until its backoff has elapsed.
+    pub(crate) fn check_enabled(&self, now: Timestamp) -> Result<(), NotStoredReason> {
         match self.last_failure {
             Some(reason) if now < self.disabled_until => Err(reason),
             _ => Ok(()),
         }
     }
 
-    /// Disables the disk for a while. Returns whether the disk was healthy before.
+    /// Disables the disk for the next backoff. Returns whether this is the first failure since the last
+    /// success.
     pub(crate) fn record_failure(&mut self, now: Timestamp, reason: NotStoredReason) -> bool {
-        // Bodies that meet the same failure at the same time count as one.
+        // Several bodies may meet the same failure at once: those that report it while the disk is already
+        // disabled do not extend the backoff.
         if now >= self.disabled_until {
             self.backoff = (self.backoff * 2).clamp(MIN_BACKOFF, MAX_BACKOFF);
             self.disabled_until = now + self.backoff;
@@ -39,7 +41,7 @@
         self.last_failure.replace(reason).is_none()
     }
 
-    /// Enables the disk. Returns whether it had failed before.
+    /// Enables the disk. Returns whether a failure was recorded since the last success.
     pub(crate) fn record_success(&mut self) -> bool {
         self.backoff = Duration::ZERO;
         self.last_failure.take().is_some()
--- a/crates/body-store/src/plan.rs
+++ b/crates/body-store/src/plan.rs
@@ -1,91 +1,94 @@
-//! Decides where each body is stored. Events in, decisions out, time passed in; no I/O.
+//! Decides where each body is stored, and accounts for the bytes that bodies hold. No I/O; callers pass the
+//! time.
 //!
-//! A body moves up the tiers as it grows: memory while it fits its own limit and the budget, then a file that
-//! takes over what memory held, then not stored. It never moves back down. The caller reserves room for each
-//! piece before it takes it in ([`StoragePlan::reserve`]), carries the decision out, and reports what it has
-//! released.
+//! A growing body moves through the tiers in one direction only: memory, while it is within the limit for one
+//! body and the budget; then a file, to which the bytes in memory are moved; then not stored. The caller
+//! reserves room for each piece before it accepts the piece ([`StoragePlan::reserve`]), carries out the
+//! returned decision, and reports the bytes that it has released.
 
 use crate::budget::{Budget, SMALL_BODY_BYTES};
 use crate::decision::{NotStoredReason, StorageDecision, StorageTier, Timestamp};
 use crate::disk_health::DiskHealth;
 use std::collections::BTreeMap;
 
-/// Memory is short where more than this fraction of the memory budget is used, as numerator and denominator.
+/// Memory is short if more than this fraction of the memory budget is used. Numerator and denominator.
 const MEMORY_PRESSURE_FRACTION: (u64, u64) = (7, 8);
-/// Bodies that may be on their way from memory to a file at the same time.
+/// The number of complete bodies that may be moved from memory to files at the same time.
 const MAX_CONCURRENT_SPILLS: usize = 1;
 
-/// Identifies a body for as long as its request lasts.
+/// Identifies a body within its store. Not reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BodyId(u64);
 
-/// A body that the plan has begun to track.
+/// The result of [`StoragePlan::register`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RegisteredBody {
     /// Identifies the body in later calls.
     pub id: BodyId,
-    /// Where its first piece goes.
+    /// Where the first piece of the body is stored.
     pub decision: StorageDecision,
 }
 
-/// The consequence of a disk failure for the body that met it.
+/// The result of [`StoragePlan::record_disk_failure`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiskFailure {
-    /// Where the body is stored from here on.
+    /// Where the rest of the body that met the failure is stored.
     pub decision: StorageDecision,
-    /// Whether this is the first failure since the disk last worked.
+    /// Whether this is the first failure since the last successful write.
     pub is_first: bool,
 }
 
-/// Bytes that bodies hold.
+/// The bytes that all bodies together hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StorageUsage {
-    /// In memory.
+    /// Bytes reserved in memory. Bytes that are not stored are not included.
     pub memory_bytes: u64,
-    /// In files, including files that are still being written.
+    /// Bytes reserved in files, including those that are not written yet.
     pub file_bytes: u64,
 }
 
-/// The limits that the plan enforces, in bytes.
+/// The limits that a [`StoragePlan`] enforces, in bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StorageLimits {
     /// The largest body that is accepted.
     pub max_body_bytes: u64,
-    /// The largest part of one body in memory.
+    /// The largest body that is stored in memory.
     pub max_memory_bytes_per_body: u64,
-    /// The memory of all bodies together.
+    /// The memory budget of all bodies together.
     pub max_memory_bytes: u64,
-    /// The limits of files; `None` if there is no directory for them.
+    /// The limits for files; `None` if there is no directory for them.
     pub files: Option<FileLimits>,
 }
 
-/// The limits of files, in bytes.
+/// The limits for bodies in files, in bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileLimits {
-    /// The largest body in a file.
+    /// The largest body that is stored in a file.
     pub max_bytes_per_body: u64,
-    /// All files together.
+    /// The budget of all files together.
     pub max_bytes: u64,
-    /// The space that must stay free in the file system.
+    /// The space that must stay free in the file system when a file is created.
     pub min_free_bytes: u64,
 }
 
-/// What the plan knows about one body.
+/// The plan's record of one body.
 #[derive(Debug)]
 struct BodyAccount {
-    tenant: usize,
+    budget_group: usize,
     tier: StorageTier,
-    /// Bytes that have arrived.
-    length: u64,
+    /// Bytes that have arrived, wherever they are stored.
+    received_bytes: u64,
+    /// Bytes reserved in the memory budget.
     memory_bytes: u64,
+    /// Bytes reserved in the file budget.
     file_bytes: u64,
-    /// All of it has arrived.
+    /// Whether the whole body has arrived.
     is_complete: bool,
-    /// It is on its way from memory to a file after it was complete.
+    /// Whether the body, already complete, is being moved from memory to a file.
     is_spilling: bool,
 }
 
-/// Decides where each body is stored, and counts what all of them hold.
+/// Decides where each body is stored, and accounts for the bytes that bodies hold.
 #[derive(Debug)]
 pub struct StoragePlan {
     limits: StorageLimits,
@@ -98,11 +101,11 @@
 }
 
 impl StoragePlan {
-    /// A plan for the bodies of `tenants` tenants (class and state office); 0 counts as 1.
-    pub fn new(limits: StorageLimits, tenants: usize) -> StoragePlan {
+    /// A plan without bodies, for this number of budget groups (pairs of class and tenant); 0 counts as 1.
+    pub fn new(limits: StorageLimits, budget_groups: usize) -> StoragePlan {
         StoragePlan {
-            memory: Budget::new(limits.max_memory_bytes, tenants),
-            files: Budget::new(limits.max_file_bytes(), tenants),
+            memory: Budget::new(limits.max_memory_bytes, budget_groups),
+            files: Budget::new(limits.max_file_bytes(), budget_groups),
             limits,
             disk: DiskHealth::default(),
             bodies: BTreeMap::new(),
@@ -111,8 +114,10 @@
         }
     }
 
-    /// Changes the limits. Bodies in memory beyond a lower limit are spilled by [`StoragePlan::begin_spill`]; what
-    /// can't be moved stays until its request ends.
+    /// Changes the limits. Bodies keep the bytes that they hold beyond a lower limit:
+    /// [`StoragePlan::begin_spill`] moves complete ones from memory to files, and the others hold theirs
+    /// until they are removed. A change of the limits for files also enables a disk that failures have
+    /// disabled.
     pub fn configure(&mut self, limits: StorageLimits) {
         self.memory.resize(limits.max_memory_bytes);
         self.files.resize(limits.max_file_bytes());
@@ -122,24 +127,26 @@
         self.limits = limits;
     }
 
-    /// The limits in force.
+    /// The limits that were set last.
     pub fn limits(&self) -> &StorageLimits {
         &self.limits
     }
 
-    /// Begins to track a body of `tenant`, whose length is known if the client declared it.
+    /// Adds a body that counts against the budgets of `budget_group`; an index beyond the last group counts
+    /// as the last. A declared length, in bytes, that memory can't hold decides the tier before any byte
+    /// has arrived.
     pub fn register(
         &mut self,
         now: Timestamp,
-        tenant: usize,
+        budget_group: usize,
         declared_length: Option<u64>,
     ) -> RegisteredBody {
         let id = BodyId(self.next_id);
         self.next_id += 1;
         let account = BodyAccount {
-            tenant: tenant.min(self.memory.group_count() - 1),
+            budget_group: budget_group.min(self.memory.group_count() - 1),
             tier: StorageTier::Memory,
-            length: 0,
+            received_bytes: 0,
             memory_bytes: 0,
             file_bytes: 0,
             is_complete: false,
@@ -156,80 +163,82 @@
         RegisteredBody { id, decision }
     }
 
-    /// Reserves room for the next `more` bytes of a body. Where they are stored, they count as held from here
-    /// on.
-    pub fn reserve(&mut self, now: Timestamp, id: BodyId, more: u64) -> StorageDecision {
+    /// Reserves room for the next `additional` bytes of a body, and decides where they are stored. If they
+    /// are stored, they count as used as soon as this returns.
+    pub fn reserve(&mut self, now: Timestamp, id: BodyId, additional: u64) -> StorageDecision {
         let Some(body) = self.bodies.get_mut(&id) else { return StorageDecision::TooLarge };
-        let length = body.length.saturating_add(more);
-        if length > self.limits.max_body_bytes {
+        let received_bytes = body.received_bytes.saturating_add(additional);
+        if received_bytes > self.limits.max_body_bytes {
             return StorageDecision::TooLarge;
         }
-        body.length = length;
+        body.received_bytes = received_bytes;
         match body.tier {
             StorageTier::NotStored => StorageDecision::NotStored(NotStoredReason::Budget),
-            StorageTier::Memory => self.reserve_memory(now, id, more),
-            StorageTier::File => self.reserve_in_file(id, more),
+            StorageTier::Memory => self.reserve_memory(now, id, additional),
+            StorageTier::File => self.reserve_in_file(id, additional),
         }
     }
 
-    fn reserve_memory(&mut self, now: Timestamp, id: BodyId, more: u64) -> StorageDecision {
+    fn reserve_memory(&mut self, now: Timestamp, id: BodyId, additional: u64) -> StorageDecision {
         let Some(body) = self.bodies.get_mut(&id) else { return StorageDecision::TooLarge };
-        let length = body.length;
-        let fits = length <= self.limits.max_memory_bytes_per_body;
-        if fits && self.memory.try_reserve(body.tenant, body.memory_bytes, more) {
-            body.memory_bytes += more;
+        let received_bytes = body.received_bytes;
+        let fits = received_bytes <= self.limits.max_memory_bytes_per_body;
+        if fits && self.memory.try_reserve(body.budget_group, body.memory_bytes, additional) {
+            body.memory_bytes += additional;
             return StorageDecision::Store(StorageTier::Memory);
         }
-        self.move_out_of_memory(now, id, length)
+        self.move_out_of_memory(now, id, received_bytes)
     }
 
-    fn reserve_in_file(&mut self, id: BodyId, more: u64) -> StorageDecision {
+    fn reserve_in_file(&mut self, id: BodyId, additional: u64) -> StorageDecision {
         let Some(body) = self.bodies.get_mut(&id) else { return StorageDecision::TooLarge };
-        let fits = body.length <= self.limits.max_file_bytes_per_body();
-        if !fits || !self.files.try_reserve(body.tenant, body.file_bytes, more) {
+        let fits = body.received_bytes <= self.limits.max_file_bytes_per_body();
+        if !fits || !self.files.try_reserve(body.budget_group, body.file_bytes, additional) {
             body.tier = StorageTier::NotStored;
             return StorageDecision::NotStored(NotStoredReason::Budget);
         }
-        body.file_bytes += more;
+        body.file_bytes += additional;
         StorageDecision::Store(StorageTier::File)
     }
 
-    /// Moves a body that memory can't hold to a file that takes all of it, or stops storing it.
+    /// Moves a body that memory can't hold to a file that can hold the whole body, or stops storing the body.
+    /// `expected_length` is the declared length, or else the number of bytes that have arrived.
     fn move_out_of_memory(&mut self, now: Timestamp, id: BodyId, expected_length: u64) -> StorageDecision {
-        let file_allowed = self.check_files_usable(now);
+        let files_usable = self.check_files_usable(now);
         let Some(body) = self.bodies.get_mut(&id) else { return StorageDecision::TooLarge };
-        if let Err(reason) = file_allowed {
+        if let Err(reason) = files_usable {
             body.tier = StorageTier::NotStored;
             return StorageDecision::NotStored(reason);
         }
         let fits = expected_length <= self.limits.max_file_bytes_per_body();
-        if !fits || !self.files.try_reserve(body.tenant, 0, body.length) {
+        if !fits || !self.files.try_reserve(body.budget_group, 0, body.received_bytes) {
             body.tier = StorageTier::NotStored;
             return StorageDecision::NotStored(NotStoredReason::Budget);
         }
         body.tier = StorageTier::File;
-        body.file_bytes = body.length;
+        body.file_bytes = body.received_bytes;
         StorageDecision::Store(StorageTier::File)
     }
 
-    /// Whether a file may be created: there is a directory, and no recent failure disables the disk.
+    /// Checks that a file may be created: there is a directory, and no recent failure disables the disk.
     fn check_files_usable(&self, now: Timestamp) -> Result<(), NotStoredReason> {
         if self.limits.files.is_none() {
             return Err(NotStoredReason::Budget);
         }
-        self.disk.check(now)
+        self.disk.check_enabled(now)
     }
 
-    /// Whether a file system with `free_bytes` left has room for the file of a body.
+    /// Whether a file system with `free_bytes` left has room for the bytes of a body that have arrived,
+    /// beside the space that must stay free.
     pub fn has_free_space(&self, id: BodyId, free_bytes: u64) -> bool {
-        let must_stay_free = self.limits.files.as_ref().map_or(0, |files| files.min_free_bytes);
-        let needed = self.bodies.get(&id).map_or(0, |body| body.length);
-        free_bytes >= must_stay_free.saturating_add(needed)
+        let min_free_bytes = self.limits.files.as_ref().map_or(0, |files| files.min_free_bytes);
+        let needed_bytes = self.bodies.get(&id).map_or(0, |body| body.received_bytes);
+        free_bytes >= min_free_bytes.saturating_add(needed_bytes)
     }
 
-    /// Records that the disk has failed a body: the disk is disabled for a while, and nothing more of the
-    /// body is stored. A body that was being spilled is complete, partly in its file and partly in memory,
-    /// and stays so.
+    /// Records that a disk call for a body has failed or timed out. Disables the disk for its backoff, and
+    /// stores nothing more of the body. A body that was being spilled is complete, so it stays stored, partly
+    /// in its file and partly in memory.
     pub fn record_disk_failure(
         &mut self,
         now: Timestamp,
@@ -244,76 +253,81 @@
         DiskFailure { decision: StorageDecision::NotStored(reason), is_first }
     }
 
-    /// Records that the disk has taken a piece: files may be created again. Returns whether the disk had
-    /// failed before.
+    /// Records that a write has succeeded, so that files may be created again. Returns whether the disk had
+    /// failed since the last successful write.
     pub fn record_disk_success(&mut self) -> bool {
         self.disk.record_success()
     }
 
-    /// Stores nothing more of a body.
+    /// Stores no byte of a body that arrives from now on. The bytes already stored stay stored.
     pub fn stop_storing(&mut self, id: BodyId) {
         if let Some(body) = self.bodies.get_mut(&id) {
             body.tier = StorageTier::NotStored;
         }
     }
 
-    /// Releases memory of a body: bytes that were written to its file, or consumed.
+    /// Releases bytes in memory that were written to the file of a body, or consumed by its reader; at most
+    /// what the body holds.
     pub fn release_memory(&mut self, id: BodyId, bytes: u64) {
         if let Some(body) = self.bodies.get_mut(&id) {
             let released = bytes.min(body.memory_bytes);
             body.memory_bytes -= released;
-            self.memory.release(body.tenant, released);
+            self.memory.release(body.budget_group, released);
         }
     }
 
-    /// Releases the file of a body.
+    /// Releases all bytes that a body holds in its file.
     pub fn release_file(&mut self, id: BodyId) {
         if let Some(body) = self.bodies.get_mut(&id) {
-            self.files.release(body.tenant, std::mem::take(&mut body.file_bytes));
+            self.files.release(body.budget_group, std::mem::take(&mut body.file_bytes));
         }
     }
 
-    /// Records that all of a body has arrived.
+    /// Records that the whole body has arrived, which allows it to be spilled.
     pub fn mark_complete(&mut self, id: BodyId) {
         if let Some(body) = self.bodies.get_mut(&id) {
             body.is_complete = true;
         }
     }
 
-    /// Whether memory is short and there are files to spill bodies to.
+    /// Whether memory is short and there is a directory for files, so that bodies are to be spilled.
     pub fn has_memory_pressure(&self) -> bool {
         let (numerator, denominator) = MEMORY_PRESSURE_FRACTION;
         let is_short = self.memory.used() * denominator > self.memory.total() * numerator;
         self.limits.files.is_some() && is_short
     }
 
-    /// Chooses a complete body to move from memory to a file, if memory is short: the largest of the tenant
-    /// that holds most of it, except for small ones. It counts as held in both until [`StoragePlan::finish_spill`].
+    /// Chooses a complete body to move from memory to a file, if memory is short: of the budget group that
+    /// uses the most memory, the largest body that is not small. The body is reserved in its file at once,
+    /// and the caller releases its memory as the blocks are written. Ends with [`StoragePlan::finish_spill`].
     pub fn begin_spill(&mut self, now: Timestamp) -> Option<BodyId> {
         if !self.has_memory_pressure() || self.active_spills >= MAX_CONCURRENT_SPILLS {
             return None;
         }
-        let id = self.largest_spillable()?;
+        let id = self.spill_candidate()?;
         self.check_files_usable(now).ok()?;
         let max_bytes = self.limits.max_file_bytes_per_body();
         let body = self.bodies.get_mut(&id)?;
-        if body.length > max_bytes || !self.files.try_reserve(body.tenant, 0, body.length) {
+        if body.received_bytes > max_bytes
+            || !self.files.try_reserve(body.budget_group, 0, body.received_bytes)
+        {
             return None;
         }
         body.is_spilling = true;
-        body.file_bytes = body.length;
+        body.file_bytes = body.received_bytes;
         body.tier = StorageTier::File;
         self.active_spills += 1;
         Some(id)
     }
 
-    fn largest_spillable(&self) -> Option<BodyId> {
+    fn spill_candidate(&self) -> Option<BodyId> {
         let spillable = self.bodies.iter().filter(|(_, body)| body.is_spillable());
-        let largest = spillable.max_by_key(|(_, body)| (self.memory.used_by(body.tenant), body.memory_bytes));
+        let largest =
+            spillable.max_by_key(|(_, body)| (self.memory.used_by(body.budget_group), body.memory_bytes));
         largest.map(|(&id, _)| id)
     }
 
-    /// Records that a spill is over. Returns whether the body was being spilled.
+    /// Records that the spill of a body has succeeded or failed. Returns whether the body was being spilled.
     pub fn finish_spill(&mut self, id: BodyId) -> bool {
         let Some(body) = self.bodies.get_mut(&id) else { return false };
         let was_spilling = std::mem::take(&mut body.is_spilling);
@@ -321,33 +335,33 @@
         was_spilling
     }
 
-    /// Forgets a body and releases all that it held.
+    /// Removes a body, and releases all bytes that it holds.
     pub fn remove(&mut self, id: BodyId) {
         if let Some(body) = self.bodies.remove(&id) {
             self.active_spills -= usize::from(body.is_spilling);
-            self.memory.release(body.tenant, body.memory_bytes);
-            self.files.release(body.tenant, body.file_bytes);
+            self.memory.release(body.budget_group, body.memory_bytes);
+            self.files.release(body.budget_group, body.file_bytes);
         }
     }
 
-    /// Where a body is stored; `None` for one that is not tracked.
+    /// Where a body is stored; `None` if the body is not registered.
     pub fn tier(&self, id: BodyId) -> Option<StorageTier> {
         self.bodies.get(&id).map(|body| body.tier)
     }
 
-    /// The bytes that all bodies hold.
+    /// The bytes that all bodies together hold in memory and in files.
     pub fn usage(&self) -> StorageUsage {
         StorageUsage { memory_bytes: self.memory.used(), file_bytes: self.files.used() }
     }
 
-    /// The number of bodies that are tracked.
+    /// The number of registered bodies.
     pub fn body_count(&self) -> usize {
         self.bodies.len()
     }
 }
 
 impl BodyAccount {
-    /// Whether it can be moved from memory to a file: complete, not being moved, and not small.
+    /// Whether the body can be moved from memory to a file. Small bodies stay in memory.
     fn is_spillable(&self) -> bool {
         self.is_complete
             && !self.is_spilling
--- a/crates/body-store/src/settings.rs
+++ b/crates/body-store/src/settings.rs
@@ -3,7 +3,7 @@
 use crate::plan::{FileLimits, StorageLimits};
 use sorrelhaven_config::BodySettings;
 
-/// The limits that these settings make; `has_disk` says whether there is a directory for files.
+/// Without a disk, the result has no limits for files, and the plan uses memory only.
 pub(crate) fn limits(settings: &BodySettings, has_disk: bool) -> StorageLimits {
     let BodySettings { largest_bytes, memory, files, .. } = settings;
     let file_limits = FileLimits {
