--- a/crates/body-store/src/directory.rs
+++ b/crates/body-store/src/directory.rs
@@ -1,9 +1,9 @@
-//! The directory that operators set for bodies, in which files without a name are created.
+//! The directory for bodies that the operators have configured (`bodies.files.directory`).
 //!
-//! A file is created under a temporary name and unlinked at once while it stays open: whatever happens to the
-//! process, the operating system frees the space, and no partial body is left behind. Only a crash between
-//! the two steps leaves a name; the next start of the same node sweeps it. Calls may block, so they belong on
-//! a thread pool.
+//! A file is created under a temporary name and unlinked at once, while it stays open. So the operating
+//! system frees its space however the process ends, and no partial body is left behind. Only a crash between
+//! the two calls leaves a named file, which the next start of the same node deletes. Calls may block, so they
+//! belong on a thread pool.
 
 use crate::disk::{Disk, DiskFile, is_disk_full};
 use rustix::fs::{self, AtFlags, Mode, OFlags};
@@ -16,26 +16,26 @@
 use std::path::{Component, Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The bytes that are written to find out whether the directory can be written to: a page.
+/// The size of the test write that checks whether the directory is writable: one memory page.
 const TEST_WRITE_BYTES: usize = 4096;
-/// The user id of root.
 const ROOT_UID: u32 = 0;
 
-/// Why a directory can't be used for bodies. Its text is one line for operators.
+/// Why a directory can't be used for bodies. Displayed on one line for operators: the node does not start, or
+/// a reload is rejected.
 #[derive(Debug)]
 pub struct DirectoryError {
     path: PathBuf,
     kind: DirectoryErrorKind,
 }
 
-/// What is wrong with a directory.
 #[derive(Debug)]
 enum DirectoryErrorKind {
     Missing,
     NotADirectory,
     SymbolicLink,
-    /// This directory on the path is a symbolic link that another user controls, or the path itself is one.
-    UntrustedLink(PathBuf),
+    /// The contained path, a leading part of the directory's path or all of it, is a symbolic link that
+    /// [`check_symbolic_links`] rejects.
+    RejectedLink(PathBuf),
     CannotOpen(io::Error),
     CannotWrite(io::Error),
 }
@@ -47,9 +47,14 @@
             DirectoryErrorKind::Missing => f.write_str("there is no such directory"),
             DirectoryErrorKind::NotADirectory => f.write_str("it is not a directory"),
             DirectoryErrorKind::SymbolicLink => f.write_str("it is a symbolic link"),
-            DirectoryErrorKind::UntrustedLink(link) => write!(f, "{} is a symbolic link", link.display()),
+            DirectoryErrorKind::RejectedLink(link) => write!(f, "{} is a symbolic link", link.display()),
             DirectoryErrorKind::CannotOpen(error) => write!(f, "it can't be opened: {error}"),
-            DirectoryErrorKind::CannotWrite(error) => write!(f, "it can't be written in: {error}"),
+            DirectoryErrorKind::CannotWrite(error) => {
+                write!(
+                    f,
+                    "request bodies can't be stored in this directory, because a test write failed: {error}"
+                )
+            }
         }
     }
 }
@@ -61,7 +66,7 @@
             DirectoryErrorKind::Missing
             | DirectoryErrorKind::NotADirectory
             | DirectoryErrorKind::SymbolicLink
-            | DirectoryErrorKind::UntrustedLink(_) => None,
+            | DirectoryErrorKind::RejectedLink(_) => None,
         }
     }
 }
@@ -77,28 +82,32 @@
     }
 }
 
-/// An open directory, used by one node under its own file names.
+/// An open directory in which one node creates files for bodies. The file names contain the node's name, so
+/// that several nodes can share a directory.
 pub struct Directory {
     descriptor: OwnedFd,
+    /// The part of the file names that is specific to the node.
     name_prefix: String,
     next_file_number: AtomicU64,
     was_full: bool,
 }
 
 impl Directory {
-    /// Opens the directory for the node of this name, and tries a write. A full file system is no error.
+    /// Opens the directory for the node with this name, and checks with a test write that it is writable. A
+    /// full file system is not an error, since it may have room later.
     ///
     /// # Errors
-    /// The directory does not exist, can't be written to, or is reached through an untrusted symbolic link.
-    pub fn open(path: &Path, node: &str) -> Result<Directory, DirectoryError> {
+    /// The path does not exist, is not a directory, is a symbolic link, or leads through a symbolic link of
+    /// another user; or the directory can't be opened or written to.
+    pub fn open(path: &Path, node_name: &str) -> Result<Directory, DirectoryError> {
         let error = |kind| DirectoryError { path: path.to_path_buf(), kind };
-        reject_untrusted_links(path).map_err(error)?;
+        check_symbolic_links(path).map_err(error)?;
         let flags = OFlags::DIRECTORY | OFlags::NOFOLLOW | OFlags::RDONLY | OFlags::CLOEXEC;
         let descriptor =
             fs::open(path, flags, Mode::empty()).map_err(|errno| error(DirectoryErrorKind::from(errno)))?;
         let mut directory = Directory {
             descriptor,
-            name_prefix: name_prefix(node),
+            name_prefix: name_prefix(node_name),
             next_file_number: AtomicU64::new(0),
             was_full: false,
         };
@@ -111,16 +120,16 @@
         Ok(directory)
     }
 
-    /// Whether the file system was full when the directory was opened.
+    /// Whether the test write in [`Directory::open`] failed because the file system was full.
     pub fn was_full_at_open(&self) -> bool {
         self.was_full
     }
 
-    /// Deletes the files that an earlier process of this node left, and counts them. Those of other nodes
-    /// stay.
+    /// Deletes the files that a crash of an earlier process of this node has left in the directory, and
+    /// returns their number. Files of other nodes stay.
     ///
     /// # Errors
-    /// Those of the operating system.
+    /// The I/O error of the operating system, if the directory can't be listed or a file can't be deleted.
     pub fn delete_leftover_files(&self) -> io::Result<usize> {
         let mut deleted = 0;
         for entry in fs::Dir::read_from(&self.descriptor)? {
@@ -145,7 +154,8 @@
         let flags = OFlags::CREATE | OFlags::EXCL | OFlags::RDWR | OFlags::NOFOLLOW | OFlags::CLOEXEC;
         let file = fs::openat(&self.descriptor, &name, flags, Mode::RUSR | Mode::WUSR)?;
         match fs::unlinkat(&self.descriptor, &name, AtFlags::empty()) {
-            // Another process of this node may have swept the name in between: it is gone all the same.
+            // `NOENT`: another process of this node has started since the call above and has already deleted
+            // the name.
             Ok(()) | Err(Errno::NOENT) => Ok(Box::new(File::from(file))),
             Err(errno) => Err(errno.into()),
         }
@@ -167,21 +177,21 @@
     }
 }
 
-/// The prefix of all file names of one node. Bytes other than ASCII letters and digits are escaped, so that
-/// no node's prefix is the beginning of another's.
-fn name_prefix(node: &str) -> String {
+/// The prefix of all file names of one node. Bytes of the node's name other than ASCII letters and digits are
+/// escaped, so that no node's prefix is the beginning of another node's prefix.
+fn name_prefix(node_name: &str) -> String {
     let escape = |byte: u8| match byte.is_ascii_alphanumeric() {
         true => char::from(byte).to_string(),
         false => format!("%{byte:02x}"),
     };
-    let name: String = node.bytes().map(escape).collect();
+    let name: String = node_name.bytes().map(escape).collect();
     format!("sorrelhaven-body.{name}.")
 }
 
-/// Guards against symbolic links: one that another user made could lead the node's files anywhere, and one at
-/// the end of the path is most likely a mistake. Links of root and of the node's own user on the way are
-/// allowed.
-fn reject_untrusted_links(path: &Path) -> Result<(), DirectoryErrorKind> {
+/// Checks the path for symbolic links. A link that another user made could redirect the node's files to any
+/// place, and a link as the last component is most likely a mistake in the settings. Links of root and of the
+/// node's own user in other components are accepted.
+fn check_symbolic_links(path: &Path) -> Result<(), DirectoryErrorKind> {
     let own_uid = rustix::process::geteuid().as_raw();
     let mut prefix = PathBuf::new();
     for component in path.components() {
@@ -189,10 +199,11 @@
         if !matches!(component, Component::Normal(_)) {
             continue;
         }
+        // If a component can't be examined, opening the directory reports why.
         let Ok(metadata) = std::fs::symlink_metadata(&prefix) else { return Ok(()) };
         let is_trusted = metadata.uid() == ROOT_UID || metadata.uid() == own_uid;
         if metadata.is_symlink() && (prefix == path || !is_trusted) {
-            return Err(DirectoryErrorKind::UntrustedLink(prefix));
+            return Err(DirectoryErrorKind::RejectedLink(prefix));
         }
     }
     Ok(())
--- a/crates/body-store/src/disk.rs
+++ b/crates/body-store/src/disk.rs
@@ -1,19 +1,19 @@
-//! What the store needs of a disk: files without a name, and the free space.
+//! The interface of a disk that holds the files of bodies.
 
 use std::io;
 
-/// A place where files can be created. Calls may block.
+/// Creates files for bodies, and reports the free space. Calls may block.
 pub trait Disk: Send + Sync {
-    /// Creates an empty file that is deleted when it is dropped.
+    /// Creates an empty file, which is deleted when it is dropped.
     ///
     /// # Errors
-    /// Those of the operating system.
+    /// The I/O error of the operating system.
     fn create_file(&self) -> io::Result<Box<dyn DiskFile>>;
 
-    /// The bytes that an unprivileged user may still write.
+    /// The free space in bytes, without the part that the file system reserves for privileged users.
     ///
     /// # Errors
-    /// Those of the operating system.
+    /// The I/O error of the operating system.
     fn free_bytes(&self) -> io::Result<u64>;
 }
 
@@ -22,18 +22,18 @@
     /// Writes all of `bytes` at `offset`.
     ///
     /// # Errors
-    /// Those of the operating system; a part may have been written then.
+    /// The I/O error of the operating system. A part of `bytes` may have been written.
     fn write_at(&self, bytes: &[u8], offset: u64) -> io::Result<()>;
 
-    /// Fills `bytes` from `offset` on.
+    /// Fills `bytes` with the content of the file from `offset` on.
     ///
     /// # Errors
-    /// Those of the operating system; `UnexpectedEof` if the file is shorter.
+    /// The I/O error of the operating system, or `UnexpectedEof` if the file ends before `bytes` is full.
     fn read_at(&self, bytes: &mut [u8], offset: u64) -> io::Result<()>;
 }
 
-/// Whether an error says that there is no room: the file system's, a quota's, or the process's own limit on a
-/// file.
+/// Whether a write failed for lack of space: the file system is full, a quota is used up, or the file has
+/// reached the size limit of the process.
 pub fn is_disk_full(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/crates/node/tests/bodies/spool_directory.rs
+++ b/crates/node/tests/bodies/spool_directory.rs
@@ -89,7 +89,7 @@
         (installation.scratch.path("none").display().to_string(), "there is no such directory"),
         (installation.scratch.path("link").display().to_string(), "is a symbolic link"),
         (node_file.display().to_string(), "it is not a directory"),
-        ("/proc".to_string(), "/proc: it can't be"),
+        ("/proc".to_string(), "/proc: request bodies can't be stored in this directory"),
     ] {
         let operator = installation.scratch.write("operator.json", &valid.replace(&spool, &directory));
         for (args, code) in [(&["check"][..], 2), (&["run"][..], 1)] {
