--- a/crates/body-store/src/block_buffer.rs
+++ b/crates/body-store/src/block_buffer.rs
@@ -1,58 +1,60 @@
-//! The part of a body that is in memory, as a queue of blocks.
+//! The part of a body that is in memory: a queue of blocks.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// The bytes of a block: the unit of file writes and reads, of their checksums, and of what a reader returns.
+/// The size of a full block in bytes. Blocks are the unit of file writes, file reads and checksums, and a
+/// reader returns at most one block at a time.
 pub const BLOCK_BYTES: usize = 64 * 1024;
 
-/// Consecutive bytes of a body from [`BlockBuffer::start`] on. All blocks but the last are full.
+/// Consecutive bytes of a body, beginning at the offset [`BlockBuffer::start`]. All blocks but the last are
+/// full.
 #[derive(Default)]
 pub(crate) struct BlockBuffer {
-    /// Shared with the thread that writes a block to the file.
+    /// Reference-counted, since a thread of the pool may be writing a block to the file.
     blocks: VecDeque<Arc<Vec<u8>>>,
     start: u64,
 }
 
 impl BlockBuffer {
-    /// The offset in the body of the first byte of the buffer.
+    /// The offset in the body at which the buffer begins.
     pub(crate) fn start(&self) -> u64 {
         self.start
     }
 
-    /// Appends bytes. `expected` is how many bytes of the body are still to come, these included, if its
-    /// length is known: then no more memory is allocated than it needs.
-    pub(crate) fn append(&mut self, mut bytes: &[u8], mut expected: Option<u64>) {
+    /// Appends bytes. `remaining` is the number of bytes up to the end of the body, these included, if the
+    /// length is known. It bounds the capacity of new blocks, so that a short body does not allocate a full
+    /// block.
+    pub(crate) fn append(&mut self, mut bytes: &[u8], mut remaining: Option<u64>) {
         while !bytes.is_empty() {
-            let room = self.room_in_last_block(bytes.len(), expected);
+            let room = self.room_in_last_block(bytes.len(), remaining);
             let (head, rest) = bytes.split_at(room.min(bytes.len()));
             if let Some(block) = self.blocks.back_mut() {
                 Arc::make_mut(block).extend_from_slice(head);
             }
-            expected = expected.map(|expected| expected.saturating_sub(head.len() as u64));
+            remaining = remaining.map(|remaining| remaining.saturating_sub(head.len() as u64));
             bytes = rest;
         }
     }
 
-    /// The bytes that the last block can still take; adds a block if that is full.
-    fn room_in_last_block(&mut self, bytes: usize, expected: Option<u64>) -> usize {
+    /// The number of bytes that fit into the last block. Adds a block if there is none or the last is full.
+    fn room_in_last_block(&mut self, bytes: usize, remaining: Option<u64>) -> usize {
         if let Some(block) = self.blocks.back()
             && block.len() < BLOCK_BYTES
         {
             return BLOCK_BYTES - block.len();
         }
-        let expected = expected.unwrap_or(bytes as u64);
-        let capacity = expected.clamp(bytes.min(BLOCK_BYTES) as u64, BLOCK_BYTES as u64);
+        let remaining = remaining.unwrap_or(bytes as u64);
+        let capacity = remaining.clamp(bytes.min(BLOCK_BYTES) as u64, BLOCK_BYTES as u64);
         self.blocks.push_back(Arc::new(Vec::with_capacity(capacity as usize)));
         BLOCK_BYTES
     }
 
-    /// The first block.
     pub(crate) fn first(&self) -> Option<&Arc<Vec<u8>>> {
         self.blocks.front()
     }
 
-    /// Removes the first block, and returns its length.
+    /// Removes the first block, and returns its length in bytes.
     pub(crate) fn remove_first(&mut self) -> Option<u64> {
         let block = self.blocks.pop_front()?;
         let length = block.len() as u64;
@@ -60,8 +62,8 @@
         Some(length)
     }
 
-    /// Removes the blocks that end at or before `offset`, and returns their length. A block that is not full
-    /// may still grow, and is removed only if `is_complete`.
+    /// Removes the blocks that end at or before `offset`, and returns the number of removed bytes. A block
+    /// that is not full may still grow until the upload has ended, so it is removed only if `is_complete`.
     pub(crate) fn remove_before(&mut self, offset: u64, is_complete: bool) -> u64 {
         let mut removed = 0;
         while let Some(block) = self.blocks.front()
@@ -73,12 +75,12 @@
         removed
     }
 
-    /// Drops all blocks.
     pub(crate) fn clear(&mut self) {
         self.blocks.clear();
     }
 
-    /// The bytes from `offset`, which is not before the start, to the end of its block.
+    /// The bytes from `offset` to the end of the block that holds it. `offset` must not be before the start
+    /// of the buffer.
     pub(crate) fn block_from(&self, offset: u64) -> &[u8] {
         let position = (offset - self.start) as usize;
         let block = self.blocks.get(position / BLOCK_BYTES);
--- a/crates/body-store/src/blocking_pool.rs
+++ b/crates/body-store/src/blocking_pool.rs
@@ -1,4 +1,4 @@
-//! Runs calls that may block on a bounded number of threads, apart from the async executor.
+//! Runs blocking calls on a bounded number of threads, so that they don't block the async executor.
 
 use async_io::Timer;
 use async_lock::Semaphore;
@@ -7,58 +7,61 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Calls that run at the same time. A disk that hangs blocks at most this many threads.
+/// The number of calls that may run at the same time. A disk that hangs blocks at most this many threads.
 const MAX_CONCURRENT_CALLS: usize = 4;
 
-/// Runs blocking calls, a bounded number at a time.
+/// Limits the number of blocking calls that run at the same time.
 pub(crate) struct BlockingPool {
-    slots: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
 }
 
-/// The result of a call that has ended in time.
+/// The result of a call that has returned before its deadline.
 pub(crate) struct CompletedCall<T> {
     pub(crate) value: T,
-    /// How long the call ran, without its wait for a slot.
+    /// How long the call ran, without the wait for a permit and for a thread.
     pub(crate) duration: Duration,
 }
 
-/// A call had not ended by its deadline.
+/// The call has not returned by its deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct DeadlineExceeded;
 
 impl fmt::Display for DeadlineExceeded {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the call did not end before its deadline")
+        f.write_str("the blocking call did not return by its deadline")
     }
 }
 
 impl std::error::Error for DeadlineExceeded {}
 
 impl BlockingPool {
-    /// A pool on which nothing runs.
     pub(crate) fn new() -> BlockingPool {
-        BlockingPool { slots: Arc::new(Semaphore::new(MAX_CONCURRENT_CALLS)) }
+        BlockingPool { permits: Arc::new(Semaphore::new(MAX_CONCURRENT_CALLS)) }
     }
 
-    /// Runs a call and waits for its result.
+    /// Runs a call on another thread and waits for its result. If [`MAX_CONCURRENT_CALLS`] calls are running,
+    /// waits until one of them returns.
     ///
     /// # Errors
-    /// The call has not ended by `deadline`. It then runs on, and its result is dropped.
+    /// The call has not returned by `deadline`. A call that has started runs to its end, and its result is
+    /// dropped; one that has not started is cancelled.
     pub(crate) async fn run<T: Send + 'static>(
         &self,
         deadline: Instant,
         call: impl FnOnce() -> T + Send + 'static,
     ) -> Result<CompletedCall<T>, DeadlineExceeded> {
         let completed = async {
-            let slot = self.slots.acquire_arc().await;
+            let permit = self.permits.acquire_arc().await;
             let task = blocking::unblock(move || {
-                // The call itself holds the slot: one that is no longer waited for still counts.
-                let _slot = slot;
+                // The call holds the permit, since it occupies a thread until it returns, even if its caller
+                // has stopped waiting at the deadline.
+                let _permit = permit;
                 let started_at = Instant::now();
                 let value = call();
                 CompletedCall { value, duration: started_at.elapsed() }
             });
-            // Dropping the task cancels it before it starts, or lets it run to its end: both are safe here.
+            // At the deadline the task is dropped: that cancels a call that has not started, and lets one
+            // that has started run to its end. Both are safe here.
             Ok(task.await)
         };
         let timeout = async {
--- a/crates/body-store/src/body.rs
+++ b/crates/body-store/src/body.rs
@@ -1,4 +1,4 @@
-//! The state of a body, which its writer, its request and its readers share.
+//! The state of one body, shared by its writer, its request and its readers.
 
 use crate::block_buffer::{BLOCK_BYTES, BlockBuffer};
 use crate::body_end::{BodyEnd, BodyReadError};
@@ -12,59 +12,61 @@
 use std::rc::{Rc, Weak};
 use std::sync::Arc;
 
-/// Identifies a reader among those of the same body.
+/// Identifies a reader among the readers of one body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ReaderId(u64);
 
-/// The bodies that are in use, by their ids. Clones share the same map.
+/// All bodies that are in use, by id. Clones share one map.
 #[derive(Clone, Default)]
 pub(crate) struct BodyRegistry(Rc<RefCell<HashMap<BodyId, Weak<SharedBody>>>>);
 
 impl BodyRegistry {
-    /// The body, unless its request has ended in the meantime.
+    /// The body with this id, unless it has been dropped.
     pub(crate) fn find(&self, id: BodyId) -> Option<Rc<SharedBody>> {
         self.0.borrow().get(&id).and_then(Weak::upgrade)
     }
 }
 
-/// A body, its state, and the event on which its writer and its readers wait.
+/// One body, with everything that its writer, its request and its readers share. Dropping it releases what
+/// the body holds in the plan.
 pub(crate) struct SharedBody {
     pub(crate) resources: Rc<SharedResources>,
     registry: BodyRegistry,
     pub(crate) id: BodyId,
     pub(crate) declared_length: Option<u64>,
     pub(crate) state: RefCell<BodyState>,
+    /// Notified after each change of the state; the writer and the readers wait for it.
     pub(crate) changed: Event,
 }
 
-/// What has arrived of a body, and where it is.
+/// The bytes of a body that have arrived, and where they are stored.
 #[derive(Default)]
 pub(crate) struct BodyState {
     pub(crate) tier: StorageTier,
-    /// Bytes that have arrived.
-    pub(crate) received: u64,
-    /// What is in memory: all after the part in the file.
+    pub(crate) received_bytes: u64,
+    /// The bytes in memory: all that follow the part in the file and have not been released.
     pub(crate) memory: BlockBuffer,
     pub(crate) file: Option<OpenFile>,
-    /// The bytes from the start of the body that were written to the file.
+    /// The number of bytes, from the start of the body, that were written to the file.
     pub(crate) file_bytes: u64,
-    /// The checksum of each block in the file.
+    /// The CRC-32 of each block in the file, in the order of the blocks.
     pub(crate) checksums: Vec<u32>,
-    /// The offset of the first byte that is not stored.
+    /// The offset of the first byte that is not stored; `None` while all bytes are stored.
     pub(crate) not_stored_from: Option<u64>,
-    /// The reader that was given bytes that are not stored: no other can read the complete body.
+    /// The reader that has received bytes that are not stored. No other reader can read the complete body.
     pub(crate) consumer: Option<ReaderId>,
     reader_count: u64,
+    /// How the upload ended; `None` while it is in progress.
     pub(crate) end: Option<BodyEnd>,
 }
 
-/// The file of a body, with its descriptor's share of the node's budget.
+/// The file of a body, with the permit that counts its descriptor against the node's budget.
 pub(crate) struct OpenFile {
     pub(crate) file: Arc<BodyFile>,
     pub(crate) _permit: FilePermit,
 }
 
-/// A block in memory that can be written to the file.
+/// A block in memory that is to be written to the file at `offset`.
 pub(crate) struct UnwrittenBlock {
     pub(crate) file: Arc<BodyFile>,
     pub(crate) offset: u64,
@@ -72,15 +74,15 @@
 }
 
 impl BodyState {
-    /// Appends bytes that have arrived.
+    /// Appends bytes that have arrived to the part in memory.
     pub(crate) fn append(&mut self, bytes: &[u8], declared_length: Option<u64>) {
-        let expected = declared_length.map(|length| length.saturating_sub(self.received));
-        self.memory.append(bytes, expected);
-        self.received += bytes.len() as u64;
+        let remaining = declared_length.map(|length| length.saturating_sub(self.received_bytes));
+        self.memory.append(bytes, remaining);
+        self.received_bytes += bytes.len() as u64;
     }
 
-    /// The next block to write to the file, if there is a file and a full block, or a partial one to be
-    /// included.
+    /// The next block to write to the file. `None` if there is no file, the upload has failed, or no block is
+    /// left; a block that is not full counts only with `include_partial`.
     pub(crate) fn next_unwritten_block(&self, include_partial: bool) -> Option<UnwrittenBlock> {
         let file = &self.file.as_ref()?.file;
         let block = self.memory.first()?;
@@ -90,8 +92,8 @@
         Some(UnwrittenBlock { file: file.clone(), offset: self.file_bytes, block: block.clone() })
     }
 
-    /// Removes the first block from memory once it is in the file. Does nothing if the file was dropped
-    /// meanwhile.
+    /// Removes the first block from memory after it was written to the file. Does nothing if the file was
+    /// dropped during the write.
     pub(crate) fn mark_written(&mut self, checksum: u32) {
         if self.file.is_none() {
             return;
@@ -102,7 +104,8 @@
         }
     }
 
-    /// The block in the file that holds the byte at `offset`, which is before the part in memory.
+    /// The block in the file that holds the byte at `offset`, which must be before the part in memory. `None`
+    /// if the file was released, or never existed.
     pub(crate) fn stored_block(&self, offset: u64) -> Option<StoredBlock> {
         let file = self.file.as_ref()?.file.clone();
         let index = offset / BLOCK_BYTES as u64;
@@ -111,8 +114,8 @@
         Some(StoredBlock { file, offset, length, checksum: self.checksums[index as usize] })
     }
 
-    /// The next bytes in memory from `offset` on, at most a block. They don't extend into what is not stored:
-    /// that may go to one reader only.
+    /// The bytes in memory from `offset` on, at most a block. A piece that begins with stored bytes ends
+    /// where they end, since the bytes after that may go to a single reader only.
     pub(crate) fn next_piece(&self, offset: u64) -> &[u8] {
         let piece = self.memory.block_from(offset);
         match self.not_stored_from {
@@ -121,14 +124,14 @@
         }
     }
 
-    /// Whether the body ended before all of it had arrived.
+    /// Whether the upload has ended before the whole body had arrived.
     fn has_failed(&self) -> bool {
         self.end.is_some_and(|end| !end.is_complete())
     }
 }
 
 impl SharedBody {
-    /// A body of which nothing has arrived, entered in the registry.
+    /// Creates a body of which no byte has arrived, and adds it to the registry.
     pub(crate) fn new(
         resources: &Rc<SharedResources>,
         registry: &BodyRegistry,
@@ -147,14 +150,13 @@
         shared
     }
 
-    /// Makes an id for another reader.
     pub(crate) fn new_reader_id(&self) -> ReaderId {
         let mut state = self.state.borrow_mut();
         state.reader_count += 1;
         ReaderId(state.reader_count)
     }
 
-    /// Wakes the writer and all readers that wait for a change.
+    /// Wakes the writer and all readers that wait for a change of the state.
     pub(crate) fn notify(&self) {
         self.changed.notify(usize::MAX);
     }
@@ -163,7 +165,8 @@
         self.resources.plan()
     }
 
-    /// Releases the memory before `offset`, after the consumer has read it.
+    /// Releases the blocks in memory before `offset`, which the consumer has read, and wakes the writer if it
+    /// waits for room.
     pub(crate) fn release_consumed(&self, state: &mut BodyState, offset: u64) {
         let released = state.memory.remove_before(offset, state.end.is_some());
         if released > 0 {
@@ -172,11 +175,12 @@
         }
     }
 
-    /// Lets a reader consume what is not stored from `offset` on. From here on no other reader can have the
-    /// complete body, so what was stored of it is released.
+    /// Makes `reader` the consumer: the only reader of the bytes that are not stored, of which it is about to
+    /// read the one at `offset`. No other reader can read the complete body after that, so the bytes stored
+    /// before `offset` are released.
     ///
     /// # Errors
-    /// Another reader has consumed it.
+    /// Another reader is the consumer already.
     pub(crate) fn consume(
         &self,
         state: &mut BodyState,
--- a/crates/body-store/src/body_end.rs
+++ b/crates/body-store/src/body_end.rs
@@ -1,4 +1,4 @@
-//! How the upload of a body ended, and why a body can't be read.
+//! How the upload of a body ended, and why reading a body failed.
 
 use crate::decision::{NotStoredReason, StorageTier};
 use std::fmt;
@@ -6,34 +6,39 @@
 /// How the upload of a body ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum BodyEnd {
-    /// Complete, and stored in memory.
+    /// The whole body has arrived and is stored in memory.
     InMemory,
-    /// Complete, and stored in a file.
+    /// The whole body has arrived and is stored in a file.
     InFile,
-    /// Complete, but not all of it is stored: it can be, or was, streamed to one reader.
+    /// The whole body has arrived, but only its first part, if any, is stored. A single reader receives the
+    /// rest.
     Streamed,
-    /// The client closed or broke its connection in mid-body.
+    /// The client closed or reset its connection before the whole body had arrived.
     ClientDisconnected,
-    /// It is longer than the limit, or than its declared length.
+    /// The body is longer than the largest accepted body, or than its declared length.
     TooLarge,
-    /// It arrived too slowly.
+    /// The rest of the body had not arrived by the deadline that the front end enforces.
     TooSlow,
-    /// Rejected: the disk was full, and bodies that can't be stored are rejected.
+    /// Rejected by the settings, since the body could not be stored: the disk was full.
     DiskFull,
-    /// Rejected: the disk failed, and bodies that can't be stored are rejected.
+    /// Rejected by the settings, since the body could not be stored: a disk call returned an error.
     DiskFailed,
-    /// Rejected: the disk was slower than the client, and bodies that can't be stored are rejected.
+    /// Rejected by the settings, since the body could not be stored: a disk call timed out, or writes were
+    /// slower than the minimum rate.
     DiskSlow,
-    /// Rejected: the budgets had no room for it, and bodies that can't be stored are rejected.
+    /// Rejected by the settings, since the body could not be stored: it exceeds a limit, or a budget of bytes
+    /// or file descriptors is used up.
     BudgetExhausted,
-    /// The request was concluded before all of the body had arrived.
+    /// The writer was dropped after a part of the body had arrived. Usually the request was concluded by
+    /// then.
     RequestConcluded,
-    /// The request was concluded, or the client disconnected, before any of the body had arrived.
+    /// The writer was dropped before any byte had arrived: the request was concluded, or the client
+    /// disconnected.
     NeverStarted,
 }
 
 impl BodyEnd {
-    /// All ends, in the order in which their counters are printed.
+    /// All variants, in the order in which their metrics are printed.
     pub const ALL: [BodyEnd; 12] = [
         BodyEnd::InMemory,
         BodyEnd::InFile,
@@ -49,7 +54,7 @@
         BodyEnd::NeverStarted,
     ];
 
-    /// The end of a body that is complete, and stored in this tier.
+    /// The end of an upload of which all bytes have arrived, by the tier of the body.
     pub fn complete(tier: StorageTier) -> BodyEnd {
         match tier {
             StorageTier::Memory => BodyEnd::InMemory,
@@ -58,7 +63,7 @@
         }
     }
 
-    /// The end of a body that is rejected because it can't be stored.
+    /// The end of an upload that is rejected because the body can't be stored.
     pub fn rejected(reason: NotStoredReason) -> BodyEnd {
         match reason {
             NotStoredReason::Budget => BodyEnd::BudgetExhausted,
@@ -68,7 +73,7 @@
         }
     }
 
-    /// Whether all of the body arrived.
+    /// Whether the whole body has arrived.
     pub fn is_complete(self) -> bool {
         match self {
             BodyEnd::InMemory | BodyEnd::InFile | BodyEnd::Streamed => true,
@@ -81,7 +86,7 @@
         }
     }
 
-    /// The name of its counter.
+    /// The name of the metric that counts uploads with this end.
     pub fn metric_name(self) -> &'static str {
         match self {
             BodyEnd::InMemory => "body_in_memory",
@@ -100,16 +105,17 @@
     }
 }
 
-/// Why a body can't be read for an attempt. Each concerns that attempt's copy of the body, not its worker.
+/// Why an attempt can't read its body to the end. The cause lies in the upload or the storage of the body,
+/// never in the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyReadError {
-    /// The body is not complete.
+    /// The upload has ended before the whole body had arrived.
     Ended(BodyEnd),
-    /// A part of it was streamed to another attempt and is not stored.
+    /// The reader of another attempt has received bytes that are not stored.
     Consumed,
-    /// Its file could not be read.
+    /// A block could not be read from the file of the body.
     Failed,
-    /// A block in its file has another checksum than when it was written.
+    /// The checksum of a block in the file differs from the one computed when the block was written.
     Corrupt,
 }
 
--- a/crates/body-store/src/body_file.rs
+++ b/crates/body-store/src/body_file.rs
@@ -1,4 +1,5 @@
-//! The file of a body: blocks with a checksum each, read and written on the pool's threads.
+//! The file of a body: a sequence of blocks, whose checksums are kept in memory. Reads and writes block, and
+//! run on the threads of the pool.
 
 use crate::body_end::BodyReadError;
 use crate::disk::DiskFile;
@@ -8,12 +9,13 @@
 use std::time::{Duration, Instant};
 use tracing::warn;
 
-/// Bounds the wait for a block. The attempt that reads has a deadline of its own, which is shorter.
+/// The timeout for reading a block, including the wait for a thread. Not reached in practice: the attempt
+/// that reads the body ends at its own deadline, which is earlier.
 const READ_TIMEOUT: Duration = Duration::from_secs(3_600);
 
-/// An open file, which is closed on a thread of its own.
+/// The open file of a body. Dropping it closes the file on another thread.
 pub(crate) struct BodyFile {
-    /// `None` only while it is being dropped.
+    /// `None` only while the value is being dropped.
     file: Option<Box<dyn DiskFile>>,
 }
 
@@ -22,36 +24,36 @@
         BodyFile { file: Some(file) }
     }
 
-    fn open_file(&self) -> io::Result<&dyn DiskFile> {
+    fn file(&self) -> io::Result<&dyn DiskFile> {
         self.file.as_deref().ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
-    /// Writes a block, and returns its checksum. Blocks the thread.
+    /// Writes a block, and returns its checksum. Blocks the calling thread.
     pub(crate) fn write_block(&self, block: &[u8], offset: u64) -> io::Result<u32> {
         let checksum = crc32fast::hash(block);
-        self.open_file()?.write_at(block, offset)?;
+        self.file()?.write_at(block, offset)?;
         Ok(checksum)
     }
 
-    /// Reads a block. Blocks the thread.
+    /// Reads `length` bytes at `offset`. Blocks the calling thread.
     fn read_block(&self, offset: u64, length: usize) -> io::Result<Vec<u8>> {
         let mut block = vec![0; length];
-        self.open_file()?.read_at(&mut block, offset)?;
+        self.file()?.read_at(&mut block, offset)?;
         Ok(block)
     }
 }
 
 impl Drop for BodyFile {
     fn drop(&mut self) {
-        // The operating system frees the space of a large file in the call that closes it, which may take a
-        // while.
+        // The file has no name, so the call that closes it also frees its space, which takes long for a large
+        // file. That must not block the executor.
         if let Some(file) = self.file.take() {
             blocking::unblock(move || drop(file)).detach();
         }
     }
 }
 
-/// A block in a file, with the checksum that it had when it was written.
+/// The place of a block in a file, with the checksum computed when the block was written.
 pub(crate) struct StoredBlock {
     pub(crate) file: Arc<BodyFile>,
     pub(crate) offset: u64,
@@ -60,7 +62,7 @@
 }
 
 impl StoredBlock {
-    /// The offset in the body of the first byte after the block.
+    /// The offset of the first byte after the block.
     pub(crate) fn end(&self) -> u64 {
         self.offset + self.length as u64
     }
@@ -68,7 +70,8 @@
     /// Reads the block and verifies its checksum.
     ///
     /// # Errors
-    /// `Corrupt` if the checksum differs, `Failed` if the block can't be read.
+    /// [`BodyReadError::Corrupt`] if the checksum differs, [`BodyReadError::Failed`] if the read fails or
+    /// times out.
     pub(crate) async fn read(&self, resources: &SharedResources) -> Result<Vec<u8>, BodyReadError> {
         let (file, offset, length) = (self.file.clone(), self.offset, self.length);
         let call = move || {
--- a/crates/body-store/src/counters.rs
+++ b/crates/body-store/src/counters.rs
@@ -1,11 +1,11 @@
-//! The counters of the store, with the names under which operators read them.
+//! The metrics of the store and their names.
 
 use crate::body_end::BodyEnd;
 use crate::decision::NotStoredReason;
 use crate::plan::StorageUsage;
 use std::cell::Cell;
 
-/// A counter of one thread.
+/// A counter that is used by a single thread.
 #[derive(Default)]
 pub(crate) struct Counter(Cell<u64>);
 
@@ -19,16 +19,19 @@
     }
 }
 
-/// What the store has counted since its start.
+/// Counts events since the store was created.
 #[derive(Default)]
 pub(crate) struct Counters {
-    /// By the index in [`BodyEnd::ALL`].
+    /// Ended uploads, in the order of [`BodyEnd::ALL`].
     ends: [Counter; BodyEnd::ALL.len()],
-    /// By the index in [`NotStoredReason::ALL`].
+    /// Bodies that were not stored, or not to their end, in the order of [`NotStoredReason::ALL`].
     not_stored: [Counter; NotStoredReason::ALL.len()],
     pub(crate) files_created: Counter,
+    /// Complete bodies that were moved from memory to a file because memory was short.
     pub(crate) bodies_spilled: Counter,
+    /// Blocks whose checksum was wrong when they were read from a file.
     pub(crate) corrupt_blocks: Counter,
+    /// Blocks for which a read from a file returned an error.
     pub(crate) unreadable_blocks: Counter,
 }
 
@@ -43,7 +46,7 @@
         self.not_stored[index.unwrap_or(0)].increment();
     }
 
-    /// All counters with their names, in the order in which they are printed.
+    /// All metrics, as name and value, in the order in which they are printed.
     pub(crate) fn metrics(&self, usage: StorageUsage) -> Vec<(&'static str, u64)> {
         let ends = BodyEnd::ALL.iter().zip(&self.ends);
         let not_stored = NotStoredReason::ALL.iter().zip(&self.not_stored);
--- a/crates/body-store/src/lib.rs
+++ b/crates/body-store/src/lib.rs
@@ -1,24 +1,26 @@
-//! Stores the bodies of requests so that a request can be retried: in memory, then in files, then not at all.
+//! Stores request bodies so that a request can be sent again after a failed attempt. A body is stored in
+//! memory while it fits there, else in a file; one that fits in neither is not stored.
 //!
-//! A [`BodyWriter`] takes a body in as it arrives. Any number of [`RequestBodyReader`]s read it from the first
-//! byte on, also while it is still being uploaded. A body is a sequence of blocks: those at its front may be
-//! in a file, with a checksum each, and the rest is in memory. A body that is stored nowhere is streamed to
-//! one reader.
+//! A [`BodyWriter`] receives a body as it arrives. Any number of [`RequestBodyReader`]s read the body from
+//! its first byte, also while the upload is still in progress. A body is a sequence of blocks of
+//! [`BLOCK_BYTES`]: the first ones may be in a file, with a CRC-32 checksum for each, and the rest is in
+//! memory. Bytes that are not stored are streamed to a single reader.
 //!
-//! | module | concern |
+//! | module | purpose |
 //! | --- | --- |
-//! | `plan` | decides where each body is stored: limits, tiers, what to spill. No I/O, time passed in |
-//! | `budget` | bytes that tenants (class and state office) share. No I/O |
-//! | `disk_health` | whether the disk may be used after failures. No I/O, time passed in |
-//! | `decision` | the plain types of these decisions |
-//! | `store` | all bodies of a node |
-//! | `resources` | what they share: plan, disk, descriptors, thread pool, counters |
+//! | `plan` | decides where each body is stored, and which to spill. No I/O; callers pass the time |
+//! | `budget` | a number of bytes shared by budget groups (pairs of class and tenant). No I/O |
+//! | `disk_health` | disables the disk for a time after failures. No I/O; callers pass the time |
+//! | `decision` | the types in which these decisions are expressed |
+//! | `store` | entry point: all bodies of a node |
+//! | `resources` | what the bodies share: plan, disk, file descriptors, thread pool, counters |
 //! | `body`, `block_buffer`, `body_file` | one body: its state, its blocks in memory, its file |
-//! | `writer`, `reader`, `request_body` | take a body in, read it, and hold it |
-//! | `spiller` | moves bodies from memory to files while memory is short |
-//! | `disk`, `directory` | what is needed of a disk, and the operators' directory |
-//! | `blocking_pool` | runs calls that may block |
-//! | `body_end`, `counters` | how uploads end, and what is counted |
+//! | `writer`, `reader`, `request_body` | the writing end, the reading end, and the handle of the request |
+//! | `spiller` | background task that moves bodies from memory to files while memory is short |
+//! | `disk`, `directory` | the interface of a disk, and its implementation for the configured directory |
+//! | `blocking_pool` | runs blocking calls on threads |
+//! | `body_end`, `counters` | how uploads end, and the metrics |
+//! | `settings` | converts the operators' settings to the limits of the plan |
 //!
 //! ```
 //! use sorrelhaven_body_store::{BodyStore, BodyEnd};
@@ -30,7 +32,7 @@
 //!     writer.push(b"body").await?;
 //!     assert_eq!(writer.finish().await, BodyEnd::InMemory);
 //!     let (mut reader, mut out) = (body.reader(), Vec::new());
-//!     while reader.read_next(&mut out).await.expect("all of it is stored") {}
+//!     while reader.read_next(&mut out).await.expect("the whole body is stored") {}
 //!     assert_eq!(out, b"body");
 //!     Ok::<(), BodyEnd>(())
 //! })?;
--- a/crates/body-store/src/reader.rs
+++ b/crates/body-store/src/reader.rs
@@ -1,27 +1,27 @@
-//! Reads a body from its first byte on, also while it is still being uploaded.
+//! The reading end of a body, which may be used while the upload is still in progress.
 
 use crate::body::{ReaderId, SharedBody};
 use crate::body_end::BodyReadError;
 use crate::body_file::StoredBlock;
 use std::rc::Rc;
 
-/// Reads a body, for one attempt.
+/// Reads a body from its first byte to its end, on behalf of one attempt.
 pub struct RequestBodyReader {
     shared: Rc<SharedBody>,
     id: ReaderId,
-    /// The offset of the next byte to read.
+    /// The offset in the body of the next byte to read.
     offset: u64,
 }
 
-/// What a reader has to do next.
+/// The result of a look at the state of the body.
 enum ReadStep {
-    /// A piece was copied from memory.
+    /// The next piece was copied from memory.
     Copied,
-    /// The next piece has to be read from the file.
+    /// The next piece has to be read from this block of the file.
     ReadFile(StoredBlock),
     /// The next piece has not arrived yet.
     Wait,
-    /// All of the body was read.
+    /// The whole body has been read.
     End,
 }
 
@@ -30,16 +30,16 @@
         RequestBodyReader { shared, id, offset: 0 }
     }
 
-    /// Appends the next piece, at most a block, to `out`, and waits for it if it has not arrived. Returns
-    /// false once all of the body was read.
+    /// Appends the next piece, at most a block, to `out`. Waits if no further byte has arrived. Returns false
+    /// once the whole body has been read.
     ///
     /// # Errors
-    /// The body can't be read to its end; what was read before must not be taken for a complete body.
+    /// The body can't be read to its end. The bytes read so far are not the complete body.
     pub async fn read_next(&mut self, out: &mut Vec<u8>) -> Result<bool, BodyReadError> {
         loop {
-            // Listens before it looks, so that no change in between is missed.
+            // Listening before the check ensures that no notification between the two is missed.
             let changed = self.shared.changed.listen();
-            match self.step(out)? {
+            match self.next_step(out)? {
                 ReadStep::Copied => return Ok(true),
                 ReadStep::End => return Ok(false),
                 ReadStep::Wait => changed.await,
@@ -54,21 +54,22 @@
         }
     }
 
-    /// Whether this reader was given bytes that are not stored.
+    /// Whether this reader has received bytes that are not stored, so that no other reader can read the
+    /// complete body.
     pub fn is_consumer(&self) -> bool {
         self.shared.state.borrow().consumer == Some(self.id)
     }
 
-    fn step(&mut self, out: &mut Vec<u8>) -> Result<ReadStep, BodyReadError> {
+    fn next_step(&mut self, out: &mut Vec<u8>) -> Result<ReadStep, BodyReadError> {
         let state = &mut *self.shared.state.borrow_mut();
         if let Some(end) = state.end.filter(|end| !end.is_complete()) {
             return Err(BodyReadError::Ended(end));
         }
         if state.consumer == Some(self.id) {
-            // A reader that asks for more has used all that it was given before.
+            // By asking for the next piece, the caller shows that it has processed the pieces before.
             self.shared.release_consumed(state, self.offset);
         }
-        if self.offset == state.received {
+        if self.offset == state.received_bytes {
             return Ok(if state.end.is_some() { ReadStep::End } else { ReadStep::Wait });
         }
         if state.not_stored_from.is_some_and(|from| self.offset >= from) {
--- a/crates/body-store/src/request_body.rs
+++ b/crates/body-store/src/request_body.rs
@@ -1,4 +1,4 @@
-//! A body as its request holds it.
+//! The request's handle of its body.
 
 use crate::body::SharedBody;
 use crate::body_end::BodyEnd;
@@ -6,8 +6,8 @@
 use crate::reader::RequestBodyReader;
 use std::rc::Rc;
 
-/// A body as a request holds it. Its storage is released when the request, the writer and all readers have
-/// dropped it.
+/// A handle of a body, held by its request. The storage of the body is released when the last of the handles,
+/// the writer and the readers is dropped.
 #[derive(Clone)]
 pub struct RequestBody(Rc<SharedBody>);
 
@@ -16,33 +16,33 @@
         RequestBody(shared)
     }
 
-    /// Its length, if that is known yet.
+    /// The length of the body in bytes; `None` unless the client has declared it or the upload is complete.
     pub fn length(&self) -> Option<u64> {
         if self.0.declared_length.is_some() {
             return self.0.declared_length;
         }
         let state = self.0.state.borrow();
         let is_complete = state.end.is_some_and(BodyEnd::is_complete);
-        is_complete.then_some(state.received)
+        is_complete.then_some(state.received_bytes)
     }
 
-    /// Where it is stored.
+    /// Where the body is stored. May change until the body is released.
     pub fn tier(&self) -> StorageTier {
         self.0.state.borrow().tier
     }
 
-    /// How its upload ended; `None` while it lasts.
+    /// How the upload ended; `None` while it is in progress.
     pub fn end(&self) -> Option<BodyEnd> {
         self.0.state.borrow().end
     }
 
-    /// Whether bytes that are not stored were given to a reader: then no other attempt can have the complete
-    /// body.
+    /// Whether a reader has received bytes that are not stored. No other reader, and so no other attempt, can
+    /// then read the complete body.
     pub fn is_consumed(&self) -> bool {
         self.0.state.borrow().consumer.is_some()
     }
 
-    /// A reader that begins at the first byte.
+    /// A new reader, positioned at the first byte of the body.
     pub fn reader(&self) -> RequestBodyReader {
         RequestBodyReader::new(self.0.clone(), self.0.new_reader_id())
     }
--- a/crates/body-store/src/resources.rs
+++ b/crates/body-store/src/resources.rs
@@ -1,4 +1,5 @@
-//! What all bodies of a node share: the plan, the disk, the descriptors, the thread pool, and the counters.
+//! What all bodies of a node share: the plan, the disk, the file descriptors, the thread pool and the
+//! counters.
 
 use crate::blocking_pool::BlockingPool;
 use crate::counters::Counters;
@@ -14,16 +15,18 @@
 use std::time::Instant;
 use tracing::warn;
 
-/// A descriptor's share of the node's budget, which is returned when it is dropped.
+/// Permission to keep one file descriptor open. Dropping it returns the descriptor to the node's budget.
 pub type FilePermit = Box<dyn Any>;
 
-/// Shared by the store, its writers and its readers.
+/// Shared by the store, its bodies, its writers and its readers.
 pub(crate) struct SharedResources {
     plan: RefCell<StoragePlan>,
     disk: RefCell<Option<Arc<dyn Disk>>>,
+    /// Whether bodies that can't be stored are rejected, instead of being streamed to a single reader.
     rejects_unstorable: Cell<bool>,
     acquire_permit: Box<dyn Fn() -> Option<FilePermit>>,
     pub(crate) pool: BlockingPool,
+    /// The start of the plan's time.
     started_at: Instant,
     /// Notified when there may be a body to spill.
     pub(crate) memory_pressure: Event,
@@ -33,13 +36,13 @@
 impl SharedResources {
     pub(crate) fn new(
         settings: &BodySettings,
-        tenants: usize,
+        budget_groups: usize,
         disk: Option<Arc<dyn Disk>>,
         acquire_permit: impl Fn() -> Option<FilePermit> + 'static,
     ) -> SharedResources {
         let limits = settings::limits(settings, disk.is_some());
         SharedResources {
-            plan: RefCell::new(StoragePlan::new(limits, tenants)),
+            plan: RefCell::new(StoragePlan::new(limits, budget_groups)),
             disk: RefCell::new(disk),
             rejects_unstorable: Cell::new(settings.not_stored == NotStoredPolicy::Reject),
             acquire_permit: Box::new(acquire_permit),
@@ -50,7 +53,7 @@
         }
     }
 
-    /// Changes the settings, and wakes the spiller, since a limit may be lower now.
+    /// Applies changed settings, and wakes the spiller, since memory may be short under a lower limit.
     pub(crate) fn configure(&self, settings: &BodySettings, disk: Option<Arc<dyn Disk>>) {
         self.plan().configure(settings::limits(settings, disk.is_some()));
         *self.disk.borrow_mut() = disk;
@@ -74,12 +77,12 @@
         (self.acquire_permit)()
     }
 
-    /// Whether the operators want bodies that can't be stored to be rejected rather than streamed once.
     pub(crate) fn rejects_unstorable(&self) -> bool {
         self.rejects_unstorable.get()
     }
 
-    /// Records that the disk has failed a body, and logs the first failure since the disk last worked.
+    /// Records that a disk call for a body has failed or timed out. Logs only the first failure since the
+    /// last successful write, as each body in progress may report one.
     pub(crate) fn record_disk_failure(&self, id: BodyId, reason: NotStoredReason, error: &str) {
         let failure = self.plan().record_disk_failure(self.now(), id, reason);
         if failure.is_first {
--- a/crates/body-store/src/spiller.rs
+++ b/crates/body-store/src/spiller.rs
@@ -1,4 +1,4 @@
-//! Moves complete bodies from memory to files while memory is short.
+//! A background task that moves complete bodies from memory to files while memory is short.
 
 use crate::decision::StorageTier;
 use crate::plan::BodyId;
@@ -10,18 +10,18 @@
     /// Moves complete bodies from memory to files whenever memory is short. Never returns.
     pub async fn run_spiller(self: Rc<Self>) {
         loop {
-            // Listens before it looks, so that no change in between is missed.
+            // Listening before the check ensures that no notification between the two is missed.
             let pressure = self.resources.memory_pressure.listen();
             let now = self.resources.now();
             let next = self.resources.plan().begin_spill(now);
             match next {
-                Some(id) => self.spill_to_disk(id).await,
+                Some(id) => self.spill_to_file(id).await,
                 None => pressure.await,
             }
         }
     }
 
-    async fn spill_to_disk(&self, id: BodyId) {
+    async fn spill_to_file(&self, id: BodyId) {
         let Some(shared) = self.bodies.find(id) else { return };
         let mut writer = BodyWriter::new(shared);
         let written = writer.write_to_file(true).await;
--- a/crates/body-store/src/store.rs
+++ b/crates/body-store/src/store.rs
@@ -1,4 +1,4 @@
-//! All bodies of one node.
+//! The entry point of the crate: the store of all bodies of one node.
 
 use crate::body::{BodyRegistry, SharedBody};
 use crate::body_end::BodyEnd;
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// All bodies of one node.
+/// Stores the request bodies of one node within the configured limits. Single-threaded.
 pub struct BodyStore {
     pub(crate) resources: Rc<SharedResources>,
     pub(crate) bodies: BodyRegistry,
@@ -21,62 +21,64 @@
 }
 
 impl BodyStore {
-    /// A store for the bodies of `tenants` tenants (class and state office). `disk` is the directory of the
-    /// settings, if there is one, and `acquire_permit` returns a descriptor of the node's budget for each
-    /// file.
+    /// Creates an empty store. `budget_groups` is the number of pairs of class and tenant, each of which is
+    /// guaranteed an equal part of the budgets. `disk` is the configured directory, if there is one.
+    /// `acquire_permit` is called before a file is created; `None` means that the node's budget of file
+    /// descriptors is used up, and the body is then not stored.
     pub fn new(
         settings: &BodySettings,
-        tenants: usize,
+        budget_groups: usize,
         disk: Option<Arc<dyn Disk>>,
         acquire_permit: impl Fn() -> Option<FilePermit> + 'static,
     ) -> Rc<BodyStore> {
         Rc::new(BodyStore {
-            resources: Rc::new(SharedResources::new(settings, tenants, disk, acquire_permit)),
+            resources: Rc::new(SharedResources::new(settings, budget_groups, disk, acquire_permit)),
             bodies: BodyRegistry::default(),
             min_upload_bytes_per_second: Cell::new(settings.slowest_bytes_per_s),
         })
     }
 
-    /// Changes the settings. Bodies that are stored stay so, and those in memory beyond a lower limit are
-    /// spilled to files if there is a disk.
+    /// Applies changed settings. Stored bodies stay stored; where memory is short under a lowered limit,
+    /// complete bodies are spilled to files if there is a disk.
     pub fn configure(&self, settings: &BodySettings, disk: Option<Arc<dyn Disk>>) {
         self.min_upload_bytes_per_second.set(settings.slowest_bytes_per_s);
         self.resources.configure(settings, disk);
     }
 
-    /// The time by which the next byte of a body has to arrive so that its upload is fast enough: its first
-    /// byte arrived at `first_byte_at`, and `received` bytes since. `grace` is allowed in any case.
-    pub fn upload_deadline(&self, first_byte_at: Instant, grace: Duration, received: u64) -> Instant {
+    /// The time by which the next byte of a body must arrive: `first_byte_at`, plus `grace`, plus the time that
+    /// the received bytes take at the configured minimum upload rate.
+    pub fn upload_deadline(&self, first_byte_at: Instant, grace: Duration, received_bytes: u64) -> Instant {
         let bytes_per_second = self.min_upload_bytes_per_second.get().max(1);
-        first_byte_at + grace + Duration::from_secs_f64(received as f64 / bytes_per_second as f64)
+        first_byte_at + grace + Duration::from_secs_f64(received_bytes as f64 / bytes_per_second as f64)
     }
 
-    /// The bytes that all bodies hold.
+    /// The bytes that all bodies together hold in memory and in files.
     pub fn usage(&self) -> StorageUsage {
         self.resources.plan().usage()
     }
 
-    /// Begins to take in a body of `tenant`, whose length is known if the client declared it.
+    /// Begins the upload of a body that counts against the budgets of `budget_group`. `declared_length` is
+    /// the length in bytes that the client has declared, if any.
     ///
     /// # Errors
-    /// How the body has ended, and the body: it is too long, or it can't be stored and such bodies are
-    /// rejected.
+    /// The declared length exceeds the limit, or a body of that length can't be stored and the settings
+    /// reject such bodies. The upload has then ended as the returned [`BodyEnd`] says.
     pub fn begin_upload(
         &self,
-        tenant: usize,
+        budget_group: usize,
         declared_length: Option<u64>,
     ) -> Result<BodyWriter, (BodyEnd, RequestBody)> {
         let now = self.resources.now();
-        let registered = self.resources.plan().register(now, tenant, declared_length);
+        let registered = self.resources.plan().register(now, budget_group, declared_length);
         let shared = SharedBody::new(&self.resources, &self.bodies, registered.id, declared_length);
         let writer = BodyWriter::new(shared);
-        match writer.start(registered.decision) {
+        match writer.apply_initial_decision(registered.decision) {
             Ok(()) => Ok(writer),
             Err(end) => Err((end, writer.body())),
         }
     }
 
-    /// All counters with their names, in the order in which they are printed.
+    /// All metrics, as name and value, in the order in which they are printed.
     pub fn metrics(&self) -> Vec<(&'static str, u64)> {
         self.resources.counters.metrics(self.usage())
     }
--- a/crates/body-store/src/writer.rs
+++ b/crates/body-store/src/writer.rs
@@ -1,4 +1,4 @@
-//! Takes in a body as it arrives, and stores it where the plan decides.
+//! The writing end of a body: receives the body as it arrives, and stores it where the plan decides.
 
 use crate::block_buffer::BLOCK_BYTES;
 use crate::body::{OpenFile, SharedBody};
@@ -13,20 +13,22 @@
 use std::time::{Duration, Instant};
 use tracing::info;
 
-/// The most of a body that is not stored that may have arrived and not been read.
+/// Once this many bytes that are not stored are unread, the writer waits for the reader. Bounds the memory of
+/// such bodies, which no budget limits.
 const MAX_UNREAD_BYTES: u64 = BLOCK_BYTES as u64;
-/// A single disk call that takes longer than this disables the disk.
+/// A disk call that has not returned after this time, including its wait for a thread, disables the disk.
 const DISK_CALL_TIMEOUT: Duration = Duration::from_millis(250);
-/// The disk calls for one body may take this long altogether, plus the time at [`MIN_DISK_BYTES_PER_SECOND`].
+/// The writes for one body may take this long in total, plus the time that the written bytes take at
+/// [`MIN_DISK_BYTES_PER_SECOND`]. Beyond that, the disk is disabled.
 const DISK_TIME_ALLOWANCE: Duration = Duration::from_millis(200);
-/// The slowest disk that is still used.
+/// The slowest write rate at which the disk stays in use, after the [`DISK_TIME_ALLOWANCE`].
 const MIN_DISK_BYTES_PER_SECOND: f64 = 16.0 * 1024.0 * 1024.0;
 
-/// Takes in a body. If it is dropped before the body's end, the request was concluded before the body had
-/// arrived.
+/// Receives one body. Dropping it before the upload has ended counts as [`BodyEnd::RequestConcluded`], or as
+/// [`BodyEnd::NeverStarted`] if no byte has arrived.
 pub struct BodyWriter {
     shared: Rc<SharedBody>,
-    /// How long the disk writes for this body have taken.
+    /// The total duration of the disk writes for this body.
     disk_time: Duration,
 }
 
@@ -35,21 +37,21 @@
         BodyWriter { shared, disk_time: Duration::ZERO }
     }
 
-    /// The body as its request holds it.
+    /// A handle of the body for its request.
     pub fn body(&self) -> RequestBody {
         RequestBody::new(self.shared.clone())
     }
 
-    /// The bytes that have arrived.
+    /// The number of bytes that have arrived.
     pub fn received_bytes(&self) -> u64 {
-        self.shared.state.borrow().received
+        self.shared.state.borrow().received_bytes
     }
 
-    /// Carries out the plan's decision about the first piece, before that arrives.
+    /// Carries out the plan's decision about the first piece, before any byte has arrived.
     ///
     /// # Errors
-    /// How the body has ended, if it is rejected.
-    pub(crate) fn start(&self, decision: StorageDecision) -> Result<(), BodyEnd> {
+    /// How the upload has ended, if the body is rejected.
+    pub(crate) fn apply_initial_decision(&self, decision: StorageDecision) -> Result<(), BodyEnd> {
         match decision {
             StorageDecision::Store(tier) => {
                 self.shared.state.borrow_mut().tier = tier;
@@ -60,11 +62,12 @@
         }
     }
 
-    /// Takes in the next piece. Waits while a file is written, or until the reader of a body that is not
-    /// stored has caught up.
+    /// Appends the next piece. Waits while blocks are written to the file. If the body is not stored, waits
+    /// until less than a block of unstored bytes is unread.
     ///
     /// # Errors
-    /// How the body has ended, if it can't be taken in.
+    /// How the upload has ended: the body is too long, or it can't be stored and the settings reject such
+    /// bodies.
     pub async fn push(&mut self, bytes: &[u8]) -> Result<(), BodyEnd> {
         let now = self.shared.resources.now();
         let decision = self.shared.plan().reserve(now, self.shared.id, bytes.len() as u64);
@@ -81,10 +84,11 @@
         Ok(())
     }
 
-    /// Ends a body of which all has arrived.
+    /// Ends the upload after the whole body has arrived. If the body is stored in a file, first writes the
+    /// remaining blocks to it.
     pub async fn finish(mut self) -> BodyEnd {
         if self.tier() == StorageTier::File {
-            // What the disk does not take is still in memory, so the body is complete all the same.
+            // After a failed write the remaining blocks are still in memory, so the body is complete even so.
             let _ = self.flush(true).await;
         }
         let is_stored = self.shared.state.borrow().not_stored_from.is_none();
@@ -94,21 +98,22 @@
         self.end(BodyEnd::complete(tier))
     }
 
-    /// Ends the body for this reason, unless it has ended before, and returns the reason.
+    /// Ends the upload as `end` says, unless it has already ended. Returns `end` in both cases.
     pub fn end(&self, end: BodyEnd) -> BodyEnd {
         if self.shared.state.borrow().end.is_none() {
             self.shared.state.borrow_mut().end = Some(end);
             self.shared.resources.counters.record_end(end);
             if !end.is_complete() {
-                self.release_all();
+                self.release_storage();
             }
         }
         self.shared.notify();
         end
     }
 
-    /// Releases the storage of a body that no one can read any more, though others may still hold it.
-    fn release_all(&self) {
+    /// Releases the memory and the file of a body whose upload has failed. It can't be read any more, but the
+    /// request and the readers may hold it for longer.
+    fn release_storage(&self) {
         let mut state = self.shared.state.borrow_mut();
         state.memory.clear();
         state.file = None;
@@ -138,22 +143,23 @@
         }
         match self.write_to_file(false).await {
             Ok(()) => Ok(()),
-            // What the disk did not take is still in memory: only what arrives next is not stored.
+            // The bytes that were not written are still in memory: only those that arrive next are not
+            // stored.
             Err(reason) => self.stop_storing(reason),
         }
     }
 
-    /// Stores nothing more from here on.
+    /// Stores no byte that arrives from now on.
     ///
     /// # Errors
-    /// How the body has ended, if bodies that can't be stored are rejected.
+    /// How the upload has ended, if the settings reject bodies that can't be stored.
     fn stop_storing(&self, reason: NotStoredReason) -> Result<(), BodyEnd> {
         {
             let state = &mut *self.shared.state.borrow_mut();
             if state.not_stored_from.is_some() {
                 return Ok(());
             }
-            state.not_stored_from = Some(state.received);
+            state.not_stored_from = Some(state.received_bytes);
             state.tier = StorageTier::NotStored;
         }
         let resources = &self.shared.resources;
@@ -162,7 +168,7 @@
         if resources.rejects_unstorable() { Err(self.end(BodyEnd::rejected(reason))) } else { Ok(()) }
     }
 
-    /// Waits until the reader has read enough of a body that is not stored.
+    /// Waits until less than [`MAX_UNREAD_BYTES`] unstored bytes are unread.
     async fn wait_for_reader(&self) {
         loop {
             let changed = self.shared.changed.listen();
@@ -173,21 +179,21 @@
         }
     }
 
-    /// The bytes in memory that count in no budget.
+    /// The number of bytes in memory that no budget accounts for.
     fn unread_bytes(&self) -> u64 {
         let state = self.shared.state.borrow();
         match state.consumer {
-            // What was stored counts in the budgets.
-            None => state.received - state.not_stored_from.unwrap_or(0),
-            Some(_) => state.received - state.memory.start(),
+            // The bytes before that offset are stored, and accounted for.
+            None => state.received_bytes - state.not_stored_from.unwrap_or(0),
+            Some(_) => state.received_bytes - state.memory.start(),
         }
     }
 
-    /// Writes the full blocks in memory to the file, with `include_partial` all blocks. Creates the file if
-    /// there is none.
+    /// Writes the full blocks in memory to the file, with `include_partial` all blocks. Creates the file
+    /// first if there is none.
     ///
     /// # Errors
-    /// Why the disk can't take them.
+    /// Why the blocks can't be written. Those that were not written stay in memory.
     pub(crate) async fn write_to_file(&mut self, include_partial: bool) -> Result<(), NotStoredReason> {
         let has_file = self.shared.state.borrow().file.is_some();
         if !has_file {
@@ -245,8 +251,11 @@
         }
     }
 
+    /// Compares the time that the writes for this body have taken with the time allowed for the written
+    /// bytes.
+    ///
     /// # Errors
-    /// The disk has been too slow for the bytes that it has taken of this body.
+    /// The writes have taken too long.
     fn check_disk_speed(&self) -> Result<(), NotStoredReason> {
         let written = self.shared.state.borrow().file_bytes;
         let expected_time = Duration::from_secs_f64(written as f64 / MIN_DISK_BYTES_PER_SECOND);
@@ -265,7 +274,11 @@
 
     fn record_slow_disk(&self) -> NotStoredReason {
         let reason = NotStoredReason::DiskSlow;
-        self.shared.resources.record_disk_failure(self.shared.id, reason, "slower than the client");
+        self.shared.resources.record_disk_failure(
+            self.shared.id,
+            reason,
+            "disk call timed out, or writes too slow",
+        );
         reason
     }
 }
