--- a/crates/body-store/tests/compatibility.rs
+++ b/crates/body-store/tests/compatibility.rs
@@ -1,5 +1,5 @@
-//! Files that the previous version wrote can be read by this one, and are written the same: the contents of a
-//! body's file, byte for byte, and the names that a crash leaves in the directory.
+//! Compatibility with an earlier release: the content of a body's file is the same byte for byte, and the
+//! file names that a crash of that release has left in the directory are recognised.
 
 use futures_lite::future::block_on;
 use sorrelhaven_body_store::{BodyEnd, BodyReadError, BodyStore, Directory, Disk, DiskFile, RequestBody};
@@ -10,29 +10,33 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// A body as a client sent it.
+/// A body as sent by a client.
 const BODY: &[u8] =
     b"{\"order\":4711,\"lines\":[{\"article\":\"kettle\",\"count\":2},{\"article\":\"cup\",\"count\":6}],\
     \"note\":\"\xc3\xa4\\u0000\"}\x00\xff\r\n";
-/// The file of [`BODY`] as the version of commit fe51e40 left it in its directory.
+/// The content of the file that the release of commit fe51e40 wrote for [`BODY`], in hexadecimal digits.
 const RECORDED_FILE: &str = "7b226f72646572223a343731312c226c696e6573223a5b7b2261727469636c65223a226b6574746c65222c\
     22636f756e74223a327d2c7b2261727469636c65223a22637570222c22636f756e74223a367d5d2c226e6f7465223a22c3a45c7530303030\
     227d00ff0d0a";
-/// Length and CRC-32 of the file of [`two_block_body`], of the same version.
+/// The length and CRC-32 of the file that the same release wrote for [`two_block_body`].
 const RECORDED_TWO_BLOCK_FILE: (usize, u32) = (100_000, 0x72af_c085);
-/// A name that a crash of the same version left, of a node named "node-a".
+/// A file name that a crash of the same release left, for a node named "node-a".
 const RECORDED_NAME: &str = "sorrelhaven-body.node%2da.29342.1.part";
 
 fn recorded_file() -> Vec<u8> {
-    let digits = RECORDED_FILE.as_bytes().chunks(2).map(|pair| std::str::from_utf8(pair).expect("text"));
-    digits.map(|pair| u8::from_str_radix(pair, 16).expect("a hexadecimal number")).collect()
+    let digits = RECORDED_FILE
+        .as_bytes()
+        .chunks(2)
+        .map(|pair| std::str::from_utf8(pair).expect("the digits are ASCII"));
+    digits.map(|pair| u8::from_str_radix(pair, 16).expect("the digits are hexadecimal")).collect()
 }
 
 fn two_block_body() -> Vec<u8> {
     (0..100_000_usize).map(|index| (index * 7 + index / 251) as u8).collect()
 }
 
-/// A disk whose files return `recorded`, whatever was written to them, and which keeps what was written.
+/// A disk whose file returns `recorded` when it is read, whatever was written to it. Written bytes are kept
+/// in `written`, and reads are counted.
 #[derive(Clone)]
 struct RecordedDisk {
     recorded: Arc<Vec<u8>>,
@@ -58,8 +62,12 @@
 
 impl DiskFile for RecordedDisk {
     fn write_at(&self, bytes: &[u8], offset: u64) -> io::Result<()> {
-        let mut written = self.written.lock().expect("no writer has panicked");
-        assert_eq!(written.len() as u64, offset, "a file is written from its front to its end");
+        let mut written = self.written.lock().expect("no thread has panicked with the lock held");
+        assert_eq!(
+            written.len() as u64,
+            offset,
+            "the file is written without gaps, from its start to its end"
+        );
         written.extend_from_slice(bytes);
         Ok(())
     }
@@ -86,10 +94,11 @@
 }
 
 async fn write_to_file(store: &Rc<BodyStore>, bytes: &[u8]) -> RequestBody {
-    let mut writer = store.begin_upload(0, Some(bytes.len() as u64)).ok().expect("a body within the bounds");
+    let mut writer =
+        store.begin_upload(0, Some(bytes.len() as u64)).ok().expect("the body is within the limits");
     let body = writer.body();
     for piece in bytes.chunks(30_000) {
-        writer.push(piece).await.expect("room in the file");
+        writer.push(piece).await.expect("the file has room");
     }
     assert_eq!(writer.finish().await, BodyEnd::InFile);
     body
@@ -97,7 +106,7 @@
 
 async fn read_all(body: &RequestBody) -> Vec<u8> {
     let (mut reader, mut bytes) = (body.reader(), Vec::new());
-    while reader.read_next(&mut bytes).await.expect("a file that passes its checksums") {}
+    while reader.read_next(&mut bytes).await.expect("the blocks have the right checksums") {}
     bytes
 }
 
@@ -108,7 +117,7 @@
     block_on(async {
         let body = write_to_file(&store, BODY).await;
         assert_eq!(read_all(&body).await, BODY);
-        assert_eq!(disk.reads.load(Ordering::Relaxed), 1, "the body is read from its file");
+        assert_eq!(disk.reads.load(Ordering::Relaxed), 1, "the body is read from its file, in one block");
     });
 }
 
@@ -128,7 +137,7 @@
     let disk = RecordedDisk::new(recorded_file());
     let store = store(&disk);
     let _body = block_on(write_to_file(&store, BODY));
-    assert_eq!(*disk.written.lock().expect("no writer has panicked"), recorded_file());
+    assert_eq!(*disk.written.lock().expect("no thread has panicked with the lock held"), recorded_file());
 }
 
 #[test]
@@ -137,17 +146,17 @@
     let store = store(&disk);
     block_on(async {
         let body = write_to_file(&store, &two_block_body()).await;
-        let written = disk.written.lock().expect("no writer has panicked").clone();
+        let written = disk.written.lock().expect("no thread has panicked with the lock held").clone();
         assert_eq!((written.len(), crc32fast::hash(&written)), RECORDED_TWO_BLOCK_FILE);
         assert_eq!(read_all(&body).await, written);
     });
 }
 
 #[test]
-fn a_name_that_the_previous_version_left_is_swept() {
+fn a_file_that_the_previous_version_left_is_deleted() {
     let scratch = ScratchDir::new("compatibility");
-    std::fs::write(scratch.path(RECORDED_NAME), recorded_file()).expect("a file");
-    let directory = Directory::open(scratch.root(), "node-a").expect("a usable directory");
-    assert_eq!(directory.delete_leftover_files().expect("a listing"), 1);
+    std::fs::write(scratch.path(RECORDED_NAME), recorded_file()).expect("the file can be written");
+    let directory = Directory::open(scratch.root(), "node-a").expect("the directory is usable");
+    assert_eq!(directory.delete_leftover_files().expect("the directory can be listed"), 1);
     assert!(scratch.file_names(".").is_empty());
 }
--- a/crates/body-store/tests/plan.rs
+++ b/crates/body-store/tests/plan.rs
@@ -1,4 +1,5 @@
-//! The plan alone: random bodies of several tenants, checked against its limits and guarantees.
+//! The storage plan and its budgets, without I/O: random sequences of operations on bodies of several budget
+//! groups are checked against the limits and the guarantees.
 
 use proptest::prelude::*;
 use sorrelhaven_body_store::{
@@ -20,12 +21,13 @@
     }
 }
 
+/// The time at which each test begins.
 const NOW: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Debug)]
 enum Operation {
-    Register { tenant: usize, declared_length: Option<u64> },
-    Grow { index: usize, more: u64 },
+    Register { budget_group: usize, declared_length: Option<u64> },
+    Grow { index: usize, additional: u64 },
     Complete(usize),
     Remove(usize),
     BeginSpill,
@@ -37,10 +39,10 @@
 fn operation() -> impl Strategy<Value = Operation> {
     let declared_length = prop_oneof![Just(None), (0..1_100 * KIB).prop_map(Some)];
     let register = (0usize..6, declared_length)
-        .prop_map(|(tenant, declared_length)| Operation::Register { tenant, declared_length });
+        .prop_map(|(budget_group, declared_length)| Operation::Register { budget_group, declared_length });
     prop_oneof![
         4 => register,
-        8 => (0usize..64, 1..48 * KIB).prop_map(|(index, more)| Operation::Grow { index, more }),
+        8 => (0usize..64, 1..48 * KIB).prop_map(|(index, additional)| Operation::Grow { index, additional }),
         2 => (0usize..64).prop_map(Operation::Complete),
         2 => (0usize..64).prop_map(Operation::Remove),
         1 => Just(Operation::BeginSpill),
@@ -50,20 +52,20 @@
     ]
 }
 
-/// A body as the model expects it.
+/// The expected state of a body.
 struct ModelBody {
     id: BodyId,
     tier: StorageTier,
     length: u64,
 }
 
-/// A plan, and what is expected of it.
+/// A plan, and its expected state.
 struct Model {
     plan: StoragePlan,
     has_files: bool,
     bodies: Vec<ModelBody>,
     spilling: Option<BodyId>,
-    /// No usage may exceed this.
+    /// The upper limit of the usage. Decreases with the usage after a limit was lowered.
     max_usage: StorageUsage,
 }
 
@@ -80,12 +82,14 @@
 
     fn apply(&mut self, now: Timestamp, operation: Operation) -> Result<(), TestCaseError> {
         match operation {
-            Operation::Register { tenant, declared_length } => self.register(now, tenant, declared_length)?,
+            Operation::Register { budget_group, declared_length } => {
+                self.register(now, budget_group, declared_length)?
+            }
             Operation::BeginSpill => self.begin_spill(now)?,
             Operation::FinishSpill => self.finish_spill(),
             Operation::LowerLimits => self.lower_limits(),
             _ if self.bodies.is_empty() => {}
-            Operation::Grow { index, more } => self.grow(now, index, more)?,
+            Operation::Grow { index, additional } => self.grow(now, index, additional)?,
             Operation::Complete(index) => {
                 let index = index % self.bodies.len();
                 self.plan.mark_complete(self.bodies[index].id);
@@ -99,29 +103,29 @@
     fn register(
         &mut self,
         now: Timestamp,
-        tenant: usize,
+        budget_group: usize,
         declared_length: Option<u64>,
     ) -> Result<(), TestCaseError> {
-        let RegisteredBody { id, decision } = self.plan.register(now, tenant, declared_length);
+        let RegisteredBody { id, decision } = self.plan.register(now, budget_group, declared_length);
         let too_long = declared_length.is_some_and(|length| length > 1_024 * KIB);
         prop_assert_eq!(decision == StorageDecision::TooLarge, too_long);
         self.bodies.push(ModelBody { id, tier: StorageTier::Memory, length: 0 });
         Ok(())
     }
 
-    fn grow(&mut self, now: Timestamp, index: usize, more: u64) -> Result<(), TestCaseError> {
+    fn grow(&mut self, now: Timestamp, index: usize, additional: u64) -> Result<(), TestCaseError> {
         let index = index % self.bodies.len();
         let body = &mut self.bodies[index];
-        let next = match self.plan.reserve(now, body.id, more) {
+        let next = match self.plan.reserve(now, body.id, additional) {
             StorageDecision::TooLarge => {
-                prop_assert!(body.length + more > 1_024 * KIB);
+                prop_assert!(body.length + additional > 1_024 * KIB);
                 return Ok(());
             }
             StorageDecision::Store(next) => next,
             StorageDecision::NotStored(_) => StorageTier::NotStored,
         };
-        body.length += more;
-        prop_assert!(rank(next) >= rank(body.tier), "{:?} after {:?}", next, body.tier);
+        body.length += additional;
+        prop_assert!(rank(next) >= rank(body.tier), "a body moved from {:?} back to {:?}", body.tier, next);
         prop_assert!(next != StorageTier::Memory || body.length <= 64 * KIB);
         prop_assert!(next != StorageTier::File || self.has_files && body.length <= 512 * KIB);
         body.tier = next;
@@ -136,12 +140,15 @@
 
     fn begin_spill(&mut self, now: Timestamp) -> Result<(), TestCaseError> {
         let next = self.plan.begin_spill(now);
-        prop_assert!(next.is_none() || self.spilling.is_none(), "one spill at a time");
+        prop_assert!(next.is_none() || self.spilling.is_none(), "only one body is spilled at a time");
         self.spilling = next.or(self.spilling);
         if let Some(id) = next {
-            let body = self.bodies.iter_mut().find(|body| body.id == id).expect("a registered body");
+            let body = self.bodies.iter_mut().find(|body| body.id == id).expect("the body is registered");
             let is_large = body.length > SMALL_BODY_BYTES;
-            prop_assert!(body.tier == StorageTier::Memory && is_large, "small bodies stay");
+            prop_assert!(
+                body.tier == StorageTier::Memory && is_large,
+                "only a body in memory that is not small is spilled"
+            );
             body.tier = StorageTier::File;
         }
         Ok(())
@@ -159,7 +166,7 @@
         let body = &mut self.bodies[index];
         if body.tier == StorageTier::File {
             self.plan.record_disk_failure(now, body.id, NotStoredReason::DiskFull);
-            body.tier = self.plan.tier(body.id).expect("a registered body");
+            body.tier = self.plan.tier(body.id).expect("the body is registered");
             self.spilling = self.spilling.filter(|id| *id != body.id);
         }
     }
@@ -170,11 +177,11 @@
         self.max_usage.memory_bytes = self.max_usage.memory_bytes.min(memory_bytes.max(256 * KIB));
     }
 
-    /// Memory above a lowered limit may stay in use, but not grow again.
+    /// Checks the usage. Memory beyond a lowered limit may stay in use, but the usage must not grow again.
     fn check_usage(&mut self) -> Result<(), TestCaseError> {
         let (usage, max) = (self.plan.usage(), &mut self.max_usage);
         let is_within = usage.memory_bytes <= max.memory_bytes && usage.file_bytes <= max.file_bytes;
-        prop_assert!(is_within, "{:?} of {:?}", usage, max);
+        prop_assert!(is_within, "usage {:?} exceeds {:?}", usage, max);
         let limit = self.plan.limits().max_memory_bytes;
         max.memory_bytes = max.memory_bytes.min(usage.memory_bytes.max(limit));
         Ok(())
@@ -187,8 +194,9 @@
     }
 }
 
-/// Whatever the order of events, usage exceeds no limit except by what was held before the limit was lowered,
-/// a body only moves up the tiers, and all is released in the end.
+/// After any sequence of operations, the usage exceeds a limit only by bytes reserved before the limit was
+/// lowered, no body has moved from a file back to memory or been stored again, and removing all bodies
+/// releases all bytes.
 #[test]
 fn usage_stays_within_limits_and_tiers_only_go_up() {
     check_cases(
@@ -217,57 +225,59 @@
     }
 }
 
-/// No tenant starves another: whatever the others hold, a tenant gets its guaranteed share.
+/// A budget group can reserve what it is guaranteed, whatever the others have reserved.
 #[test]
-fn a_tenant_always_gets_its_share() {
+fn a_budget_group_always_gets_its_guarantee() {
     let reservations = prop::collection::vec((0usize..8, 1..100_000u64, any::<bool>()), 0..300);
-    check_cases(400, (reservations, 0usize..8), |(reservations, own_tenant)| {
+    check_cases(400, (reservations, 0usize..8), |(reservations, own_group)| {
         let mut budget = Budget::new(1 << 20, 8);
-        for (tenant, bytes, is_release) in reservations {
+        for (group, bytes, is_release) in reservations {
             if is_release {
-                budget.release(tenant, bytes.min(budget.used_by(tenant)));
+                budget.release(group, bytes.min(budget.used_by(group)));
             } else {
-                budget.try_reserve(tenant, 0, bytes);
+                budget.try_reserve(group, 0, bytes);
             }
             prop_assert!(budget.used() <= budget.total());
         }
-        let remaining = budget.guaranteed_per_group().saturating_sub(budget.used_by(own_tenant));
-        let is_granted = remaining == 0 || budget.try_reserve(own_tenant, 0, remaining);
-        prop_assert!(is_granted, "{} bytes of its share rejected", remaining);
+        let remaining = budget.guaranteed_per_group().saturating_sub(budget.used_by(own_group));
+        let is_granted = remaining == 0 || budget.try_reserve(own_group, 0, remaining);
+        prop_assert!(is_granted, "{} guaranteed bytes were rejected", remaining);
         Ok(())
     });
 }
 
-/// Large bodies don't starve small ones: a part of what is guaranteed to no tenant is reserved for these.
+/// Large bodies can't starve small ones: a part of the budget that is guaranteed to no group can be used by
+/// small bodies only.
 #[test]
 fn large_bodies_leave_room_for_small_ones() {
     let mut budget = Budget::new(1 << 20, 2);
     while budget.try_reserve(0, 0, 64 * KIB) {}
-    assert!(budget.try_reserve(0, 0, SMALL_BODY_BYTES), "room for a small body");
+    assert!(budget.try_reserve(0, 0, SMALL_BODY_BYTES), "a small body still has room");
     let mut small = 0;
     while budget.try_reserve(0, 0, SMALL_BODY_BYTES) {
         small += 1;
     }
-    assert!(small >= 6, "only {small} more");
+    assert!(small >= 6, "only {small} more small bodies find room");
     assert!(
         budget.try_reserve(1, 0, budget.guaranteed_per_group()),
-        "and the other tenant has all of its share"
+        "the other group can reserve its whole guarantee"
     );
 }
 
-/// A body with a declared length that memory can't hold goes to a file from its first byte; if there are no
-/// files, it is known before that byte that the body can't be stored.
+/// A body whose declared length exceeds the limit for memory is assigned to a file before its first byte. If
+/// there are no files, it is decided at that time that the body is not stored.
 #[test]
 fn a_declared_length_decides_before_the_first_byte() {
-    let first = |files, length| StoragePlan::new(limits(files), 1).register(NOW, 0, Some(length)).decision;
-    assert_eq!(first(true, 64 * KIB), StorageDecision::Store(StorageTier::Memory));
-    assert_eq!(first(true, 64 * KIB + 1), StorageDecision::Store(StorageTier::File));
-    assert_eq!(first(true, 513 * KIB), StorageDecision::NotStored(NotStoredReason::Budget));
-    assert_eq!(first(false, 64 * KIB + 1), StorageDecision::NotStored(NotStoredReason::Budget));
-    assert_eq!(first(true, 1_025 * KIB), StorageDecision::TooLarge);
+    let decide = |files, length| StoragePlan::new(limits(files), 1).register(NOW, 0, Some(length)).decision;
+    assert_eq!(decide(true, 64 * KIB), StorageDecision::Store(StorageTier::Memory));
+    assert_eq!(decide(true, 64 * KIB + 1), StorageDecision::Store(StorageTier::File));
+    assert_eq!(decide(true, 513 * KIB), StorageDecision::NotStored(NotStoredReason::Budget));
+    assert_eq!(decide(false, 64 * KIB + 1), StorageDecision::NotStored(NotStoredReason::Budget));
+    assert_eq!(decide(true, 1_025 * KIB), StorageDecision::TooLarge);
 }
 
-/// Each failure disables the disk for twice as long, up to a limit, and one successful write enables it.
+/// Each failure after a backoff doubles the backoff, up to a limit; a successful write enables the disk and
+/// resets the backoff.
 #[test]
 fn a_failing_disk_is_disabled_with_exponential_backoff() {
     let mut plan = StoragePlan::new(limits(true), 1);
@@ -278,11 +288,15 @@
         assert_eq!(
             decision,
             StorageDecision::Store(StorageTier::File),
-            "after the backoff one body tries again"
+            "the disk is used again after the backoff"
         );
         let failure = plan.record_disk_failure(now, id, NotStoredReason::DiskFailed);
         let decision = StorageDecision::NotStored(NotStoredReason::DiskFailed);
-        assert_eq!(failure, DiskFailure { decision, is_first: backoff == 1 }, "first only once");
+        assert_eq!(
+            failure,
+            DiskFailure { decision, is_first: backoff == 1 },
+            "only the first failure is reported as such"
+        );
         now += Duration::from_millis(backoff * 1000 - 1);
         let RegisteredBody { id, decision } = plan.register(now, 0, declared_length);
         assert_eq!(decision, StorageDecision::NotStored(NotStoredReason::DiskFailed));
