--- a/crates/body-store/tests/plan.rs
+++ b/crates/body-store/tests/plan.rs
@@ -125,7 +125,7 @@
             StorageDecision::NotStored(_) => StorageTier::NotStored,
         };
         body.length += additional;
-        prop_assert!(rank(next) >= rank(body.tier), "a body moved from {:?} back to {:?}", body.tier, next);
+        prop_assert!(rank(next) >= rank(body.tier), "the body moved to {:?} after {:?}", next, body.tier);
         prop_assert!(next != StorageTier::Memory || body.length <= 64 * KIB);
         prop_assert!(next != StorageTier::File || self.has_files && body.length <= 512 * KIB);
         body.tier = next;
