--- a/crates/simulator/src/error.rs
+++ b/crates/simulator/src/error.rs
@@ -1,70 +1,84 @@
-//! Why the simulator's host stops.
+//! The errors that end the program.
 
 use std::fmt;
 use std::io;
 
-/// A fault in one batch of events.
+/// Why a batch cannot be handled. The messages name the simulator's message type and field.
 #[derive(Debug)]
 pub enum BatchError {
-    /// The line is not a batch.
+    /// The line is not JSON of the form of a [`Batch`](crate::wire::Batch).
     Malformed(serde_json::Error),
-    /// The settings of a new instance are invalid.
+    /// A `create` message holds invalid settings.
     InvalidSettings(sorrelhaven_config::ConfigError),
-    /// An event names an instance that does not exist.
+    /// A message is for the instance of this name, which was never created or was killed.
     UnknownInstance(String),
-    /// An update refers to a worker list that was never sent.
+    /// An `update` message refers to a worker list of this number, which no `ledger` message has defined.
     UnknownWorkerList(usize),
-    /// An update has an unknown mode.
+    /// An `update` message has a mode that is not one of the `UPDATE_` constants of `instance.rs`.
     UnknownUpdateMode(u8),
-    /// An attempt or probe has an unknown outcome.
+    /// The `result` of a `verdict` or `pingResult` message stands for no outcome.
     UnknownOutcome(u8),
-    /// A worker has an unknown lifecycle state.
+    /// The `lifecycle` of a worker in a `ledger` message stands for no lifecycle state.
     UnknownLifecycle(u8),
 }
 
 impl fmt::Display for BatchError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BatchError::Malformed(error) => error.fmt(formatter),
-            BatchError::InvalidSettings(error) => error.fmt(formatter),
-            BatchError::UnknownInstance(name) => write!(formatter, "event for unknown {name}"),
-            BatchError::UnknownWorkerList(number) => write!(formatter, "no ledger {number}"),
-            BatchError::UnknownUpdateMode(mode) => write!(formatter, "update of unknown mode {mode}"),
-            BatchError::UnknownOutcome(code) => write!(formatter, "unknown outcome {code}"),
-            BatchError::UnknownLifecycle(code) => write!(formatter, "unknown lifecycle {code}"),
+            BatchError::Malformed(error) => write!(formatter, "malformed batch: {error}"),
+            BatchError::InvalidSettings(error) => {
+                write!(formatter, "\"create\" message: invalid settings: {error}")
+            }
+            BatchError::UnknownInstance(name) => {
+                write!(formatter, "message for dispatcher {name:?}, which does not exist")
+            }
+            BatchError::UnknownWorkerList(number) => {
+                write!(formatter, "\"update\" message: no \"ledger\" message has defined \"bank\" {number}")
+            }
+            BatchError::UnknownUpdateMode(mode) => {
+                write!(formatter, "\"update\" message: unknown \"mode\" {mode}")
+            }
+            BatchError::UnknownOutcome(code) => {
+                write!(formatter, "\"verdict\" or \"pingResult\" message: unknown \"result\" {code}")
+            }
+            BatchError::UnknownLifecycle(code) => {
+                write!(formatter, "\"ledger\" message: unknown \"lifecycle\" {code}")
+            }
         }
     }
 }
 
 impl std::error::Error for BatchError {}
 
-/// What ends the program with a failure.
+/// Why the program ends with a failure. Lines are counted from 1.
 #[derive(Debug)]
 pub enum SimulatorError {
-    /// A line of the input can't be read.
+    /// Standard input cannot be read, or the line is not UTF-8.
     Read {
-        /// Counted from 1.
+        /// The number of the line.
         line: u64,
-        /// The cause.
+        /// The error of the read.
         source: io::Error,
     },
-    /// A line of the input is at fault.
+    /// The batch on a line cannot be handled.
     Batch {
-        /// Counted from 1.
+        /// The number of the line.
         line: u64,
-        /// The cause.
+        /// Why it cannot be handled.
         source: BatchError,
     },
-    /// A reply can't be written.
+    /// A reply cannot be written to standard output.
     Write(io::Error),
 }
 
 impl fmt::Display for SimulatorError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SimulatorError::Read { line, source } => write!(formatter, "cannot read line {line}: {source}"),
+            SimulatorError::Read { line, source } => {
+                write!(formatter, "cannot read line {line} of standard input: {source}")
+            }
             SimulatorError::Batch { line, source } => write!(formatter, "line {line}: {source}"),
-            SimulatorError::Write(source) => write!(formatter, "cannot write: {source}"),
+            SimulatorError::Write(source) => write!(formatter, "cannot write a reply: {source}"),
         }
     }
 }
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -1,4 +1,4 @@
-//! All dispatchers of this process, and the worker lists that their updates refer to.
+//! The dispatcher instances of this process, and the worker lists that `update` messages refer to.
 
 use crate::error::BatchError;
 use crate::instance::Instance;
@@ -7,18 +7,20 @@
 use sorrelhaven_dispatcher::{Lifecycle, Micros, WorkerEntry, WorkerId};
 use std::collections::HashMap;
 
-/// The worker lists of the process, by number.
+/// The worker lists that the simulator has sent, by the number that it gave them (`bank`).
 pub type WorkerLists = HashMap<usize, Vec<ListedWorker>>;
 
-/// A worker of a list by its name: lists belong to the process, worker ids to an instance.
+/// A worker of a worker list. It is identified by its name, since all instances share the lists but each
+/// instance assigns its own worker ids.
 pub struct ListedWorker {
-    /// Its name.
+    /// The name in the simulator's messages.
     pub name: String,
-    /// What the list says of it; its id stands open.
+    /// The worker's properties. [`WorkerEntry::worker`] is a placeholder, which each instance replaces by its
+    /// own id.
     pub entry: WorkerEntry,
 }
 
-/// The instances of this process.
+/// Creates and removes instances, stores worker lists, and passes all other messages to their instance.
 #[derive(Default)]
 pub struct Host {
     instances: HashMap<String, Instance>,
@@ -26,10 +28,11 @@
 }
 
 impl Host {
-    /// Handles one batch of events, and returns what the instances do about them.
+    /// Handles the messages of one batch in order, and returns the resulting commands. Instances without
+    /// commands are left out of the reply.
     ///
     /// # Errors
-    /// If the line is not a batch, or an event in it is invalid.
+    /// The line is not a valid batch, or a message in it is invalid. The messages before it remain handled.
     pub fn handle_batch(&mut self, line: &str) -> Result<Reply, BatchError> {
         let batch: Batch = serde_json::from_str(line).map_err(BatchError::Malformed)?;
         let mut reply = Reply { groups: Vec::new() };
--- a/crates/simulator/src/instance.rs
+++ b/crates/simulator/src/instance.rs
@@ -1,4 +1,4 @@
-//! One dispatcher, and the names by which the wire knows its requests and workers.
+//! One dispatcher instance: translates messages to events of its dispatcher, and actions to commands.
 
 use crate::error::BatchError;
 use crate::host::WorkerLists;
@@ -9,22 +9,22 @@
     Action, Arrival, Dispatcher, Event, Micros, Outcome, RequestId, Settings, WorkerEntry, WorkerListUpdate,
 };
 
-/// The kind of a notice that a job has started.
+/// `kind` of a `notice` message: the job has started.
 const NOTICE_STARTED: u8 = 1;
-/// The kind of a notice of a job's progress.
+/// `kind` of a `notice` message: the job reports its progress.
 const NOTICE_PROGRESS: u8 = 2;
 
-/// The mode of an update with changed entries.
+/// `mode` of an `update` message: the list holds the changed workers only.
 const UPDATE_DELTA: u8 = 0;
-/// The mode of an update with the complete list.
+/// `mode` of an `update` message: the list is complete.
 const UPDATE_FULL: u8 = 1;
-/// The mode of an update with a complete list that may be out of date.
+/// `mode` of an `update` message: the list is complete, but may be out of date.
 const UPDATE_CACHED: u8 = 2;
-/// The mode of an update that failed.
+/// `mode` of an `update` message: discovery failed, there is no list.
 const UPDATE_FAILED: u8 = 3;
 
-/// One dispatcher of this process. Ids are numbered per instance, so that what it does cannot depend on
-/// which others share the process.
+/// One dispatcher with the names of its requests and workers. Each instance numbers its ids on its own, so
+/// that its actions cannot depend on which other instances share the process.
 pub struct Instance {
     dispatcher: Dispatcher,
     workers: WorkerNames,
@@ -32,7 +32,7 @@
 }
 
 impl Instance {
-    /// An instance that knows its settings and nothing else.
+    /// A dispatcher with these settings, without workers and requests.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Instance {
             dispatcher: Dispatcher::new(settings, seed),
@@ -41,11 +41,12 @@
         }
     }
 
-    /// Hands a message to the dispatcher and appends its actions as commands. A message about a request
-    /// that is not open is dropped.
+    /// Passes a message to the dispatcher as an event, and appends the resulting actions to `commands`. A
+    /// message about a request that is not open is ignored.
     ///
     /// # Errors
-    /// If the message has an unknown code or refers to an unknown worker list.
+    /// The message holds a number that stands for no mode or outcome, or refers to a worker list that was
+    /// never sent.
     pub fn handle(
         &mut self,
         now: Micros,
@@ -62,12 +63,13 @@
         self.dispatcher.handle(now, event, &mut actions);
         commands.extend(actions.into_iter().filter_map(|action| self.command(action)));
         if let Some(request) = ended {
-            self.requests.forget_if_complete(request);
+            self.requests.remove_if_complete(request);
         }
         Ok(())
     }
 
-    /// The event that a message stands for, if it concerns the dispatcher.
+    /// Translates a message to an event. Returns `None` for a message about a request that is not open, a
+    /// notice of an unknown kind, and a message that the dispatcher does not handle.
     fn event(&mut self, message: Message<'_>, lists: &WorkerLists) -> Result<Option<Event>, BatchError> {
         Ok(match message {
             Message::WorkerListUpdate { list, mode } => {
@@ -170,7 +172,8 @@
         }))
     }
 
-    /// The command that an action stands for; none if it concerns a request that is not open.
+    /// Translates an action to a command. Returns `None` if the action names a request that is not open or an
+    /// unknown worker.
     fn command(&mut self, action: Action) -> Option<Command> {
         Some(match action {
             Action::Send { request, worker, timeout, .. } => {
@@ -192,11 +195,12 @@
         })
     }
 
-    /// Concludes a request by an answer of the dispatcher itself; its name.
+    /// Records that the dispatcher itself answered the request, and returns the request's name; `None` if the
+    /// request is not open.
     fn conclude(&mut self, id: RequestId) -> Option<String> {
         let name = self.requests.name(id)?;
         self.requests.conclude(id);
-        self.requests.forget_if_complete(id);
+        self.requests.remove_if_complete(id);
         Some(name)
     }
 }
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,5 +1,6 @@
-//! Hosts dispatchers on the simulator's wire: one batch of events a line on standard input, one reply a
-//! line on standard output. It translates and decides nothing.
+//! Runs dispatcher instances for an external simulator. Each line of standard input is a JSON batch of
+//! messages, which is answered by one line on standard output. This program only translates between the
+//! simulator's messages and the dispatcher's events and actions; all decisions are the dispatcher's.
 
 mod error;
 mod host;
@@ -13,7 +14,7 @@
 use std::process::ExitCode;
 use wire::Reply;
 
-/// Answers batches until the input ends.
+/// Answers each batch with a reply until the input ends, or until a batch cannot be handled.
 fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), SimulatorError> {
     let mut host = Host::default();
     let mut text = String::new();
@@ -31,7 +32,7 @@
     }
 }
 
-/// Writes one line and flushes it: the simulator waits for it.
+/// Writes one reply line and flushes it, since the simulator sends no batch before it has read the reply.
 fn write_reply(output: &mut impl Write, reply: &Reply) -> std::io::Result<()> {
     serde_json::to_writer(&mut *output, reply)?;
     output.write_all(b"\n")?;
--- a/crates/simulator/src/names.rs
+++ b/crates/simulator/src/names.rs
@@ -1,9 +1,10 @@
-//! The names by which the wire knows workers and requests, and the ids that a dispatcher knows them by.
+//! Maps the names of workers and requests in the simulator's messages to the dispatcher's ids, and back.
 
 use sorrelhaven_dispatcher::{RequestId, WorkerId};
 use std::collections::HashMap;
 
-/// The ids of workers, numbered in the order in which an instance hears of them.
+/// The ids of workers, numbered from 0 in the order in which an instance's messages first name them. Workers
+/// are never removed.
 #[derive(Default)]
 pub struct WorkerNames {
     ids: HashMap<String, WorkerId>,
@@ -11,7 +12,7 @@
 }
 
 impl WorkerNames {
-    /// The id of this name; a new one for an unknown name.
+    /// The worker's id; assigns the next one to a name that was not seen before.
     pub fn intern(&mut self, name: &str) -> WorkerId {
         if let Some(&id) = self.ids.get(name) {
             return id;
@@ -22,20 +23,20 @@
         id
     }
 
-    /// The name of a worker.
+    /// The name that has this id; `None` if the id was never assigned.
     pub fn name(&self, id: WorkerId) -> Option<String> {
         self.names.get(id.0 as usize).cloned()
     }
 }
 
-/// A request that has no final answer or an attempt without an outcome.
+/// A request that is not concluded, or has an attempt whose end was not reported yet.
 struct OpenRequest {
     name: String,
     outstanding_attempts: u32,
     concluded: bool,
 }
 
-/// The requests that are open, and their ids.
+/// The open requests of an instance: those that are not concluded, or have outstanding attempts.
 #[derive(Default)]
 pub struct OpenRequests {
     ids: HashMap<String, RequestId>,
@@ -44,7 +45,7 @@
 }
 
 impl OpenRequests {
-    /// A request has arrived; its id is new even if its name is not.
+    /// Adds a request, and returns its id. A name that is used again gets a new id.
     pub fn open(&mut self, name: &str) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id += 1;
@@ -54,39 +55,39 @@
         id
     }
 
-    /// The id of an open request.
+    /// The id of the open request of this name; the latest one if several have it.
     pub fn id(&self, name: &str) -> Option<RequestId> {
         self.ids.get(name).copied()
     }
 
-    /// The name of an open request.
+    /// The name of the open request with this id.
     pub fn name(&self, id: RequestId) -> Option<String> {
         self.by_id.get(&id).map(|request| request.name.clone())
     }
 
-    /// An attempt is outstanding.
+    /// Adds one outstanding attempt.
     pub fn record_attempt_sent(&mut self, id: RequestId) {
         if let Some(request) = self.by_id.get_mut(&id) {
             request.outstanding_attempts += 1;
         }
     }
 
-    /// An attempt has its outcome.
+    /// Removes one outstanding attempt.
     pub fn record_attempt_ended(&mut self, id: RequestId) {
         if let Some(request) = self.by_id.get_mut(&id) {
             request.outstanding_attempts = request.outstanding_attempts.saturating_sub(1);
         }
     }
 
-    /// The request has its final answer.
+    /// Marks the request as concluded.
     pub fn conclude(&mut self, id: RequestId) {
         if let Some(request) = self.by_id.get_mut(&id) {
             request.concluded = true;
         }
     }
 
-    /// Forgets a request that has its final answer and no attempt outstanding.
-    pub fn forget_if_complete(&mut self, id: RequestId) {
+    /// Removes the request if it is concluded and has no outstanding attempt.
+    pub fn remove_if_complete(&mut self, id: RequestId) {
         let is_complete =
             self.by_id.get(&id).is_some_and(|request| request.concluded && request.outstanding_attempts == 0);
         if is_complete && let Some(request) = self.by_id.remove(&id) {
--- a/crates/simulator/src/wire.rs
+++ b/crates/simulator/src/wire.rs
@@ -1,5 +1,6 @@
-//! The simulator's wire: one JSON value a line, ids as names, positions for classes and zones. The names of
-//! its keys are mapped here to those of the code, and nowhere else.
+//! The simulator's messages: one JSON value per line. Requests, workers and instances are identified by name;
+//! classes, zones and kinds of machine by their index in the settings. The simulator's names of messages and
+//! fields are mapped to Rust names by serde attributes in this module only.
 
 mod commands;
 mod messages;
--- a/crates/simulator/src/wire/commands.rs
+++ b/crates/simulator/src/wire/commands.rs
@@ -1,19 +1,19 @@
-//! What the simulator is answered: the commands of each instance.
+//! The reply to a batch: commands that the simulator is to carry out for each instance.
 
 use serde::Serialize;
 
-/// The reply to a batch.
+/// The reply to a [`Batch`](super::Batch).
 #[derive(Serialize)]
 pub struct Reply {
-    /// The instances that act.
+    /// One group for each group of the batch that has led to commands, in the same order.
     #[serde(rename = "dispatchers")]
     pub groups: Vec<CommandGroup>,
 }
 
-/// The actions of one instance.
+/// The commands of one instance.
 #[derive(Serialize)]
 pub struct CommandGroup {
-    /// Its name.
+    /// The instance's name.
     #[serde(rename = "dispatcher")]
     pub instance: String,
     /// In the order in which they are to be carried out.
@@ -21,73 +21,73 @@
     pub commands: Vec<Command>,
 }
 
-/// One action.
+/// One action of a dispatcher. Requests and workers are identified by name.
 #[derive(Serialize)]
 pub enum Command {
-    /// Begin an attempt.
+    /// Start an attempt: send the request to the worker.
     #[serde(rename = "relay")]
     Send {
-        /// The request.
+        /// The request to send.
         #[serde(rename = "call")]
         request: String,
-        /// In microseconds; 0 for the request's deadline.
+        /// When the attempt times out, in microseconds after its start; 0: at the request's deadline.
         timeout: i64,
-        /// The worker.
+        /// The worker to send it to.
         worker: String,
     },
-    /// Withdraw an attempt.
+    /// Cancel an attempt.
     #[serde(rename = "cancel")]
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         #[serde(rename = "call")]
         request: String,
-        /// The attempt.
+        /// The attempt's number within the request.
         #[serde(rename = "try")]
         attempt: u32,
     },
-    /// Answer a request: not executed.
+    /// Answer a request as rejected: no worker has executed it.
     #[serde(rename = "turnAway")]
     Reject {
-        /// The request.
+        /// The request to answer.
         #[serde(rename = "call")]
         request: String,
-        /// In microseconds.
+        /// How long the client should wait before it retries, in microseconds; 0: no advice.
         #[serde(rename = "retryIn")]
         retry_after: i64,
     },
-    /// Answer a request: failed.
+    /// Answer a request as failed.
     #[serde(rename = "error")]
     Fail {
-        /// The request.
+        /// The request to answer.
         #[serde(rename = "call")]
         request: String,
     },
-    /// Probe a worker.
+    /// Probe the health of a worker.
     #[serde(rename = "test")]
     Probe {
-        /// The worker.
+        /// The worker to probe.
         worker: String,
     },
-    /// Set a timer.
+    /// Send a `wakeup` message after a delay.
     #[serde(rename = "sleep")]
     SetTimer {
-        /// In microseconds.
+        /// The delay, in microseconds.
         #[serde(rename = "sleepFor")]
         delay: i64,
-        /// Comes back when it fires.
+        /// Returned in the `wakeup` message.
         #[serde(rename = "handle")]
         token: u64,
     },
-    /// Subscribe to changes of the worker list.
+    /// Send an `update` message for each change of the worker list.
     #[serde(rename = "streamChanges")]
     WatchWorkerList {
-        /// Always true.
+        /// Always true: a subscription is never ended.
         enable: bool,
     },
-    /// Write a log line.
+    /// Write a line to the simulator's log.
     #[serde(rename = "record")]
     Log {
-        /// The line.
+        /// The text of the line.
         text: String,
     },
 }
--- a/crates/simulator/src/wire/messages.rs
+++ b/crates/simulator/src/wire/messages.rs
@@ -1,15 +1,15 @@
-//! What the simulator sends: batches of messages.
+//! The batches of messages that the simulator sends.
 
 use serde::Deserialize;
 use std::borrow::Cow;
 
-/// A batch of events.
+/// The messages to all instances at one point of simulated time.
 #[derive(Deserialize)]
 pub struct Batch<'a> {
-    /// The time of all its events, in microseconds.
+    /// The simulated time, in microseconds.
     #[serde(rename = "simTime")]
     pub now: i64,
-    /// Grouped by instance.
+    /// The messages, grouped by instance.
     #[serde(borrow, rename = "dispatchers")]
     pub groups: Vec<MessageGroup<'a>>,
 }
@@ -17,7 +17,7 @@
 /// The messages to one instance.
 #[derive(Deserialize)]
 pub struct MessageGroup<'a> {
-    /// Its name.
+    /// The instance's name.
     #[serde(borrow, rename = "dispatcher")]
     pub instance: Cow<'a, str>,
     /// In the order in which they are to be handled.
@@ -25,104 +25,107 @@
     pub messages: Vec<Message<'a>>,
 }
 
-/// A message to an instance, or to the process about it.
+/// A message to one instance. The host itself handles `CreateInstance`, `DropInstance` and `WorkerList`; the
+/// instance gets all others. Requests and workers are identified by name.
 #[derive(Deserialize)]
 pub enum Message<'a> {
-    /// An instance starts.
+    /// Create the instance, in place of any other of the same name.
     #[serde(rename = "create")]
     CreateInstance {
-        /// The seed of its random numbers.
+        /// The seed of the instance's random numbers.
         #[serde(rename = "salt")]
         seed: u64,
-        /// Its settings, as the deploy file has them.
+        /// The instance's settings, in the form of `settings` in the platform's configuration file.
         #[serde(rename = "conf")]
         settings: serde_json::Value,
     },
-    /// An instance is killed.
+    /// Remove the instance, as if its process was killed. Its commands from earlier messages of the group are
+    /// dropped.
     #[serde(rename = "kill")]
     DropInstance {},
-    /// A worker list that later updates refer to.
+    /// Store a worker list for later `update` messages to any instance.
     #[serde(rename = "ledger")]
     WorkerList {
-        /// The number of the list.
+        /// The number under which it is stored; replaces the list stored there before.
         #[serde(rename = "bank")]
         list: usize,
-        /// Its workers.
+        /// The workers of the list.
         #[serde(borrow, rename = "rows")]
         workers: Vec<WorkerRow<'a>>,
     },
-    /// An instance gets an update of its worker list.
+    /// Discovery sends the instance an update of its worker list, or has failed.
     #[serde(rename = "update")]
     WorkerListUpdate {
-        /// The number of the list that holds it.
+        /// The number of the stored list with the update's workers; unused if discovery has failed.
         #[serde(default, rename = "bank")]
         list: usize,
-        /// How the list is to be taken.
+        /// Whether the list holds changes only or all workers: one of the `UPDATE_` constants of
+        /// `instance.rs`.
         mode: u8,
     },
     /// A request arrives.
     #[serde(rename = "inbound")]
     Arrival(#[serde(borrow)] ArrivalMessage<'a>),
-    /// A job has started or makes progress.
+    /// A worker reports that a job has started, or its progress.
     #[serde(rename = "notice")]
     JobNotice {
-        /// The request.
+        /// The request that the job executes.
         #[serde(borrow, rename = "call")]
         request: Cow<'a, str>,
-        /// The worker.
+        /// The worker that runs the job.
         worker: Cow<'a, str>,
-        /// Start or progress.
+        /// One of the `NOTICE_` constants of `instance.rs`; other notices are ignored.
         kind: u8,
-        /// The fraction done.
+        /// The fraction of the job that is done, from 0 to 1.
         #[serde(default, rename = "amount")]
         progress: f64,
-        /// The attempt.
+        /// The number of the attempt within the request.
         #[serde(default, rename = "try")]
         attempt: u32,
     },
-    /// A streamed answer has begun.
+    /// The first part of a streamed response has arrived.
     #[serde(rename = "begun")]
     ResponseStreaming {
-        /// The request.
+        /// The request that is answered.
         #[serde(borrow, rename = "call")]
         request: Cow<'a, str>,
-        /// The worker.
+        /// The worker that sends the response.
         worker: Cow<'a, str>,
-        /// The attempt.
+        /// The number of the attempt within the request.
         #[serde(default, rename = "try")]
         attempt: u32,
     },
-    /// An attempt ended.
+    /// An attempt has ended, with or without a response.
     #[serde(rename = "verdict")]
     AttemptEnded(#[serde(borrow)] AttemptEndMessage<'a>),
-    /// A client has disconnected.
+    /// The client of a request has disconnected, and needs no answer.
     #[serde(rename = "lapsed")]
     ClientDisconnected {
-        /// The request.
+        /// The client's request.
         #[serde(borrow, rename = "call")]
         request: Cow<'a, str>,
     },
-    /// A probe ended.
+    /// The probe of a worker has ended.
     #[serde(rename = "pingResult")]
     ProbeEnded {
-        /// The worker.
+        /// The worker that was probed.
         #[serde(borrow)]
         worker: Cow<'a, str>,
-        /// How it ended.
+        /// The number of the probe's outcome, as `outcome_of` in `instance.rs` maps it.
         #[serde(default, rename = "result")]
         outcome: u8,
-        /// The worker's load report.
+        /// The worker's load report; empty if there was none.
         #[serde(default, rename = "metrics")]
         load_report: Vec<f64>,
     },
-    /// A timer has fired.
+    /// The delay of a `sleep` command has passed.
     #[serde(rename = "wakeup")]
     Timer {
-        /// Its token.
+        /// The token of that command.
         #[serde(rename = "handle")]
         token: u64,
     },
-    /// A note that needs no action.
+    /// Information that a dispatcher does not use. Ignored.
     #[serde(rename = "memo")]
     Note {},
 }
@@ -130,50 +133,50 @@
 /// A request that arrives.
 #[derive(Deserialize)]
 pub struct ArrivalMessage<'a> {
-    /// Its name.
+    /// The request's name.
     #[serde(borrow, rename = "call")]
     pub request: Cow<'a, str>,
-    /// Its class.
+    /// The index of its class in the settings.
     #[serde(default, rename = "grade")]
     pub class: usize,
-    /// When the client stops waiting, in microseconds.
+    /// The simulated time at which the client stops waiting, in microseconds.
     #[serde(rename = "due")]
     pub deadline: i64,
-    /// Its expected running time, in microseconds.
+    /// The expected running time of the job, in microseconds; `None` if unknown.
     #[serde(default, rename = "cost")]
     pub work_hint: Option<i64>,
-    /// The slots that it takes.
+    /// How many of a worker's slots the job occupies; `None` stands for 1.
     #[serde(default, rename = "width")]
     pub slots: Option<f64>,
-    /// The client marks it as a retry.
+    /// Whether the client marks the request as a retry.
     #[serde(default, rename = "resent")]
     pub is_retry: bool,
-    /// What it is about.
+    /// Names the data that the request works on; `None` if the request has no affinity.
     #[serde(borrow, default, rename = "object")]
     pub affinity_key: Option<Cow<'a, str>>,
 }
 
-/// The end of an attempt.
+/// An attempt that has ended, with its outcome.
 #[derive(Deserialize)]
 pub struct AttemptEndMessage<'a> {
-    /// The request.
+    /// The request that the attempt belongs to.
     #[serde(borrow, rename = "call")]
     pub request: Cow<'a, str>,
-    /// The attempt.
+    /// The number of the attempt within the request.
     #[serde(default, rename = "try")]
     pub attempt: u32,
-    /// How it ended.
+    /// The number of the outcome, as `outcome_of` in `instance.rs` maps it.
     #[serde(rename = "result")]
     pub outcome: u8,
-    /// The time since it was sent, in microseconds.
+    /// The time since the attempt was sent, in microseconds.
     #[serde(default, rename = "waitTime")]
     pub elapsed: i64,
-    /// The worker.
+    /// The worker that the attempt was sent to.
     pub worker: Cow<'a, str>,
-    /// The request has its final answer.
+    /// Whether the request has its final answer.
     #[serde(default, rename = "over")]
     pub request_concluded: bool,
-    /// The worker's load report.
+    /// The worker's load report; empty if there was none.
     #[serde(default, rename = "metrics")]
     pub load_report: Vec<f64>,
 }
@@ -181,25 +184,25 @@
 /// A worker of a worker list.
 #[derive(Deserialize)]
 pub struct WorkerRow<'a> {
-    /// Its name.
+    /// The worker's name.
     #[serde(borrow, rename = "worker")]
     pub name: Cow<'a, str>,
-    /// Its cell.
+    /// The number of its cell.
     #[serde(default, rename = "group")]
     pub cell: u64,
-    /// The state of its process.
+    /// The number of its lifecycle state, as `lifecycle_of` in `host.rs` maps it.
     #[serde(default)]
     pub lifecycle: u8,
-    /// When it last started, in microseconds; 0 for long ago.
+    /// The simulated time of its last start, in microseconds; 0 if that was long ago.
     #[serde(default, rename = "born")]
     pub started_at: i64,
-    /// Its kind of machine.
+    /// The index of its kind of machine in the settings.
     #[serde(default, rename = "machine")]
     pub kind: usize,
-    /// Its zone.
+    /// The index of its zone in the settings.
     #[serde(default, rename = "regionPart")]
     pub zone: usize,
-    /// Its capacity, relative to other workers.
+    /// Its capacity relative to other workers.
     #[serde(default = "default_weight", rename = "rating")]
     pub weight: f64,
 }
--- a/crates/simulator/tests/binary.rs
+++ b/crates/simulator/tests/binary.rs
@@ -1,4 +1,4 @@
-//! Runs the program on small hand-written batches.
+//! Runs the program on hand-written batches, and checks its replies and exit status.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -21,9 +21,14 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the program starts");
-    child.stdin.take().expect("a pipe").write_all(input.as_bytes()).expect("it reads");
-    child.wait_with_output().expect("it ends")
+        .expect("the program can be started");
+    child
+        .stdin
+        .take()
+        .expect("standard input is a pipe")
+        .write_all(input.as_bytes())
+        .expect("the program reads its input");
+    child.wait_with_output().expect("the program ends")
 }
 
 fn batch(time: u64, name: &str, events: &str) -> String {
@@ -44,7 +49,7 @@
     input += &batch(92_000, "dispatcher-0", r#"{"lapsed":{"call":"r-one"}},{"wakeup":{"handle":77}}"#);
     let output = run(&input);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    let text = String::from_utf8(output.stdout).expect("UTF-8");
+    let text = String::from_utf8(output.stdout).expect("the replies are UTF-8");
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len(), 4);
     assert_eq!(lines[0], r#"{"dispatchers":[]}"#);
@@ -59,9 +64,9 @@
     let own = |name: &str| batch(1000, name, &format!("{CREATE},{LIST},{}", arrival("r-x", 5_001_000)));
     let alone = run(&own("dispatcher-1"));
     let both = run(&(own("dispatcher-0") + &own("dispatcher-1")));
-    let text = String::from_utf8(both.stdout).expect("UTF-8");
-    let second = text.lines().nth(1).expect("two replies");
-    assert_eq!(String::from_utf8(alone.stdout).expect("UTF-8").trim_end(), second);
+    let text = String::from_utf8(both.stdout).expect("the replies are UTF-8");
+    let second = text.lines().nth(1).expect("there are two replies");
+    assert_eq!(String::from_utf8(alone.stdout).expect("the replies are UTF-8").trim_end(), second);
 }
 
 #[test]
@@ -81,5 +86,11 @@
     input += &batch(3000, "dispatcher-0", r#"{"lapsed":{"call":"r-one"}}"#);
     let output = run(&input);
     assert!(output.status.success());
-    assert!(!String::from_utf8_lossy(&output.stdout).lines().nth(2).expect("a reply").contains("r-one"));
+    assert!(
+        !String::from_utf8_lossy(&output.stdout)
+            .lines()
+            .nth(2)
+            .expect("there are three replies")
+            .contains("r-one")
+    );
 }
