--- a/crates/config/src/body_settings.rs
+++ b/crates/config/src/body_settings.rs
@@ -5,9 +5,9 @@
 use serde::{Deserialize, Serialize};
 use std::path::PathBuf;
 
-/// The largest value of any size: 1 TiB.
+/// The largest value of any key in this module: 1 TiB, or 1 TiB/s.
 const MAX_SIZE_BYTES: u64 = 1 << 40;
-/// The memory that the node needs beside the bodies.
+/// How much memory the node needs in addition to the stored bodies, in megabytes.
 const NODE_MEMORY_MB: u64 = 24;
 
 /// Where the bodies of requests are stored so that requests can be retried.
@@ -103,8 +103,8 @@
 }
 
 impl BodySettings {
-    /// Checks the values against each other, for a process that may hold `memory_mb` megabytes. The errors'
-    /// paths begin at this object.
+    /// Checks the range of each value and the values against each other, for a process that may use
+    /// `memory_mb` megabytes. The errors name keys relative to this object.
     pub(crate) fn check(&self, memory_mb: u64) -> Vec<ConfigError> {
         let mut errors = self.check_sizes();
         errors.extend(self.check_upload_rate());
@@ -174,7 +174,8 @@
         errors
     }
 
-    /// Bodies that are accepted but would always be rejected later are most likely a mistake.
+    /// Finds sizes of bodies that are accepted, but cannot be stored and are then always rejected. That is
+    /// most likely a mistake.
     fn check_rejection(&self) -> Option<ConfigError> {
         let largest = self.largest_bytes;
         let largest_stored = self.largest_stored_bytes();
@@ -188,7 +189,7 @@
         Some(ConfigError::new("largest_bytes", problem))
     }
 
-    /// The largest body that can be stored, in memory or in a file.
+    /// The size of the largest body that can be stored, in memory or in a file.
     fn largest_stored_bytes(&self) -> u64 {
         let in_memory = self.memory.each_bytes;
         match self.files.directory {
--- a/crates/config/src/deserialize.rs
+++ b/crates/config/src/deserialize.rs
@@ -1,9 +1,9 @@
-//! Deserialization whose errors name the key.
+//! Deserialization with errors that name the key at fault.
 
 use crate::error::ConfigError;
 use serde::{Deserialize, Deserializer};
 
-/// Deserializes a value. An error names the key, with a path that begins at `parent`.
+/// Deserializes a value. An error names the path of the key at fault, which begins with `parent`.
 pub(crate) fn deserialize<'de, T: Deserialize<'de>>(
     parent: &str,
     source: impl Deserializer<'de>,
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,8 +1,8 @@
-//! What is wrong with a configuration, and at which key.
+//! Errors in a configuration, each with the path of the key at fault.
 
 use std::fmt;
 
-/// One error, with the path of the key that it concerns.
+/// An error in the value of one key. It is displayed as one line, `key: problem`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
     key: String,
@@ -10,23 +10,24 @@
 }
 
 impl ConfigError {
-    /// A problem with the value of the key at this path.
+    /// An error in the value of the key at this path; an empty path stands for the whole document.
     pub fn new(key: impl Into<String>, problem: impl fmt::Display) -> Self {
         ConfigError { key: key.into(), problem: problem.to_string() }
     }
 
-    /// The same error, with a path that begins at the parent of the object that holds the key.
+    /// Prefixes the key's path with the path of the object that holds it.
     pub(crate) fn within(self, parent: &str) -> Self {
         ConfigError { key: join_keys(parent, &self.key), ..self }
     }
 
-    /// The path of the key.
+    /// The path of the key at fault.
     pub fn key(&self) -> &str {
         &self.key
     }
 }
 
-/// The path of a key in an object. `.` is the object itself, as `serde_path_to_error` writes it.
+/// The path of a key in the object at the path `parent`. An empty key or `.`, which `serde_path_to_error`
+/// writes for the root, stands for the object itself.
 pub(crate) fn join_keys(parent: &str, key: &str) -> String {
     let is_parent = key.is_empty() || key == ".";
     match (parent.is_empty(), is_parent) {
@@ -43,28 +44,28 @@
         } else {
             format!("{}: {}", self.key, self.problem)
         };
-        // A key or a value may contain line breaks; the message is one line all the same.
+        // Keys and values may contain line breaks, but the message must be one line.
         f.write_str(&text.replace(['\n', '\r'], " "))
     }
 }
 
 impl std::error::Error for ConfigError {}
 
-/// All errors of a configuration, at least one. They are displayed on one line.
+/// The errors found in a configuration, at least one. They are displayed on one line, separated by `; `.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigErrors(Vec<ConfigError>);
 
 impl ConfigErrors {
-    /// The value, if there are no errors.
+    /// Returns the result of `value` if there are no errors.
     ///
     /// # Errors
-    /// The errors, if there are any; `value` is not called then.
+    /// The errors, if there are any. `value` is not called then.
     pub fn ok_if_empty<T>(errors: Vec<ConfigError>, value: impl FnOnce() -> T) -> Result<T, ConfigErrors> {
         if errors.is_empty() { Ok(value()) } else { Err(ConfigErrors(errors)) }
     }
 
-    /// Appends other errors.
-    pub(crate) fn and(mut self, others: ConfigErrors) -> ConfigErrors {
+    /// Appends the errors of `others`.
+    pub(crate) fn merge(mut self, others: ConfigErrors) -> ConfigErrors {
         self.0.extend(others.0);
         self
     }
@@ -99,7 +100,7 @@
 
 impl std::error::Error for ConfigErrors {}
 
-/// Collects errors, so that one run reports all of them.
+/// Collects the errors of independent checks, so that one run reports all of them.
 #[derive(Default)]
 pub(crate) struct ErrorCollector(Vec<ConfigError>);
 
@@ -108,7 +109,7 @@
         self.0.push(error);
     }
 
-    /// The value, or `None` after recording the error.
+    /// Returns the value of `result`, or records its error and returns `None`.
     pub(crate) fn ok<T>(&mut self, result: Result<T, ConfigError>) -> Option<T> {
         result.map_err(|error| self.push(error)).ok()
     }
--- a/crates/config/src/hosts.rs
+++ b/crates/config/src/hosts.rs
@@ -1,4 +1,5 @@
-//! The worker list in the form in which discovery sends it, and in which `known` holds it.
+//! The worker list in the form that discovery sends, which is also that of the key `known` in the platform's
+//! file. Discovery calls a worker a host.
 
 use crate::deserialize::deserialize;
 use crate::error::ConfigError;
@@ -6,43 +7,43 @@
 use sorrelhaven_dispatcher::{Lifecycle, WorkerEntry, WorkerId};
 use std::net::SocketAddr;
 
-/// The state of a worker's process, as discovery reports it.
+/// The lifecycle state of a worker's process, as discovery reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkerHealth {
-    /// It accepts requests.
+    /// The worker accepts requests.
     InService,
-    /// It drains: it finishes the requests that it has, and accepts no new ones.
+    /// The worker drains: it finishes the requests that it has, and accepts no new ones.
     Terminating,
-    /// It was removed.
+    /// The worker was removed.
     Terminated,
 }
 
-/// One worker.
+/// One worker of a [`DiscoveryList`].
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename = "DiscoveryHost")]
 pub struct DiscoveryWorker {
-    /// Its name, the same at every node.
+    /// The worker's name, which is the same in the lists of all nodes.
     #[serde(rename = "host")]
     pub name: String,
-    /// The address at which this node reaches it; may be missing once it is terminated.
+    /// The address at which this node reaches the worker; may be missing only if the worker is terminated.
     #[serde(rename = "dial", default)]
     pub address: Option<SocketAddr>,
-    /// Its zone.
+    /// The name of the worker's zone, as the settings have it.
     #[serde(rename = "site", default)]
     pub zone: String,
-    /// Its kind of machine.
+    /// The name of the worker's kind of machine, as the settings have it.
     #[serde(rename = "class", default)]
     pub kind: String,
-    /// Its cell.
+    /// The number of the worker's cell.
     #[serde(rename = "block", default)]
     pub cell: u64,
-    /// The state of its process.
+    /// The lifecycle state of the worker's process.
     pub health: WorkerHealth,
-    /// Its capacity relative to that of other workers.
+    /// The worker's capacity, relative to that of other workers.
     #[serde(rename = "share", default = "default_weight")]
     pub weight: f64,
-    /// Its last start, in milliseconds of Unix time; 0 if that was long ago.
+    /// When the worker's process last started, in milliseconds of Unix time; 0 if that was long ago.
     #[serde(rename = "born_ms", default)]
     pub started_ms: i64,
 }
@@ -51,57 +52,61 @@
     1.0
 }
 
-/// A complete worker list, or the entries that have changed.
+/// A message of discovery: a complete worker list, or the workers that have changed.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct DiscoveryList {
-    /// The version of the list.
+    /// The version of the list after this message.
     #[serde(rename = "seq", default)]
     pub version: u64,
-    /// Whether it replaces all that was known.
+    /// Whether the list is complete: a worker that is not in it is gone. Otherwise it holds changes only.
     #[serde(rename = "whole", default)]
     pub complete: bool,
-    /// Its entries.
+    /// All workers, or those that have changed.
     #[serde(rename = "hosts")]
     pub workers: Vec<DiscoveryWorker>,
 }
 
-/// The names of the settings whose indexes the decision module uses as numbers.
+/// The names of zones and kinds of machine in the settings. Discovery refers to them by name, and the
+/// dispatcher by their index in these lists.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneAndKindNames {
-    /// The zones.
+    /// The names of the zones; empty if the settings distinguish none.
     pub zones: Vec<String>,
-    /// The kinds of machine.
+    /// The names of the kinds of machine; empty if the settings distinguish none.
     pub kinds: Vec<String>,
 }
 
 impl DiscoveryList {
-    /// Reads a list, complete or of changes.
+    /// Reads a list from JSON. The workers' zones, kinds and addresses are not checked.
     ///
     /// # Errors
-    /// The text is not a list; the error names the key.
+    /// The text is not JSON of this form. The error names the key at fault.
     pub fn read(text: &[u8]) -> Result<DiscoveryList, ConfigError> {
-        // Tracking the path of each key triples the cost, so it is done only for a list that can't be read.
+        // Tracking the path of each key triples the cost, so only a list that was found invalid is read again
+        // that way.
         serde_json::from_slice(text)
             .or_else(|_| deserialize("", &mut serde_json::Deserializer::from_slice(text)))
     }
 
-    /// Checks every entry against the names of the settings.
+    /// Checks that each worker has an address, and a zone and kind that are in the settings. See
+    /// [`DiscoveryWorker::entry`] for the exceptions.
     ///
     /// # Errors
-    /// The first entry that is not valid; the error names the key.
+    /// The error of the first invalid worker. It names the key at fault.
     pub fn check(&self, names: &ZoneAndKindNames) -> Result<(), ConfigError> {
-        for (index, host) in self.workers.iter().enumerate() {
-            host.entry(WorkerId(0), names).map_err(|error| error.within(&format!("hosts[{index}]")))?;
+        for (index, worker) in self.workers.iter().enumerate() {
+            worker.entry(WorkerId(0), names).map_err(|error| error.within(&format!("hosts[{index}]")))?;
         }
         Ok(())
     }
 }
 
 impl DiscoveryWorker {
-    /// The entry in the form that the decision module takes.
+    /// Converts the worker to the dispatcher's form, under the id `worker`.
     ///
     /// # Errors
-    /// A zone or a kind is not in the settings, or the address is missing; the error names the key.
+    /// The address is missing, or the zone or kind is not in the settings. The error names the key at fault.
+    /// A terminated worker needs none of them, and zones or kinds are not checked if the settings have none.
     pub fn entry(&self, worker: WorkerId, names: &ZoneAndKindNames) -> Result<WorkerEntry, ConfigError> {
         if self.address.is_none() && !self.is_terminated() {
             return Err(ConfigError::new("dial", "missing"));
@@ -115,8 +120,8 @@
                 WorkerHealth::Terminated => Lifecycle::Gone,
             },
             started_at: self.started_ms.saturating_mul(1_000),
-            kind: self.index_in("class", &names.kinds, &self.kind)?,
-            zone: self.index_in("site", &names.zones, &self.zone)?,
+            kind: self.setting_index("class", &names.kinds, &self.kind)?,
+            zone: self.setting_index("site", &names.zones, &self.zone)?,
             cell: self.cell,
             weight: self.weight,
         })
@@ -126,8 +131,9 @@
         self.health == WorkerHealth::Terminated
     }
 
-    /// The index of a name in the settings. A worker that is terminated may have any name.
-    fn index_in(&self, key: &str, names: &[String], name: &str) -> Result<usize, ConfigError> {
+    /// The index of `name` in `names`; 0 for an unknown name if the worker is terminated or there are no
+    /// names.
+    fn setting_index(&self, key: &str, names: &[String], name: &str) -> Result<usize, ConfigError> {
         match names.iter().position(|other| other == name) {
             Some(index) => Ok(index),
             None if self.is_terminated() || names.is_empty() => Ok(0),
@@ -136,7 +142,8 @@
     }
 }
 
-/// FNV-1a: a hash of a text that is the same at every dispatcher and in every version.
+/// The 64-bit FNV-1a hash of a text, which is the same at every dispatcher and in every version of the
+/// program.
 pub fn stable_hash(text: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
--- a/crates/config/src/membership_settings.rs
+++ b/crates/config/src/membership_settings.rs
@@ -1,4 +1,4 @@
-//! The operators' settings for membership.
+//! The operators' settings for cluster membership.
 
 use crate::error::ConfigError;
 use schemars::JsonSchema;
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The shortest key.
+/// The least length of the shared key.
 const MIN_KEY_BYTES: usize = 16;
 
 /// The membership of the cluster's nodes, over UDP.
@@ -51,21 +51,22 @@
     }
 }
 
-/// The addresses and the key of membership, read and checked.
+/// What a node needs to join the cluster: the addresses and the key of [`MembershipSettings`], read and
+/// checked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JoinParameters {
     /// The address at which this node listens.
     pub listen: SocketAddr,
-    /// The address at which others reach it; `None` if that is `listen`.
+    /// The address at which other nodes reach this node; `None` if that is `listen`.
     pub advertise: Option<SocketAddr>,
-    /// The addresses at which others may be found.
+    /// Addresses of other nodes, through which this node joins the cluster.
     pub seeds: Vec<SocketAddr>,
-    /// The key that all nodes share.
+    /// The key that all nodes share, without white space around it.
     pub key: Vec<u8>,
 }
 
-/// The values that a key may have.
-struct AllowedRange {
+/// A value, and the range that it must be in.
+struct RangeCheck {
     key: &'static str,
     value: u64,
     min: u64,
@@ -73,10 +74,11 @@
 }
 
 impl MembershipSettings {
-    /// The addresses and the key; `None` if membership is off. Reads the key's file.
+    /// Parses the addresses, and reads the key from its file. Returns `None` if membership is off.
     ///
     /// # Errors
-    /// The first error, which names its key.
+    /// An address is malformed, or the key's file is not set, cannot be read, or holds too short a key. The
+    /// error is the first one found, and names the key at fault.
     pub fn join_parameters(&self) -> Result<Option<JoinParameters>, ConfigError> {
         let Some(listen) = &self.listen else { return Ok(None) };
         let listen = parse_address("listen", listen)?;
@@ -91,48 +93,48 @@
     }
 
     fn read_key(&self) -> Result<Vec<u8>, ConfigError> {
-        let path = self.key_file.as_ref().ok_or_else(|| error("key_file", "missing"))?;
-        let key =
-            std::fs::read(path).map_err(|cause| error("key_file", format!("{}: {cause}", path.display())))?;
+        let path = self.key_file.as_ref().ok_or_else(|| membership_error("key_file", "missing"))?;
+        let key = std::fs::read(path)
+            .map_err(|cause| membership_error("key_file", format!("{}: {cause}", path.display())))?;
         let key = key.trim_ascii().to_vec();
         if key.len() < MIN_KEY_BYTES {
             let problem = format!("a key of {} bytes, under {MIN_KEY_BYTES}", key.len());
-            return Err(error("key_file", problem));
+            return Err(membership_error("key_file", problem));
         }
         Ok(key)
     }
 
-    /// All errors in the values.
+    /// Returns the first error in the addresses and the key, and all values that are out of their range.
     pub(crate) fn check(&self) -> Vec<ConfigError> {
         let mut errors: Vec<ConfigError> = self.join_parameters().err().into_iter().collect();
-        errors.extend(self.allowed_ranges().iter().filter_map(AllowedRange::check));
+        errors.extend(self.range_checks().iter().filter_map(RangeCheck::check));
         errors
     }
 
-    fn allowed_ranges(&self) -> [AllowedRange; 4] {
+    fn range_checks(&self) -> [RangeCheck; 4] {
         let period = self.probe_period_ms;
         let max_timeout = period.saturating_sub(1).max(5);
         [
-            AllowedRange { key: "probe_period_ms", value: period, min: 50, max: 60_000 },
-            AllowedRange { key: "probe_rtt_ms", value: self.probe_rtt_ms, min: 5, max: max_timeout },
-            AllowedRange { key: "indirect", value: self.indirect as u64, min: 1, max: 16 },
-            AllowedRange { key: "suspicion_ms", value: self.suspicion_ms, min: 100, max: 600_000 },
+            RangeCheck { key: "probe_period_ms", value: period, min: 50, max: 60_000 },
+            RangeCheck { key: "probe_rtt_ms", value: self.probe_rtt_ms, min: 5, max: max_timeout },
+            RangeCheck { key: "indirect", value: self.indirect as u64, min: 1, max: 16 },
+            RangeCheck { key: "suspicion_ms", value: self.suspicion_ms, min: 100, max: 600_000 },
         ]
     }
 }
 
-impl AllowedRange {
+impl RangeCheck {
     fn check(&self) -> Option<ConfigError> {
-        let AllowedRange { key, value, min, max } = self;
+        let RangeCheck { key, value, min, max } = self;
         let is_allowed = (min..=max).contains(&value);
-        (!is_allowed).then(|| error(key, format!("{value} is not in {min} to {max}")))
+        (!is_allowed).then(|| membership_error(key, format!("{value} is not in {min} to {max}")))
     }
 }
 
-fn error(key: &str, problem: impl std::fmt::Display) -> ConfigError {
+fn membership_error(key: &str, problem: impl std::fmt::Display) -> ConfigError {
     ConfigError::new(key, problem).within("membership")
 }
 
 fn parse_address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| error(key, format!("{text:?} is not an address with a port")))
+    text.parse().map_err(|_| membership_error(key, format!("{text:?} is not an address with a port")))
 }
--- a/crates/config/src/platform_file.rs
+++ b/crates/config/src/platform_file.rs
@@ -1,4 +1,4 @@
-//! The platform's file and environment variables: reading them, and checking each value.
+//! Reads the platform's file and environment variables, and checks each value.
 
 use crate::config::Config;
 use crate::deserialize::deserialize;
@@ -11,16 +11,16 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The variable that names the platform's file.
-const PLATFORM_FILE: &str = "RELAY_CONFIG";
-/// The variable with the descriptor of the clients' listening socket.
-const LISTEN_FD: &str = "RELAY_FD";
-/// The fewest descriptors that a node can work with.
+/// The environment variable with the path of the platform's file.
+const PLATFORM_FILE_VARIABLE: &str = "RELAY_CONFIG";
+/// The environment variable with the descriptor of an inherited listening socket for clients.
+const LISTEN_FD_VARIABLE: &str = "RELAY_FD";
+/// The fewest file descriptors that a node can work with.
 const MIN_SOCKETS: usize = 64;
-/// The least memory that a node can work with.
+/// The least memory that a node can work with, in megabytes.
 const MIN_MEMORY_MB: u64 = 32;
 
-/// The file as it is written.
+/// The keys of the platform's file. Those that a variable may replace are optional here and checked later.
 #[derive(Deserialize)]
 struct PlatformFile {
     #[serde(default)]
@@ -40,7 +40,7 @@
     settings: Value,
 }
 
-/// What the process may hold.
+/// Limits of the process: memory in megabytes, and the number of file descriptors (`sockets`).
 #[derive(Deserialize)]
 #[serde(default)]
 struct ProcessLimits {
@@ -54,38 +54,42 @@
     }
 }
 
-/// The text of a value, and the variable or key that it comes from.
+/// The text of a value, and the variable or key that it comes from, which an error names.
 struct SourcedText {
     source: String,
     text: String,
 }
 
-/// Reads the file named by `RELAY_CONFIG`.
+/// Reads the file that the variable `RELAY_CONFIG` names, without checking its keys.
 pub(crate) fn read_file(env: &impl Fn(&str) -> Option<String>) -> Result<Value, ConfigError> {
-    let path = env(PLATFORM_FILE).ok_or_else(|| ConfigError::new(PLATFORM_FILE, "not set"))?;
+    let path =
+        env(PLATFORM_FILE_VARIABLE).ok_or_else(|| ConfigError::new(PLATFORM_FILE_VARIABLE, "not set"))?;
     let text = std::fs::read_to_string(&path)
-        .map_err(|error| ConfigError::new(PLATFORM_FILE, format!("cannot read {path}: {error}")))?;
+        .map_err(|error| ConfigError::new(PLATFORM_FILE_VARIABLE, format!("cannot read {path}: {error}")))?;
     parse_json(&text)
 }
 
 pub(crate) fn parse_json(text: &str) -> Result<Value, ConfigError> {
-    serde_json::from_str(text).map_err(|error| ConfigError::new(PLATFORM_FILE, error))
+    serde_json::from_str(text).map_err(|error| ConfigError::new(PLATFORM_FILE_VARIABLE, error))
 }
 
-/// Checks the file and the variables that take precedence over it. The operators' settings have their
-/// defaults.
+/// Checks the parsed file and the variables that take precedence over its keys. The operators' settings have
+/// their defaults.
 ///
 /// # Errors
-/// All errors of both.
-pub(crate) fn check(written: Value, env: &impl Fn(&str) -> Option<String>) -> Result<Config, ConfigErrors> {
-    let file: PlatformFile = deserialize("", written.clone())?;
+/// All errors in the file and the variables.
+pub(crate) fn check(
+    platform_json: Value,
+    env: &impl Fn(&str) -> Option<String>,
+) -> Result<Config, ConfigErrors> {
+    let file: PlatformFile = deserialize("", platform_json.clone())?;
     let mut errors = ErrorCollector::default();
     let name = errors.ok(variable_or_key(env, "RELAY_NAME", "name", file.name));
     let listen = errors.ok(address(env, "RELAY_LISTEN", "listen", file.listen));
     let discovery = errors.ok(address(env, "RELAY_DISCOVERY", "discovery", file.discovery));
     let ops = match (env("RELAY_OPS"), file.ops) {
         (None, None) => None,
-        (_, in_file) => errors.ok(address(env, "RELAY_OPS", "ops", in_file)),
+        (_, file_value) => errors.ok(address(env, "RELAY_OPS", "ops", file_value)),
     };
     errors.ok(listen_fd(env));
     let seed = errors.ok(seed(file.seed));
@@ -99,7 +103,7 @@
     let (Some(name), Some(listen), Some(discovery), Some(seed), Some(settings), Some(known), true) =
         (name, listen, discovery, seed, settings, known, errors.is_empty())
     else {
-        let missing = || unreachable!("a missing value has left an error");
+        let missing = || unreachable!("an error was recorded for each missing value");
         return ConfigErrors::ok_if_empty(errors.into_errors(), missing);
     };
     Ok(Config {
@@ -120,21 +124,21 @@
         max_list_staleness: settings.max_list_staleness,
         load_fields: settings.load_fields,
         settings: settings.settings,
-        written,
+        platform_json,
     })
 }
 
-/// The value of a variable, or else of a key in the file.
+/// The value of the variable if it is set, otherwise `file_value`, the value of the key in the file.
 fn variable_or_key(
     env: &impl Fn(&str) -> Option<String>,
     variable: &str,
     key: &str,
-    in_file: Option<String>,
+    file_value: Option<String>,
 ) -> Result<SourcedText, ConfigError> {
     if let Some(text) = env(variable) {
         return Ok(SourcedText { source: variable.to_string(), text });
     }
-    let text = in_file.ok_or_else(|| ConfigError::new(key, "missing"))?;
+    let text = file_value.ok_or_else(|| ConfigError::new(key, "missing"))?;
     Ok(SourcedText { source: key.to_string(), text })
 }
 
@@ -142,9 +146,9 @@
     env: &impl Fn(&str) -> Option<String>,
     variable: &str,
     key: &str,
-    in_file: Option<String>,
+    file_value: Option<String>,
 ) -> Result<SocketAddr, ConfigError> {
-    let SourcedText { source, text } = variable_or_key(env, variable, key, in_file)?;
+    let SourcedText { source, text } = variable_or_key(env, variable, key, file_value)?;
     text.parse().map_err(|_| ConfigError::new(source, format!("{text:?} is not an address with a port")))
 }
 
@@ -161,7 +165,7 @@
     value.map_or(Ok(DiscoveryList::default()), |value| deserialize("known", value))
 }
 
-/// The seed is written as a string of hexadecimal digits, or as a number.
+/// Reads the seed: a string of hexadecimal digits, or a non-negative integer of 64 bits.
 fn seed(value: Option<Value>) -> Result<u64, ConfigError> {
     match value {
         None => Err(ConfigError::new("seed", "missing")),
@@ -175,15 +179,15 @@
     }
 }
 
-/// The descriptor at which the platform hands over the clients' listening socket, by `RELAY_FD`; `None` if
-/// the node is to open the socket itself.
+/// The descriptor of the listening socket for clients that the process inherits, from the variable
+/// `RELAY_FD`; `None` if the variable is not set, and the node opens the socket itself.
 ///
 /// # Errors
-/// `RELAY_FD` is not the number of a descriptor.
+/// The value of `RELAY_FD` is not a non-negative integer. Whether the descriptor is open is not checked.
 pub fn listen_fd(env: &impl Fn(&str) -> Option<String>) -> Result<Option<i32>, ConfigError> {
-    let Some(text) = env(LISTEN_FD) else { return Ok(None) };
+    let Some(text) = env(LISTEN_FD_VARIABLE) else { return Ok(None) };
     match text.parse::<i32>() {
         Ok(number) if number >= 0 => Ok(Some(number)),
-        _ => Err(ConfigError::new(LISTEN_FD, format!("{text:?} is not the number of a descriptor"))),
+        _ => Err(ConfigError::new(LISTEN_FD_VARIABLE, format!("{text:?} is not the number of a descriptor"))),
     }
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,5 @@
-//! Checks the platform's settings, and converts them to those of the decision module.
+//! Checks the object `settings` of the platform's file, and converts it to the settings of the dispatcher and
+//! of the rest of the node. Times are in microseconds.
 
 use crate::deserialize::deserialize;
 use crate::error::ConfigError;
@@ -9,16 +10,16 @@
     Class, Idempotency, Limits, Micros, Penalties, ReportFields, Scope, Settings, SlowStartRules,
 };
 
-/// A request class as the protocol names it.
+/// A request class, as far as the front end needs it. The dispatcher has its own [`Class`] for each.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Its name in a request.
+    /// The name by which requests select the class.
     pub name: String,
-    /// Whether its requests carry an idempotency key.
+    /// Whether a request without an idempotency key is invalid.
     pub requires_idempotency_key: bool,
 }
 
-/// What the settings mean to the decision module and to the rest of the node.
+/// The checked settings, for the dispatcher (`settings`) and the rest of the node (all other fields).
 pub(crate) struct NodeSettings {
     pub(crate) names: ZoneAndKindNames,
     pub(crate) classes: Vec<RequestClass>,
@@ -31,10 +32,10 @@
 }
 
 impl NodeSettings {
-    /// Checks the settings.
+    /// Checks and converts the settings.
     ///
     /// # Errors
-    /// The first error; its path begins at the object that holds `settings`.
+    /// The first error found. The path of its key begins with `settings`.
     pub(crate) fn new(file: SettingsFile) -> Result<NodeSettings, ConfigError> {
         let settings = settings(&file).map_err(|error| error.within("settings"))?;
         let classes = request_classes(&file, &settings)?;
@@ -51,28 +52,29 @@
     }
 }
 
-/// The names of the classes, in the settings' order. A node needs them, and the simulator does not.
+/// The classes for the front end, in the order of the settings. Only a node requires that each has a name: in
+/// the simulator's messages requests select their class by index.
 fn request_classes(file: &SettingsFile, settings: &Settings) -> Result<Vec<RequestClass>, ConfigError> {
     if let Some(index) = file.classes.iter().position(|class| class.name.is_empty()) {
         return Err(ConfigError::new(format!("settings.grades[{index}].name"), "missing"));
     }
-    let name = |(entry, class): (&ClassEntry, &Class)| RequestClass {
+    let request_class = |(entry, class): (&ClassEntry, &Class)| RequestClass {
         name: entry.name.clone(),
         requires_idempotency_key: matches!(class.idempotency, Idempotency::Keyed { .. }),
     };
-    Ok(file.classes.iter().zip(&settings.classes).map(name).collect())
+    Ok(file.classes.iter().zip(&settings.classes).map(request_class).collect())
 }
 
-/// Reads the settings of the decision module from JSON.
+/// Reads the dispatcher's settings from an object with the keys of `settings` in the platform's file.
 ///
 /// # Errors
-/// The first error; its path begins at `parent`.
+/// The first error found. The path of its key begins with `parent`.
 pub fn settings_from_json(parent: &str, value: Value) -> Result<Settings, ConfigError> {
     let file: SettingsFile = deserialize(parent, value)?;
     settings(&file).map_err(|error| error.within(parent))
 }
 
-/// The settings of the decision module.
+/// Checks the settings, and converts them to those of the dispatcher.
 fn settings(file: &SettingsFile) -> Result<Settings, ConfigError> {
     check_times(file)?;
     check_ranges(file)?;
@@ -147,7 +149,8 @@
     classes.collect()
 }
 
-/// A class. `stretch` and `kind` are what the service's facts say about it.
+/// Converts a class. `stretch` and `kind` are its entries in
+/// [`ServiceEntry`](crate::settings_file::ServiceEntry), if there are any.
 fn class(entry: &ClassEntry, stretch: Option<f64>, kind: Option<i64>) -> Result<Class, ConfigError> {
     let idempotency = idempotency(entry)?;
     check_not_negative("aim", entry.latency_objective)?;
@@ -207,7 +210,8 @@
     }
 }
 
-/// The load report's fields that the decision module uses.
+/// The indexes of those values of a load report that the dispatcher uses. The field `x0` counts only if the
+/// settings describe it as the free slots.
 fn report_fields(file: &SettingsFile) -> ReportFields {
     let x0_is_free_slots = file.service.report_x0.contains("free slots");
     ReportFields {
--- a/crates/config/src/settings_file.rs
+++ b/crates/config/src/settings_file.rs
@@ -1,5 +1,5 @@
-//! The settings as the platform writes them. The platform's keys are mapped to the names of this repository
-//! here, and nowhere else. Unknown keys are ignored. Times are in microseconds.
+//! The object `settings` of the platform's file. Its keys are mapped to the names of this repository by serde
+//! attributes in this module only. Unknown keys are ignored. Times are in microseconds.
 
 use serde::Deserialize;
 use sorrelhaven_dispatcher::Micros;
@@ -24,20 +24,22 @@
     DEFAULT_MAX_LIST_STALENESS
 }
 
-/// The settings of one dispatcher.
+/// The settings of one dispatcher. A field without a description is described where the dispatcher's
+/// [`Settings`](sorrelhaven_dispatcher::Settings) or [`Config`](crate::Config) have it.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct SettingsFile {
-    /// The number of dispatchers.
+    /// The number of dispatchers that share the workers.
     #[serde(rename = "balancers")]
     pub(crate) instances: u32,
-    /// The index of this dispatcher among them.
+    /// The index of this dispatcher among them, from 0.
     #[serde(rename = "me", default)]
     pub(crate) instance: u32,
-    /// The index of this dispatcher's zone.
+    /// The index in `zones` of the zone of this dispatcher.
     #[serde(default)]
     pub(crate) zone: usize,
-    /// How the worker list arrives: `automatic` or `subscribe`.
+    /// How the worker list arrives: `automatic` if its changes are sent unasked, `subscribe` if the
+    /// dispatcher has to ask for them.
     #[serde(default)]
     pub(crate) discovery: String,
     #[serde(rename = "kinds", default)]
@@ -60,15 +62,15 @@
     pub(crate) penalties: PenaltiesEntry,
     #[serde(rename = "callers", default)]
     pub(crate) clients: ClientsEntry,
-    /// The time between two ticks.
+    /// The least time between two events of the dispatcher.
     #[serde(rename = "round", default)]
     pub(crate) tick: Micros,
-    /// Whether the weights of workers include their load: `live` if so.
+    /// `live` if the weights of workers are lowered by the load that they had at some earlier time.
     #[serde(default)]
     pub(crate) weights: String,
 }
 
-/// A request class.
+/// A request class. See [`Class`](sorrelhaven_dispatcher::Class) for the fields without a description.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct ClassEntry {
@@ -82,7 +84,8 @@
     /// `idempotent`, `at_most_once` or `deduplicated`.
     #[serde(rename = "effect")]
     pub(crate) idempotency: String,
-    /// Where the idempotency keys of a `deduplicated` class are known: `all`, `zone` or `cell`.
+    /// The workers that recognise a repeated idempotency key of a `deduplicated` class: `all`, or those in
+    /// the same `zone` or `cell`.
     #[serde(default)]
     pub(crate) dedup_scope: String,
     #[serde(rename = "repeatWindow", default)]
@@ -93,14 +96,15 @@
     pub(crate) late_fraction: f64,
 }
 
-/// A tenant.
+/// A tenant, of which only the name is used.
 #[derive(Deserialize)]
 pub(crate) struct TenantEntry {
     #[serde(default)]
     pub(crate) name: String,
 }
 
-/// What the platform permits.
+/// What the platform permits. See [`Limits`](sorrelhaven_dispatcher::Limits) for the fields without a
+/// description.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct LimitsEntry {
@@ -115,16 +119,18 @@
     pub(crate) max_retry_after: Micros,
     #[serde(rename = "mayProbe", default)]
     pub(crate) probes: bool,
+    /// Whether rejected clients are told when to retry; if not, `max_retry_after` is ignored.
     #[serde(rename = "retryAfter", default)]
     pub(crate) sends_retry_after: bool,
     #[serde(rename = "secondCopies", default)]
     pub(crate) hedging: bool,
 }
 
-/// The parameters of the platform's rules.
+/// The parameters of the platform's rules: slow start of workers, draining, and staleness of the worker list.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct RulesEntry {
+    /// The duration of the slow start of a worker whose process has just started.
     #[serde(rename = "cold", default)]
     pub(crate) slow_start: Micros,
     #[serde(rename = "askWithin", default = "default_max_list_staleness")]
@@ -141,30 +147,32 @@
     pub(crate) rejection_may_have_run: bool,
 }
 
-/// Facts about this kind of service.
+/// Properties of the service that the workers provide.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct ServiceEntry {
-    /// The worker kind that each class prefers; negative for none.
+    /// For each class, the index in `worker_kinds` of the only kind that runs it; negative if all kinds do.
     pub(crate) class_kind: Vec<i64>,
-    /// The objective stretch of each class, before that of the class itself.
+    /// For each class, its objective stretch, which takes precedence over `ClassEntry::objective_stretch`.
     pub(crate) class_stretch: Vec<f64>,
     #[serde(rename = "progress")]
     pub(crate) progress_interval: Micros,
-    /// What the field `x0` of a load report means.
+    /// A description of the load report's field `x0`.
     pub(crate) report_x0: String,
     #[serde(rename = "tellsStart")]
     pub(crate) reports_start: bool,
 }
 
-/// Properties of the clients.
+/// How clients behave.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct ClientsEntry {
+    /// Whether clients mark a request that they send again as a retry.
     pub(crate) marks_retry: bool,
 }
 
-/// The penalties in the platform's score.
+/// The deductions in the platform's score of a dispatcher. See
+/// [`Penalties`](sorrelhaven_dispatcher::Penalties).
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct PenaltiesEntry {
@@ -173,22 +181,23 @@
     pub(crate) cross_zone: f64,
 }
 
-/// The load reports of workers.
+/// The form of the workers' load reports.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(crate) struct LoadReportEntry {
+    /// The names of a report's values, in their order.
     fields: Vec<String>,
-    /// How reports arrive: `answers` if responses carry them.
+    /// How reports arrive: `answers` if workers attach them to responses.
     how: String,
 }
 
 impl LoadReportEntry {
-    /// The index of a field.
+    /// The index in a report of the value with this name.
     pub(crate) fn field_index(&self, name: &str) -> Option<usize> {
         self.fields.iter().position(|field| field == name)
     }
 
-    /// The fields that responses carry, in the report's order; none if responses carry no reports.
+    /// The names of the values in a report, in their order; empty if responses carry no reports.
     pub(crate) fn fields_in_responses(&self) -> Vec<String> {
         if self.how == "answers" { self.fields.clone() } else { Vec::new() }
     }
--- a/crates/config/src/unknown_keys.rs
+++ b/crates/config/src/unknown_keys.rs
@@ -1,21 +1,22 @@
-//! Finds keys that the operators' file must not have, and suggests the key that was meant.
+//! Finds unknown keys in the operators' file, and suggests the known key that is most similar.
 
 use crate::error::{ConfigError, join_keys};
 use serde_json::Value;
 
-/// How similar a known key must be to an unknown one to be suggested, from 0 to 1.
+/// The least Jaro-Winkler similarity, from 0 to 1, of a known key that is suggested for an unknown one.
 const MIN_SIMILARITY: f64 = 0.6;
 
-/// Removes the keys of `written` that `defaults` does not have, and records an error for each.
+/// Removes the keys of `document`, at any depth, that `defaults` does not have, and records an error for
+/// each. `parent` is the path of `document`.
 pub(crate) fn remove_unknown_keys(
     parent: &str,
-    written: &mut Value,
+    document: &mut Value,
     defaults: &Value,
     errors: &mut Vec<ConfigError>,
 ) {
-    let (Value::Object(written), Value::Object(defaults)) = (written, defaults) else { return };
+    let (Value::Object(object), Value::Object(defaults)) = (document, defaults) else { return };
     let known_keys: Vec<&str> = defaults.keys().map(String::as_str).collect();
-    written.retain(|key, value| {
+    object.retain(|key, value| {
         let path = join_keys(parent, key);
         let Some(default) = defaults.get(key) else {
             errors.push(ConfigError::new(path, describe_unknown_key(key, &known_keys)));
--- a/crates/config/tests/operator.rs
+++ b/crates/config/tests/operator.rs
@@ -1,8 +1,9 @@
-//! The operators' file: its defaults, what contradicts itself, and the key that each error names.
+//! Reading the operators' file: defaults, unknown keys, values that contradict each other, and the key that
+//! each error names.
 
 use sorrelhaven_config::{Config, ConfigErrors, NotStoredPolicy, OperatorSettings};
 
-/// The errors of a file, for a process that may hold 64 MB.
+/// The errors of reading and checking a file, for a process that may use 64 MB.
 fn errors(text: &str) -> Vec<String> {
     let checked = OperatorSettings::parse(text)
         .and_then(|operator| ConfigErrors::ok_if_empty(operator.check(64), || operator));
@@ -11,30 +12,30 @@
 
 #[test]
 fn an_empty_file_has_every_default() {
-    let operator = OperatorSettings::parse("{}").expect("a file");
+    let operator = OperatorSettings::parse("{}").expect("an empty object is valid");
     assert_eq!(operator, OperatorSettings::default());
     assert_eq!(
         (operator.bodies.largest_bytes, operator.bodies.not_stored),
         (65_536, NotStoredPolicy::Stream)
     );
-    assert_eq!(operator.bodies.files.directory, None, "no files without a directory");
-    assert_eq!(operator.check(32), [], "the defaults fit the smallest node");
+    assert_eq!(operator.bodies.files.directory, None, "without a directory no bodies are stored in files");
+    assert_eq!(operator.check(32), [], "the defaults fit into the least memory that a node may have");
 }
 
-/// The example and the schema are those of the program, so that they are never outdated.
+/// The example and the schema in `deploy` must change whenever a key or a default does.
 #[test]
 fn the_example_and_the_schema_in_deploy_are_those_of_the_program() {
     let read = |name: &str| {
         let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy").join(name);
-        std::fs::read_to_string(path).expect("a file of this repository")
+        std::fs::read_to_string(path).expect("the file is in deploy")
     };
     let example = read("operator.example.json");
-    assert_eq!(OperatorSettings::parse(&example).expect("a file"), OperatorSettings::default());
-    let written: serde_json::Value = serde_json::from_str(&example).expect("JSON");
+    assert_eq!(OperatorSettings::parse(&example).expect("the example is valid"), OperatorSettings::default());
+    let written: serde_json::Value = serde_json::from_str(&example).expect("the example is JSON");
     assert_eq!(
         written,
-        serde_json::to_value(OperatorSettings::default()).expect("plain values"),
-        "every key"
+        serde_json::to_value(OperatorSettings::default()).expect("settings can be serialized"),
+        "the example holds every key"
     );
     assert_eq!(read("operator.schema.json").trim(), OperatorSettings::schema().trim());
 }
@@ -48,12 +49,13 @@
     assert_eq!(errors(r#"{"xyzzy":1}"#), ["xyzzy: unknown key; known are bodies, membership"]);
 }
 
-/// One run reports all errors, so that nobody has to correct a file by trial.
+/// Deserialization stops at the first error, but one run must report them all.
 #[test]
 fn all_errors_are_found_at_once() {
     let text = r#"{"bodies":{"largest_bytes":"big","unkept":"drop","memory":{"total_bytes":-1,"each":1}}}"#;
     let found = errors(text);
-    let keys: Vec<&str> = found.iter().map(|error| error.split(": ").next().expect("a key")).collect();
+    let keys: Vec<&str> =
+        found.iter().map(|error| error.split(": ").next().expect("the error names a key")).collect();
     assert_eq!(
         keys,
         ["bodies.memory.each", "bodies.largest_bytes", "bodies.memory.total_bytes", "bodies.unkept"],
@@ -82,18 +84,19 @@
     assert_eq!(
         errors(r#"{"bodies":{"files":{"each_bytes":9}}}"#),
         [""; 0],
-        "without a directory it does not matter"
+        "the size of files is not checked if no directory is set"
     );
 }
 
-/// The error of a missing file names the variable; the errors of both files are reported together.
+/// The platform's file and the operators' file are both invalid; the error of a missing operators' file names
+/// the variable.
 #[test]
 fn the_errors_of_both_files_are_reported_together() {
     let dir = std::env::temp_dir().join(format!("sorrelhaven-both-{}", std::process::id()));
-    std::fs::create_dir_all(&dir).expect("a directory");
+    std::fs::create_dir_all(&dir).expect("the temporary directory is created");
     let path = |name: &str| dir.join(name).display().to_string();
-    std::fs::write(path("p"), r#"{"listen":"here","settings":{}}"#).expect("a file");
-    std::fs::write(path("o"), r#"{"bodys":{}}"#).expect("a file");
+    std::fs::write(path("p"), r#"{"listen":"here","settings":{}}"#).expect("the file is written");
+    std::fs::write(path("o"), r#"{"bodys":{}}"#).expect("the file is written");
     let load = |operator: &str| {
         let (platform, operator) = (path("p"), path(operator));
         let env = move |name: &str| match name {
@@ -101,23 +104,22 @@
             "SORRELHAVEN_OPERATOR" => Some(operator.clone()),
             _ => None,
         };
-        let errors = Config::load(env).expect_err("errors");
+        let errors = Config::load(env).expect_err("both files are invalid");
         errors.iter().map(|error| error.key().to_string()).collect::<Vec<_>>()
     };
     assert_eq!(load("o"), ["name", "listen", "discovery", "seed", "settings", "bodys"]);
-    assert_eq!(load("none").last().expect("an error"), "SORRELHAVEN_OPERATOR");
-    std::fs::remove_dir_all(&dir).expect("it was there");
+    assert_eq!(load("none").last().expect("there are errors"), "SORRELHAVEN_OPERATOR");
+    std::fs::remove_dir_all(&dir).expect("the temporary directory exists");
 }
 
-/// Membership is off by default; if it is on, all that it needs is there and valid, and each error names its
-/// key.
+/// Membership is off by default. If it is on, a missing or invalid value is an error that names its key.
 #[test]
 fn membership_is_off_or_complete() {
     assert_eq!(OperatorSettings::default().membership.join_parameters(), Ok(None));
     let dir = std::env::temp_dir().join(format!("sorrelhaven-key-{}", std::process::id()));
-    std::fs::create_dir_all(&dir).expect("a directory");
+    std::fs::create_dir_all(&dir).expect("the temporary directory is created");
     let key = |name: &str, text: &str| {
-        std::fs::write(dir.join(name), text).expect("a file");
+        std::fs::write(dir.join(name), text).expect("the key file is written");
         format!("{:?}", dir.join(name).display().to_string())
     };
     let (good, short) = (key("good", " sixteen bytes or more\n"), key("short", "short\n"));
@@ -138,11 +140,11 @@
     let complete =
         format!(r#"{{"membership":{{"listen":"127.0.0.1:1","key_file":{good},"seeds":["127.0.0.1:2"]}}}}"#);
     let peers = OperatorSettings::parse(&complete)
-        .expect("a file")
+        .expect("the file has the right form")
         .membership
         .join_parameters()
-        .expect("complete")
-        .expect("on");
+        .expect("the membership settings are valid")
+        .expect("membership is on");
     assert_eq!((peers.key.as_slice(), peers.seeds.len()), (b"sixteen bytes or more".as_slice(), 1));
-    std::fs::remove_dir_all(&dir).expect("it was there");
+    std::fs::remove_dir_all(&dir).expect("the temporary directory exists");
 }
