--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -2,7 +2,7 @@
 //! error names.
 
 use sorrelhaven_config::{Config, settings_from_json};
-use sorrelhaven_dispatcher::{Idempotency, Scope};
+use sorrelhaven_dispatcher::{DedupScope, Idempotency};
 
 const SETTINGS: &str = r#"{"balancers":2,"me":1,"zones":["a","b"],"zone":1,"kinds":["k"],"new":{"x":[1]},
     "ceilings":{"maxAttempts":3,"maxRetryAfter":2000000},"invariants":{},
@@ -31,7 +31,10 @@
         config.settings.limits.max_retry_after, 0,
         "without the setting retryAfter no Retry-After is sent"
     );
-    assert_eq!(config.settings.classes[1].idempotency, Idempotency::Keyed { scope: Scope::Cell, window: 9 });
+    assert_eq!(
+        config.settings.classes[1].idempotency,
+        Idempotency::Keyed { scope: DedupScope::Cell, window: 9 }
+    );
     assert_eq!(
         config.classes.iter().map(|class| class.requires_idempotency_key).collect::<Vec<_>>(),
         [false, true]
