--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -92,9 +92,9 @@
         },
         clients_mark_retries: file.clients.marks_retry,
         worker_list_needs_watch: file.discovery == "subscribe",
-        workers_report_start: file.service.reports_start,
+        workers_report_start: file.service.workers_report_start,
         progress_interval: file.service.progress_interval,
-        min_timer_delay: file.tick,
+        min_timer_delay: file.min_timer_delay,
         weights_include_load: file.weights == "live",
         report_fields: report_fields(file),
     })
@@ -110,7 +110,7 @@
         ("invariants.drainGrace", file.rules.drain_grace),
         ("invariants.fall", file.rules.overload_window),
         ("familyInfo.progress", file.service.progress_interval),
-        ("round", file.tick),
+        ("round", file.min_timer_delay),
     ];
     times.into_iter().try_for_each(|(key, time)| check_not_negative(key, time))
 }
@@ -164,7 +164,7 @@
         objective_stretch: stretch.or(entry.objective_stretch).unwrap_or(0.0),
         deadline: entry.deadline,
         priority_weight: entry.priority_weight,
-        late_value_fraction: entry.late_fraction,
+        late_value_fraction: entry.late_value_fraction,
         worker_kind: kind.and_then(|kind| usize::try_from(kind).ok()),
     })
 }
@@ -173,14 +173,15 @@
     match entry.idempotency.as_str() {
         "idempotent" => Ok(Idempotency::Idempotent),
         "at_most_once" => Ok(Idempotency::NotIdempotent),
-        "deduplicated" => {
-            Ok(Idempotency::Keyed { scope: scope(&entry.dedup_scope)?, window: entry.idempotency_window })
-        }
+        "deduplicated" => Ok(Idempotency::Keyed {
+            scope: dedup_scope(&entry.dedup_scope)?,
+            window: entry.idempotency_window,
+        }),
         other => Err(ConfigError::new("effect", format!("unknown effect {other:?}"))),
     }
 }
 
-fn scope(text: &str) -> Result<DedupScope, ConfigError> {
+fn dedup_scope(text: &str) -> Result<DedupScope, ConfigError> {
     match text {
         "all" => Ok(DedupScope::All),
         "zone" => Ok(DedupScope::Zone),
--- a/crates/config/src/settings_file.rs
+++ b/crates/config/src/settings_file.rs
@@ -62,9 +62,9 @@
     pub(crate) penalties: PenaltiesEntry,
     #[serde(rename = "callers", default)]
     pub(crate) clients: ClientsEntry,
-    /// The least time between two events of the dispatcher.
+    /// The least delay of a timer that the dispatcher sets.
     #[serde(rename = "round", default)]
-    pub(crate) tick: Micros,
+    pub(crate) min_timer_delay: Micros,
     /// `live` if the weights of workers are lowered by the load that they had at some earlier time.
     #[serde(default)]
     pub(crate) weights: String,
@@ -93,7 +93,7 @@
     #[serde(rename = "value", default = "one")]
     pub(crate) priority_weight: f64,
     #[serde(rename = "lateValue", default)]
-    pub(crate) late_fraction: f64,
+    pub(crate) late_value_fraction: f64,
 }
 
 /// A tenant, of which only the name is used.
@@ -160,7 +160,7 @@
     /// A description of the load report's field `x0`.
     pub(crate) report_x0: String,
     #[serde(rename = "tellsStart")]
-    pub(crate) reports_start: bool,
+    pub(crate) workers_report_start: bool,
 }
 
 /// How clients behave.
--- a/crates/wire/src/body.rs
+++ b/crates/wire/src/body.rs
@@ -1,36 +1,38 @@
-//! Decodes bodies as RFC 9112 frames them: a length, chunks, or all input until the connection closes.
+//! Decodes message bodies framed as in RFC 9112, section 6: by a length, in chunks, or by the end of the
+//! connection.
 
 use crate::error::WireError;
 
-/// The longest line that a chunk's size or the trailer may have.
+/// The greatest length of a chunk's size line and of a line of the trailer section.
 const MAX_CHUNK_LINE_BYTES: usize = 1024;
 
-/// The state of decoding a body.
+/// A decoder of one body. Its variant says what the next byte of input belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyDecoder {
-    /// This many bytes follow.
+    /// The content of a body with a `Content-Length`, of which this many bytes remain.
     Length(usize),
-    /// Everything until the connection closes follows.
+    /// The content of a body that ends when the peer closes the connection.
     UntilClosed,
-    /// The size line of a chunk follows.
+    /// The size line of a chunk.
     ChunkSize,
-    /// This many bytes of a chunk follow.
+    /// The content of a chunk, of which this many bytes remain.
     Chunk(usize),
-    /// The line end after a chunk follows.
+    /// The line end after the content of a chunk.
     ChunkEnd,
-    /// The lines of the trailer follow.
+    /// A line of the trailer section.
     Trailer,
     /// The body is complete.
     Done,
 }
 
 impl BodyDecoder {
-    /// Appends the content that `input` holds to `out`, and returns how many bytes of `input` were consumed.
-    /// A line that is incomplete at the end of `input` is not consumed.
+    /// Appends the content that `input` holds to `content`, and returns how many bytes of `input` were
+    /// consumed. A framing line that is incomplete at the end of `input` is not consumed; it must be passed
+    /// again with more input. Bytes after the body are not consumed.
     ///
     /// # Errors
-    /// The framing is malformed, or a chunk's size exceeds the address space.
-    pub fn decode(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, WireError> {
+    /// `Malformed` if the framing is invalid. `BodyTooLarge` if a chunk's size exceeds the address space.
+    pub fn decode(&mut self, input: &[u8], content: &mut Vec<u8>) -> Result<usize, WireError> {
         let mut used = 0;
         loop {
             if matches!(self, BodyDecoder::Done | BodyDecoder::Length(0)) {
@@ -41,30 +43,30 @@
             if rest.is_empty() {
                 return Ok(used);
             }
-            match self.decode_part(rest, out)? {
+            match self.decode_part(rest, content)? {
                 Some(length) => used += length,
                 None => return Ok(used),
             }
         }
     }
 
-    /// Decodes one part of the framing from `input`, which is not empty, and returns its length; `None` while
-    /// its line is incomplete.
-    fn decode_part(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<Option<usize>, WireError> {
+    /// Decodes one framing line, or the available content, from the beginning of `input`, which must not be
+    /// empty. Returns the number of bytes consumed, or `None` if a framing line is incomplete.
+    fn decode_part(&mut self, input: &[u8], content: &mut Vec<u8>) -> Result<Option<usize>, WireError> {
         match *self {
             BodyDecoder::Done => Ok(None),
             BodyDecoder::Length(remaining) => {
-                let length = copy_content(input, remaining, out);
+                let length = copy_content(input, remaining, content);
                 *self = BodyDecoder::Length(remaining - length);
                 Ok(Some(length))
             }
             BodyDecoder::UntilClosed => {
-                out.extend_from_slice(input);
+                content.extend_from_slice(input);
                 Ok(Some(input.len()))
             }
             BodyDecoder::ChunkSize => self.decode_chunk_size(input),
             BodyDecoder::Chunk(remaining) => {
-                let length = copy_content(input, remaining, out);
+                let length = copy_content(input, remaining, content);
                 *self = if length == remaining {
                     BodyDecoder::ChunkEnd
                 } else {
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Skips a line of the trailer; an empty line ends the body.
+    /// Skips a line of the trailer section; an empty line ends the body.
     fn decode_trailer_line(&mut self, input: &[u8]) -> Result<Option<usize>, WireError> {
         match input.iter().position(|&byte| byte == b'\n') {
             Some(end) => {
@@ -118,9 +120,9 @@
     }
 }
 
-/// Appends up to `remaining` bytes of `input` to `out`, and returns how many.
-fn copy_content(input: &[u8], remaining: usize, out: &mut Vec<u8>) -> usize {
+/// Appends up to `remaining` bytes of `input` to `content`, and returns how many.
+fn copy_content(input: &[u8], remaining: usize, content: &mut Vec<u8>) -> usize {
     let length = remaining.min(input.len());
-    out.extend_from_slice(&input[..length]);
+    content.extend_from_slice(&input[..length]);
     length
 }
--- a/crates/wire/src/connect.rs
+++ b/crates/wire/src/connect.rs
@@ -10,17 +10,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a call is repeated for which the system lacks resources.
+/// How long a call is retried that fails because the system lacks resources.
 const SHORTAGE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A socket that is registered with the event loop. The stream is shared with
-/// [`PeerCloseDetector`](crate::PeerCloseDetector), which observes the connection beside its reader.
+/// A socket that is registered with the event loop. The stream is shared with each
+/// [`PeerCloseDetector`](crate::PeerCloseDetector), which another task than the reader may hold.
 pub(crate) type Socket = Async<Arc<TcpStream>>;
 
-/// Connects to `address`. A shortage of this machine is retried for [`SHORTAGE_TIMEOUT`].
+/// Connects to `address`. While this machine lacks resources, retries for [`SHORTAGE_TIMEOUT`].
 ///
 /// # Errors
-/// The error of the last attempt; `classify` with [`SocketCall::Connect`] shows whether the peer is at fault.
+/// The error of the last try. `classify` with [`SocketCall::Connect`] tells whether it concerns the peer or
+/// this machine.
 pub(crate) async fn connect(address: SocketAddr) -> io::Result<Socket> {
     retry_on_shortage(SocketCall::Connect, SHORTAGE_TIMEOUT, async || connect_once(address).await).await
 }
@@ -30,7 +31,7 @@
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     let socket = rustix::net::socket_with(family, SocketType::STREAM, flags, Some(ipproto::TCP))?;
     match rustix::net::connect(&socket, &address) {
-        // An interrupted connect continues in the background, like one that takes its time.
+        // POSIX: a connect that a signal interrupts continues in the background, like one in progress.
         Ok(()) | Err(Errno::INPROGRESS | Errno::INTR) => {}
         Err(error) => return Err(error.into()),
     }
@@ -42,11 +43,11 @@
     }
 }
 
-/// Registers a stream with the event loop. A shortage is retried for [`SHORTAGE_TIMEOUT`]: an accepted
-/// connection must not be dropped for a transient lack of memory.
+/// Registers a stream with the event loop. While this machine lacks resources, retries for
+/// [`SHORTAGE_TIMEOUT`]: an accepted connection must not be dropped for a transient lack of memory.
 ///
 /// # Errors
-/// The error of the last attempt.
+/// The error of the last try.
 pub(crate) async fn register(stream: TcpStream) -> io::Result<Socket> {
     stream.set_nonblocking(true)?;
     let stream = Arc::new(stream);
--- a/crates/wire/src/errno.rs
+++ b/crates/wire/src/errno.rs
@@ -1,12 +1,12 @@
-//! Classifies the errors of system calls on sockets. No other module compares error numbers of sockets.
+//! Classifies the errors of system calls on sockets. No other module compares the error numbers of such
+//! calls: it passes the error to [`classify`] and acts on the [`SocketFailure`].
 //!
-//! `docs/errnos.md` has the table of calls and errors that this follows. The caller of a system call passes
-//! its error to [`classify`] and acts on the [`SocketFailure`].
+//! The classification follows the table of calls and errors in `docs/errnos.md`.
 
 use rustix::io::Errno;
 use std::io;
 
-/// The system calls whose errors have different meanings.
+/// A group of system calls, in which equal error numbers have the same meaning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketCall {
     /// `accept4` on a listener.
@@ -19,23 +19,24 @@
     Transfer,
 }
 
-/// The meaning of a failed call.
+/// The cause of a failed call, as far as it decides how to proceed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketFailure {
-    /// A signal interrupted the call: it is to be repeated at once.
+    /// A signal interrupted the call, which is to be repeated at once.
     Interrupted,
-    /// The call would block: it is to be repeated when the socket is ready.
+    /// The call would block. It is to be repeated when the socket is ready.
     NotReady,
-    /// The process has reached its own limit of descriptors.
+    /// The process has reached its limit of open file descriptors.
     DescriptorLimit,
-    /// The machine is short of a resource (memory, buffers, ports, a route): the call is to be repeated after
-    /// a pause. Says nothing about the peer.
+    /// This machine lacks a resource (memory, buffers, local ports, a route), whoever the peer is. The call
+    /// is to be repeated after a pause.
     Shortage,
-    /// The failure concerns this one connection, or the peer.
+    /// The error concerns this connection or its peer only. Repeating the call does not help.
     Connection,
 }
 
-/// What `error` of `call` means.
+/// Classifies `error`, which a call of the group `call` returned. An unknown error counts as
+/// [`SocketFailure::Connection`].
 pub fn classify(call: SocketCall, error: &io::Error) -> SocketFailure {
     match Errno::from_io_error(error) {
         Some(errno) => classify_errno(call, errno),
@@ -43,7 +44,7 @@
     }
 }
 
-/// Classifies an error without an error number, which the standard library made.
+/// Classifies an error without an error number, which the standard library has created itself.
 fn classify_kind(kind: io::ErrorKind) -> SocketFailure {
     match kind {
         io::ErrorKind::Interrupted => SocketFailure::Interrupted,
@@ -57,12 +58,12 @@
         (_, Errno::INTR) => SocketFailure::Interrupted,
         (_, Errno::MFILE) => SocketFailure::DescriptorLimit,
         (_, Errno::NFILE | Errno::NOBUFS | Errno::NOMEM | Errno::NOSPC) => SocketFailure::Shortage,
-        // A non-blocking connect reports EINPROGRESS where it would block; its EAGAIN is a lack of local
-        // ports.
+        // A non-blocking connect that would block returns EINPROGRESS. EAGAIN means that no local port is
+        // free.
         (SocketCall::Connect, Errno::AGAIN | Errno::ADDRNOTAVAIL | Errno::ADDRINUSE) => {
             SocketFailure::Shortage
         }
-        // This machine has no route, or its own firewall forbids it: the same for every peer.
+        // This machine has no route, or its own firewall forbids the connection. Neither is the peer's fault.
         (SocketCall::Connect, Errno::NETUNREACH | Errno::NETDOWN | Errno::PERM | Errno::ACCESS) => {
             SocketFailure::Shortage
         }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,19 +1,19 @@
-//! Why a message could not be read or written.
+//! The error of reading and writing messages.
 
 use std::fmt;
 
 /// Why a message could not be read or written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WireError {
-    /// The peer has closed its sending side.
+    /// The peer has closed its sending side. A message that was being read is incomplete.
     Closed,
-    /// The connection failed, for example by a reset.
+    /// The connection failed, for example because the peer has reset it.
     Broken,
-    /// The input is not HTTP, or its framing is ambiguous.
+    /// The input is not valid HTTP or JSON, or the framing of the message is ambiguous.
     Malformed,
-    /// The head is larger than the limit.
+    /// The head exceeds [`MAX_HEAD_BYTES`](crate::MAX_HEAD_BYTES), or has too many header fields.
     HeadTooLarge,
-    /// The body, or a line or object in it, is larger than the limit.
+    /// The body, or a line or JSON object in it, exceeds its limit.
     BodyTooLarge,
 }
 
--- a/crates/wire/src/head.rs
+++ b/crates/wire/src/head.rs
@@ -1,52 +1,51 @@
-//! Message heads: the start line and the header fields.
+//! Parses message heads: the start line and the header fields.
 
 use crate::body::BodyDecoder;
 use crate::error::WireError;
 
-/// The largest head.
+/// The greatest length of a head, from the start line to the empty line.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The most header fields of a head.
+/// The greatest number of header fields in a head.
 const MAX_HEADERS: usize = 64;
 
 /// The start line of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartLine {
-    /// A request.
+    /// The request line.
     Request {
-        /// Its method.
+        /// The method, such as `POST`.
         method: String,
-        /// Its target: path and query.
+        /// The request target: path and query.
         target: String,
     },
-    /// A response.
+    /// The status line.
     Response {
-        /// Its status.
+        /// The status code; the reason phrase is not kept.
         status: u16,
     },
 }
 
-/// A head and its length.
+/// A parsed head, and where the body begins.
 #[derive(Clone, Debug)]
 pub struct ParsedHead {
-    /// The head.
+    /// The start line and header fields.
     pub head: Head,
-    /// How many bytes of the input it occupies.
+    /// The length of the head in the input, in bytes, including the empty line that ends it.
     pub length: usize,
 }
 
-/// The head at the beginning of an input; `None` while it is incomplete.
+/// The head at the beginning of the input, or `None` if more input is needed.
 pub type ParseResult = Result<Option<ParsedHead>, WireError>;
 
 /// The head of a message.
 #[derive(Clone, Debug)]
 pub struct Head {
-    /// Its start line.
+    /// The request line or status line.
     pub start_line: StartLine,
     headers: Vec<Header>,
     minor_version: u8,
 }
 
-/// A header field.
 #[derive(Clone, Debug)]
 struct Header {
     name: String,
@@ -54,7 +53,7 @@
 }
 
 impl Header {
-    /// Copies a parsed field; bytes that are not UTF-8 are replaced.
+    /// Copies a parsed field. Bytes of the value that are not UTF-8 are replaced by U+FFFD.
     fn new(field: &httparse::Header<'_>) -> Header {
         Header {
             name: field.name.to_string(),
@@ -64,10 +63,11 @@
 }
 
 impl Head {
-    /// Parses a request's head at the beginning of `bytes`; `None` while it is incomplete.
+    /// Parses the head of a request at the beginning of `bytes`. Returns `None` if the head is incomplete.
     ///
     /// # Errors
-    /// `Malformed` or `HeadTooLarge`.
+    /// `Malformed` if `bytes` does not begin with the head of a request. `HeadTooLarge` if the head exceeds
+    /// [`MAX_HEAD_BYTES`] or has more than 64 header fields.
     pub fn parse_request(bytes: &[u8]) -> ParseResult {
         let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut fields);
@@ -80,10 +80,11 @@
         Head::finish(bytes, status, start_line, minor_version, request.headers)
     }
 
-    /// Parses a response's head at the beginning of `bytes`; `None` while it is incomplete.
+    /// Parses the head of a response at the beginning of `bytes`. Returns `None` if the head is incomplete.
     ///
     /// # Errors
-    /// `Malformed` or `HeadTooLarge`.
+    /// `Malformed` if `bytes` does not begin with the head of a response. `HeadTooLarge` if the head exceeds
+    /// [`MAX_HEAD_BYTES`] or has more than 64 header fields.
     pub fn parse_response(bytes: &[u8]) -> ParseResult {
         let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut fields);
@@ -93,6 +94,7 @@
         Head::finish(bytes, status, start_line, minor_version, response.headers)
     }
 
+    /// Converts the result of the parser, and checks the limits.
     fn finish(
         bytes: &[u8],
         status: httparse::Result<usize>,
@@ -111,14 +113,14 @@
         }
     }
 
-    /// The value of the first header field of this name, in any case.
+    /// The value of the first header field with this name, which is compared case-insensitively.
     pub fn get(&self, name: &str) -> Option<&str> {
-        self.all(name).next()
+        self.values(name).next()
     }
 
-    /// The value of a header field that is present exactly once.
+    /// The value of the header field with this name; `None` if there are several or none.
     pub fn get_unique(&self, name: &str) -> Option<&str> {
-        let mut values = self.all(name);
+        let mut values = self.values(name);
         let value = values.next()?;
         match values.next() {
             None => Some(value),
@@ -126,17 +128,18 @@
         }
     }
 
-    fn all(&self, name: &str) -> impl Iterator<Item = &str> {
-        let named = self.headers.iter().filter(move |header| header.name.eq_ignore_ascii_case(name));
-        named.map(|header| header.value.as_str())
+    fn values(&self, name: &str) -> impl Iterator<Item = &str> {
+        let matching = self.headers.iter().filter(move |header| header.name.eq_ignore_ascii_case(name));
+        matching.map(|header| header.value.as_str())
     }
 
     fn has_connection_option(&self, option: &str) -> bool {
-        let mut options = self.all("Connection").flat_map(|value| value.split(','));
+        let mut options = self.values("Connection").flat_map(|value| value.split(','));
         options.any(|present| present.trim().eq_ignore_ascii_case(option))
     }
 
-    /// Whether the connection stays open after this message.
+    /// Whether the sender keeps the connection open after this message: by the `Connection` header, or by the
+    /// default of the HTTP version (only 1.1 does).
     pub fn keeps_alive(&self) -> bool {
         if self.has_connection_option("close") {
             return false;
@@ -144,15 +147,14 @@
         self.minor_version >= 1 || self.has_connection_option("keep-alive")
     }
 
-    /// How the body is framed.
+    /// A decoder for the body, by the framing that the header fields declare.
     ///
     /// # Errors
-    /// `Malformed` where the framing is ambiguous, since two recipients might split such a message
-    /// differently, which permits request smuggling. `BodyTooLarge` where the length exceeds the address
-    /// space.
+    /// `Malformed` if the framing is ambiguous or unsupported: two recipients might split such a message
+    /// differently, which permits request smuggling. `BodyTooLarge` if the length exceeds the address space.
     pub fn body_decoder(&self) -> Result<BodyDecoder, WireError> {
-        let mut lengths = self.all("Content-Length");
-        let mut codings = self.all("Transfer-Encoding");
+        let mut lengths = self.values("Content-Length");
+        let mut codings = self.values("Transfer-Encoding");
         match (lengths.next(), codings.next()) {
             (Some(_), Some(_)) => Err(WireError::Malformed),
             (Some(length), None) => {
@@ -173,7 +175,7 @@
         }
     }
 
-    /// The body of a message that has neither a length nor a transfer coding.
+    /// The body of a message without `Content-Length` and `Transfer-Encoding`.
     fn body_without_framing(&self) -> BodyDecoder {
         match self.start_line {
             StartLine::Request { .. } | StartLine::Response { status: 100..=199 | 204 | 304 } => {
@@ -184,7 +186,8 @@
     }
 }
 
-/// Parses a `Content-Length`: decimal digits only, without the sign that `parse` would accept.
+/// Parses a `Content-Length`, which must consist of decimal digits only: `str::parse` would accept a sign
+/// too.
 fn parse_length(text: &str) -> Result<BodyDecoder, WireError> {
     if text.is_empty() || !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(WireError::Malformed);
--- a/crates/wire/src/json_objects.rs
+++ b/crates/wire/src/json_objects.rs
@@ -1,57 +1,59 @@
-//! Reads a body as a sequence of JSON objects, each on one line or on several.
+//! Splits the content of a body into JSON objects, each on one line or on several.
 
 use crate::body::BodyDecoder;
 use crate::connection::Connection;
 use crate::error::WireError;
 
-/// The most objects and arrays that may be nested.
+/// The greatest nesting depth of objects and arrays.
 const MAX_DEPTH: usize = 64;
 
-/// What arrived of a body.
+/// The progress of reading a body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JsonObjectEvent {
-    /// An object, without the white space between its tokens.
+    /// A complete object, without the white space between its tokens.
     Object(Vec<u8>),
-    /// Input that completes no object: a blank line, or a part of an object.
+    /// Input has arrived that does not complete an object, such as a blank line or a part of an object.
     Incomplete,
-    /// The end of the body, outside of an object.
+    /// The body has ended, and no object is incomplete.
     End,
 }
 
-/// Reads a body as a sequence of JSON objects.
+/// Reads a body as a sequence of JSON objects, and limits the size of each.
 pub struct JsonObjectReader {
-    body: BodyDecoder,
+    decoder: BodyDecoder,
     input: Vec<u8>,
     /// How many bytes of `input` were consumed.
-    used: usize,
+    consumed: usize,
     splitter: JsonObjectSplitter,
 }
 
 impl JsonObjectReader {
-    /// A reader of objects of at most `max_object_bytes` each, without the white space between their tokens.
-    pub fn new(body: BodyDecoder, max_object_bytes: usize) -> JsonObjectReader {
+    /// A reader of the body that `decoder` decodes. An object may have at most `max_object_bytes`, not
+    /// counting the white space between its tokens.
+    pub fn new(decoder: BodyDecoder, max_object_bytes: usize) -> JsonObjectReader {
         let splitter = JsonObjectSplitter::new(max_object_bytes);
-        JsonObjectReader { body, input: Vec::new(), used: 0, splitter }
+        JsonObjectReader { decoder, input: Vec::new(), consumed: 0, splitter }
     }
 
-    /// Whether an object has begun and is incomplete.
+    /// Whether the last input read ended inside an object.
     pub fn is_inside_object(&self) -> bool {
         self.splitter.is_inside_object()
     }
 
-    /// The next event. Input that completes no object is reported too, so that a slow sender is
-    /// distinguishable from a silent one.
+    /// Waits for the next event. Input that does not complete an object is reported as well, so that the
+    /// caller can distinguish a slow sender from one that sends nothing.
     ///
     /// # Errors
-    /// `Malformed` for input that is no JSON object, and for a blank line inside an object: the object was
-    /// truncated, and what follows is no part of it. `BodyTooLarge` for an object beyond the limit. `Closed`
-    /// where the body ends inside an object. Errors of the connection.
+    /// `Malformed` for input that is not a JSON object, or is nested too deeply, and for a blank line inside
+    /// an object: the sender has truncated the object, and what follows is not part of it. `BodyTooLarge` for
+    /// an object that exceeds the limit. `Closed` if the body ends inside an object. Otherwise as
+    /// [`Connection::read_body_chunk`].
     pub async fn next(&mut self, connection: &mut Connection) -> Result<JsonObjectEvent, WireError> {
-        if self.used == self.input.len() && !self.read_more(connection).await? {
+        if self.consumed == self.input.len() && !self.read_more(connection).await? {
             return if self.is_inside_object() { Err(WireError::Closed) } else { Ok(JsonObjectEvent::End) };
         }
-        while let Some(&byte) = self.input.get(self.used) {
-            self.used += 1;
+        while let Some(&byte) = self.input.get(self.consumed) {
+            self.consumed += 1;
             if let Some(object) = self.splitter.push(byte)? {
                 return Ok(JsonObjectEvent::Object(object));
             }
@@ -59,26 +61,27 @@
         Ok(JsonObjectEvent::Incomplete)
     }
 
-    /// Replaces the consumed input; false at the end of the body.
+    /// Replaces the consumed input by the next content of the body. Returns false at the end of the body.
     async fn read_more(&mut self, connection: &mut Connection) -> Result<bool, WireError> {
-        self.used = 0;
+        self.consumed = 0;
         self.input.clear();
-        connection.read_body_chunk(&mut self.body, &mut self.input).await
+        connection.read_body_chunk(&mut self.decoder, &mut self.input).await
     }
 }
 
-/// Splits text into objects. Validates only what that requires; the parser of an object validates the rest.
+/// Splits text into JSON objects. Checks only brackets, strings and white space, which suffices to find the
+/// ends of objects; the caller's JSON parser checks the rest.
 struct JsonObjectSplitter {
     max_object_bytes: usize,
-    /// The current object so far.
+    /// The beginning of the current object, without white space between tokens.
     text: Vec<u8>,
-    /// The opening brackets of the current object's open objects and arrays, the outermost first.
-    open: Vec<u8>,
-    /// Set inside a string.
+    /// The opening brackets of the objects and arrays that are not closed yet, the outermost first.
+    open_brackets: Vec<u8>,
+    /// Whether the next byte is escaped; `None` outside of a string.
     string: Option<Escape>,
-    /// White space precedes the next byte.
+    /// Whether white space precedes the next byte.
     after_space: bool,
-    /// The current line holds nothing but white space.
+    /// Whether the current line holds nothing but white space so far.
     line_is_blank: bool,
 }
 
@@ -94,7 +97,7 @@
         JsonObjectSplitter {
             max_object_bytes,
             text: Vec::new(),
-            open: Vec::new(),
+            open_brackets: Vec::new(),
             string: None,
             after_space: false,
             line_is_blank: true,
@@ -102,10 +105,10 @@
     }
 
     fn is_inside_object(&self) -> bool {
-        !self.open.is_empty()
+        !self.open_brackets.is_empty()
     }
 
-    /// Consumes one byte; the object where that completes one.
+    /// Consumes one byte, and returns the object if the byte completes one.
     fn push(&mut self, byte: u8) -> Result<Option<Vec<u8>>, WireError> {
         if let Some(escape) = self.string {
             self.push_in_string(byte, escape)?;
@@ -120,7 +123,8 @@
             b'}' | b']' => self.close_bracket(byte)?,
             _ if !self.is_inside_object() => return Err(WireError::Malformed),
             b'"' => self.string = Some(Escape::No),
-            // Without the space between them, two literals would become one.
+            // Two literals in a row are invalid. Without the white space between them they would become a
+            // valid one.
             _ if self.after_space
                 && self.text.last().is_some_and(|&last| is_literal(last))
                 && is_literal(byte) =>
@@ -135,7 +139,7 @@
     }
 
     fn push_in_string(&mut self, byte: u8, escape: Escape) -> Result<(), WireError> {
-        // A string holds no control characters: at a line end it was truncated.
+        // JSON strings hold no control characters. A line feed in one means that the sender has truncated it.
         if byte < b' ' {
             return Err(WireError::Malformed);
         }
@@ -159,27 +163,27 @@
 
     fn open_bracket(&mut self, bracket: u8) -> Result<(), WireError> {
         let previous = self.text.last().copied();
-        let is_allowed = match self.open.last() {
+        let is_allowed = match self.open_brackets.last() {
             None => bracket == b'{',
             Some(b'{') => previous == Some(b':'),
             Some(_) => matches!(previous, Some(b'[' | b',')),
         };
-        if !is_allowed || self.open.len() == MAX_DEPTH {
+        if !is_allowed || self.open_brackets.len() == MAX_DEPTH {
             return Err(WireError::Malformed);
         }
-        self.open.push(bracket);
+        self.open_brackets.push(bracket);
         Ok(())
     }
 
     fn close_bracket(&mut self, bracket: u8) -> Result<(), WireError> {
         let opening = if bracket == b'}' { b'{' } else { b'[' };
-        if self.open.pop() != Some(opening) {
+        if self.open_brackets.pop() != Some(opening) {
             return Err(WireError::Malformed);
         }
         Ok(())
     }
 
-    /// Appends a byte to the current object; the object where that completes it.
+    /// Appends a byte to the current object, and returns the object if the byte completes it.
     fn append(&mut self, byte: u8) -> Result<Option<Vec<u8>>, WireError> {
         if self.text.len() == self.max_object_bytes {
             return Err(WireError::BodyTooLarge);
--- a/crates/wire/src/json_objects/tests.rs
+++ b/crates/wire/src/json_objects/tests.rs
@@ -1,16 +1,20 @@
-//! Splitting text into JSON objects: layouts, truncation and limits.
+//! Splitting text into JSON objects: layout of white space, truncated objects, and limits of size and depth.
 
 use super::JsonObjectSplitter;
 use crate::error::WireError;
 use proptest::prelude::*;
 use sorrelhaven_test_support::check_cases;
 
-/// The objects in a text, or the error that ends them.
+/// Returns the objects in a text, or the first error.
 fn split(text: &str, max_object_bytes: usize) -> Result<Vec<String>, WireError> {
     let mut splitter = JsonObjectSplitter::new(max_object_bytes);
     let mut objects = Vec::new();
     for byte in text.bytes() {
-        objects.extend(splitter.push(byte)?.map(|object| String::from_utf8(object).expect("text")));
+        objects.extend(
+            splitter
+                .push(byte)?
+                .map(|object| String::from_utf8(object).expect("a split of UTF-8 text is UTF-8")),
+        );
     }
     if splitter.is_inside_object() { Err(WireError::Closed) } else { Ok(objects) }
 }
@@ -36,7 +40,7 @@
     assert_eq!(split("{\"a\":123}", 8), Err(WireError::BodyTooLarge));
 }
 
-/// Any JSON value, nested up to four levels.
+/// Generates JSON values that are nested up to four levels.
 fn value() -> impl Strategy<Value = serde_json::Value> {
     let leaf = prop_oneof![
         Just(serde_json::Value::Null),
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,17 +1,18 @@
-//! HTTP/1.1 over bounded buffers: heads, bodies and lines, for both sides of a connection; and deadlines.
+//! HTTP/1.1 for clients and servers over bounded buffers: message heads, bodies, and lines or JSON objects in
+//! bodies. Also classifies the errors of socket calls, and sets deadlines on futures.
 //!
-//! The parsers ([`Head`], [`BodyDecoder`]) do no I/O; [`Connection`] feeds them from a socket. What a peer did wrong
-//! is reported as a [`WireError`]. The syntax follows RFC 9110 and RFC 9112, the limits the platform's
-//! protocol.
+//! The parsers ([`Head`], [`BodyDecoder`]) do no I/O; [`Connection`] feeds them from a socket. An invalid
+//! message or a failed connection is reported as a [`WireError`]. The syntax follows RFC 9110 and RFC 9112,
+//! the limits the platform's protocol.
 //!
 //! ```
 //! use sorrelhaven_wire::{BodyDecoder, Head};
 //!
 //! let text = b"POST /api HTTP/1.1\r\nContent-Length: 4\r\n\r\nbody";
 //! let parsed = Head::parse_request(text)?.expect("a complete head");
-//! let (mut body, mut out) = (parsed.head.body_decoder()?, Vec::new());
-//! body.decode(&text[parsed.length..], &mut out)?;
-//! assert_eq!((body, out.as_slice()), (BodyDecoder::Done, b"body".as_slice()));
+//! let (mut decoder, mut content) = (parsed.head.body_decoder()?, Vec::new());
+//! decoder.decode(&text[parsed.length..], &mut content)?;
+//! assert_eq!((decoder, content.as_slice()), (BodyDecoder::Done, b"body".as_slice()));
 //! # Ok::<(), sorrelhaven_wire::WireError>(())
 //! ```
 
--- a/crates/wire/src/lines.rs
+++ b/crates/wire/src/lines.rs
@@ -4,24 +4,26 @@
 use crate::connection::Connection;
 use crate::error::WireError;
 
-/// Reads a body line by line.
+/// Splits the content of a body into lines.
 pub struct LineReader {
-    body: BodyDecoder,
+    decoder: BodyDecoder,
+    /// Content that is not part of a returned line yet.
     text: Vec<u8>,
     max_line_bytes: usize,
 }
 
 impl LineReader {
-    /// A reader of lines of at most `max_line_bytes`.
-    pub fn new(body: BodyDecoder, max_line_bytes: usize) -> LineReader {
-        LineReader { body, text: Vec::new(), max_line_bytes }
+    /// A reader of the body that `decoder` decodes. `max_line_bytes` limits the length of an incomplete line
+    /// that is buffered.
+    pub fn new(decoder: BodyDecoder, max_line_bytes: usize) -> LineReader {
+        LineReader { decoder, text: Vec::new(), max_line_bytes }
     }
 
-    /// The next line without its end; `None` once the body is complete. The last line may lack its end.
+    /// Reads the next line, without its line feed. Returns `None` at the end of the body. The last line need
+    /// not end with a line feed.
     ///
     /// # Errors
-    /// A line is too long, the body's framing is malformed, or the connection ended before the body was
-    /// complete.
+    /// `BodyTooLarge` if an incomplete line exceeds the limit; otherwise as [`Connection::read_body_chunk`].
     pub async fn next(&mut self, connection: &mut Connection) -> Result<Option<Vec<u8>>, WireError> {
         loop {
             if let Some(end) = self.text.iter().position(|&byte| byte == b'\n') {
@@ -32,7 +34,7 @@
             if self.text.len() > self.max_line_bytes {
                 return Err(WireError::BodyTooLarge);
             }
-            if !connection.read_body_chunk(&mut self.body, &mut self.text).await? {
+            if !connection.read_body_chunk(&mut self.decoder, &mut self.text).await? {
                 let last_line = std::mem::take(&mut self.text);
                 return Ok(Some(last_line).filter(|line| !line.is_empty()));
             }
--- a/crates/wire/src/peer_close_detector.rs
+++ b/crates/wire/src/peer_close_detector.rs
@@ -1,14 +1,13 @@
-//! Detects that the peer has closed a connection, beside the task that reads from it.
+//! Detects that the peer has closed a connection while another task reads from it, or none does.
 
 use crate::errno::{SocketCall, SocketFailure, classify};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use std::net::TcpStream;
 use std::sync::Arc;
 
-/// Makes `poll` return without waiting.
 const NO_WAIT: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
 
-/// Detects whether the peer of a connection has closed it.
+/// Detects whether the peer of a connection has closed it, without reading from the connection.
 #[derive(Clone)]
 pub struct PeerCloseDetector {
     stream: Arc<TcpStream>,
@@ -19,8 +18,8 @@
         PeerCloseDetector { stream }
     }
 
-    /// Whether the peer has closed, half-closed or reset the connection, even where input before that is
-    /// still unread.
+    /// Whether the peer has closed, half-closed or reset the connection, even if input that was sent before
+    /// is still unread. Does not wait.
     pub fn has_closed(&self) -> bool {
         let mut events = [PollFd::new(&*self.stream, PollFlags::RDHUP)];
         loop {
@@ -29,7 +28,7 @@
                 Err(error) => error,
             };
             if classify(SocketCall::Transfer, &error.into()) != SocketFailure::Interrupted {
-                // Unknown at present: a later probe may succeed.
+                // The state is unknown for now; a later call may succeed.
                 return false;
             }
         }
--- a/crates/wire/src/retry.rs
+++ b/crates/wire/src/retry.rs
@@ -1,25 +1,26 @@
-//! Repeats system calls that fail for a reason that passes by itself.
+//! Retries system calls after transient failures: an interrupt by a signal, or a lack of system resources.
 
 use crate::errno::{SocketCall, SocketFailure, classify};
 use async_io::Timer;
 use std::io;
 use std::time::{Duration, Instant};
 
-/// The pause before a call is repeated for which the system lacked resources.
+/// The pause before a call is repeated that failed because the system lacked resources.
 const SHORTAGE_PAUSE: Duration = Duration::from_millis(5);
 
 /// How to proceed after a failed call that may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Repeat the call at once: a signal interrupted it.
+    /// Repeat the call at once, because a signal interrupted it.
     Immediately,
-    /// Repeat the call after a pause: the system lacks resources.
+    /// Repeat the call after a pause, because the system lacks resources.
     AfterPause,
-    /// Report the error.
+    /// Report the error: it is permanent, or the time for retries is over.
     GiveUp,
 }
 
-/// How to proceed after `call` failed with `error`, where it may be repeated until `retry_until`.
+/// Decides how to proceed after a call of the group `call` failed with `error`. The call is not repeated
+/// after `retry_until`.
 pub fn retry_decision(call: SocketCall, error: &io::Error, retry_until: Instant) -> RetryDecision {
     if Instant::now() >= retry_until {
         return RetryDecision::GiveUp;
@@ -33,10 +34,11 @@
     }
 }
 
-/// Repeats `operation` for up to `timeout` while it is interrupted or the system lacks resources.
+/// Runs `operation`, and repeats it for up to `timeout` while it is interrupted or the system lacks
+/// resources.
 ///
 /// # Errors
-/// The error of the last repetition.
+/// The error of the last try.
 pub(crate) async fn retry_on_shortage<T>(
     call: SocketCall,
     timeout: Duration,
@@ -56,7 +58,7 @@
     }
 }
 
-/// Waits until a call that failed for lack of resources may be repeated.
+/// Waits for 5 ms, after which a call that failed for lack of system resources may be repeated.
 pub async fn shortage_pause() {
     Timer::after(SHORTAGE_PAUSE).await;
 }
--- a/crates/wire/tests/errno.rs
+++ b/crates/wire/tests/errno.rs
@@ -1,4 +1,4 @@
-//! The table of `docs/errnos.md`, row by row.
+//! Socket errors are classified as the table in `docs/errnos.md` states.
 
 use rustix::io::Errno;
 use sorrelhaven_wire::{SocketCall, SocketFailure, classify};
@@ -25,7 +25,7 @@
         assert_eq!(
             failure_of(SocketCall::Connect, errno),
             SocketFailure::Shortage,
-            "{errno:?}: no worker's fault"
+            "{errno:?} is not the peer's fault"
         );
         assert_eq!(failure_of(SocketCall::Transfer, errno), SocketFailure::Connection, "{errno:?}");
     }
@@ -33,10 +33,14 @@
     assert_eq!(
         failure_of(SocketCall::Listen, Errno::ADDRINUSE),
         SocketFailure::Connection,
-        "an address in use is no shortage"
+        "for a listener an address in use is permanent"
     );
     assert_eq!(failure_of(SocketCall::Accept, Errno::CONNABORTED), SocketFailure::Connection);
-    assert_eq!(failure_of(SocketCall::Connect, Errno::AGAIN), SocketFailure::Shortage, "no local port");
+    assert_eq!(
+        failure_of(SocketCall::Connect, Errno::AGAIN),
+        SocketFailure::Shortage,
+        "EAGAIN of connect means that no local port is free"
+    );
     assert_eq!(failure_of(SocketCall::Transfer, Errno::AGAIN), SocketFailure::NotReady);
 }
 
--- a/crates/wire/tests/framing.rs
+++ b/crates/wire/tests/framing.rs
@@ -1,10 +1,10 @@
-//! Parsing of heads and bodies: split anywhere, malformed, or random bytes.
+//! Parsing of heads and bodies: input that is split anywhere, malformed, or random.
 
 use proptest::prelude::*;
 use sorrelhaven_test_support::check_cases;
 use sorrelhaven_wire::{BodyDecoder, Head, WireError};
 
-/// A body decodes the same however the network splits it, and consumes nothing of what follows it.
+/// The network may split a body anywhere. The decoder must not consume bytes of the next message.
 #[test]
 fn a_chunked_body_decodes_the_same_in_pieces_of_any_size() {
     let chunks = prop::collection::vec(prop::collection::vec(any::<u8>(), 1..40), 0..6);
@@ -16,20 +16,20 @@
             wire.extend_from_slice(b"\r\n");
         }
         wire.extend_from_slice(b"0\r\nX: y\r\n\r\nNEXT");
-        let (mut body, mut out, mut buffer) = (BodyDecoder::ChunkSize, Vec::new(), Vec::new());
+        let (mut decoder, mut content, mut buffer) = (BodyDecoder::ChunkSize, Vec::new(), Vec::new());
         for piece in wire.chunks(piece_bytes) {
             buffer.extend_from_slice(piece);
-            let used = body.decode(&buffer, &mut out).expect("a valid body");
+            let used = decoder.decode(&buffer, &mut content).expect("the body is valid");
             buffer.drain(..used);
         }
-        prop_assert_eq!(body, BodyDecoder::Done);
-        prop_assert_eq!(out, chunks.concat());
+        prop_assert_eq!(decoder, BodyDecoder::Done);
+        prop_assert_eq!(content, chunks.concat());
         prop_assert_eq!(buffer, b"NEXT".to_vec());
         Ok(())
     });
 }
 
-/// Parsing returns a result for any input: a peer's bytes must not crash the node.
+/// A peer must not be able to crash the node with any input.
 #[test]
 fn random_bytes_never_make_the_parsers_panic() {
     let fragments =
@@ -41,21 +41,21 @@
     check_cases(512, prop::collection::vec(bytes, 0..12), |pieces| {
         let bytes = pieces.concat();
         let _ = (Head::parse_request(&bytes), Head::parse_response(&bytes));
-        for mut body in [
+        for mut decoder in [
             BodyDecoder::ChunkSize,
             BodyDecoder::Chunk(3),
             BodyDecoder::ChunkEnd,
             BodyDecoder::Trailer,
             BodyDecoder::Length(5),
         ] {
-            let used = body.decode(&bytes, &mut Vec::new());
+            let used = decoder.decode(&bytes, &mut Vec::new());
             prop_assert!(used.is_err() || used.is_ok_and(|length| length <= bytes.len()));
         }
         Ok(())
     });
 }
 
-/// Two recipients could split such a message differently, which permits request smuggling.
+/// Two recipients could find different ends of such a message, which permits request smuggling.
 #[test]
 fn a_message_with_ambiguous_framing_is_malformed() {
     for lengths in [
@@ -67,7 +67,8 @@
         "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked",
     ] {
         let head = format!("POST /api HTTP/1.1\r\n{lengths}\r\n\r\n");
-        let parsed = Head::parse_request(head.as_bytes()).expect("a head").expect("all of it");
+        let parsed =
+            Head::parse_request(head.as_bytes()).expect("the head is valid").expect("the head is complete");
         assert_eq!(parsed.head.body_decoder().err(), Some(WireError::Malformed), "{lengths}");
     }
 }
