--- a/crates/handover/src/inherited_listener.rs
+++ b/crates/handover/src/inherited_listener.rs
@@ -1,4 +1,4 @@
-//! The listening socket that the platform passes to this process.
+//! Adopts the listening socket that this process inherits from the platform.
 
 use rustix::fd::{BorrowedFd, OwnedFd, RawFd};
 use rustix::io::{Errno, fcntl_dupfd_cloexec};
@@ -7,42 +7,43 @@
 use std::fmt;
 use std::net::{SocketAddr, TcpListener};
 
-/// The first descriptor after standard input, output and error.
+/// The lowest descriptor that can be an inherited socket; 0 to 2 are the standard streams.
 const FIRST_INHERITED_DESCRIPTOR: RawFd = 3;
 
-/// Why a descriptor cannot be adopted as a listener.
+/// Why a descriptor cannot be adopted as a listening TCP socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InheritError {
-    /// It is negative, or one of the standard streams.
+    /// The number is negative, or that of a standard stream (0 to 2), which the platform never uses to pass a
+    /// socket.
     NotInheritable {
         /// The descriptor's number.
         descriptor: RawFd,
     },
-    /// It is not open.
+    /// No open descriptor has this number.
     NotOpen {
         /// The descriptor's number.
         descriptor: RawFd,
     },
-    /// It is not a socket.
+    /// The descriptor refers to something else than a socket, such as a file.
     NotSocket {
         /// The descriptor's number.
         descriptor: RawFd,
     },
-    /// It is a socket that does not listen.
+    /// The socket does not accept connections: `listen` was not called on it.
     NotListening {
         /// The descriptor's number.
         descriptor: RawFd,
     },
-    /// It is not a TCP socket.
+    /// The socket listens, but not for TCP connections.
     NotTcp {
         /// The descriptor's number.
         descriptor: RawFd,
     },
-    /// Its properties cannot be read.
+    /// The socket's properties cannot be read.
     Inspect {
         /// The descriptor's number.
         descriptor: RawFd,
-        /// The system's error.
+        /// The error of the system call.
         error: Errno,
     },
 }
@@ -79,12 +80,12 @@
     }
 }
 
-/// Adopts the listening socket at `descriptor`, through a duplicate that is closed with the returned
-/// listener; the descriptor itself stays open. Must be called before this process opens any descriptor, which
-/// could get the same number.
+/// Duplicates the inherited `descriptor`, and returns the duplicate as a listener. The inherited descriptor
+/// itself stays open. Must be called before this process opens any descriptor of its own, since that could
+/// get the number of an inherited descriptor that is missing.
 ///
 /// # Errors
-/// The descriptor is not open, not a TCP socket, or does not listen.
+/// The descriptor is not open, is a standard stream, or is not a listening TCP socket.
 pub fn inherited_listener(descriptor: RawFd) -> Result<TcpListener, InheritError> {
     let duplicate = duplicate(descriptor)?;
     match socket_acceptconn(&duplicate) {
@@ -103,8 +104,8 @@
     if descriptor < FIRST_INHERITED_DESCRIPTOR {
         return Err(InheritError::NotInheritable { descriptor });
     }
-    // SAFETY: the number is used for one `fcntl`, which fails if it is not open; nothing owns or closes it
-    // here.
+    // SAFETY: the borrowed descriptor is used for a single `fcntl`, which returns an error if the number is
+    // not open, and no owner of the descriptor exists that could close it meanwhile.
     #[allow(unsafe_code)]
     let inherited = unsafe { BorrowedFd::borrow_raw(descriptor) };
     fcntl_dupfd_cloexec(inherited, FIRST_INHERITED_DESCRIPTOR)
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,9 +1,9 @@
-//! Handover between processes of one node: adopts the listening socket that the platform passes to each
-//! process it starts, and counts the processes of the node that are alive.
+//! Handover between the processes of one node, such as at an upgrade: adopts the listening socket that the
+//! platform passes to each process it starts, and counts the running processes of the node.
 //!
-//! Two processes may use the same socket at a time: a queued connection goes to the one that accepts it
-//! first, and every socket option applies to both. Therefore no option is set here, and the socket is never
-//! shut down.
+//! Two processes may listen on the same socket at a time. A queued connection goes to the process that
+//! accepts it first, and every socket option applies to both processes. Therefore no option is set here, and
+//! the socket is never shut down.
 
 mod inherited_listener;
 mod process_registry;
--- a/crates/handover/tests/process_registry.rs
+++ b/crates/handover/tests/process_registry.rs
@@ -1,13 +1,13 @@
-//! Counting the processes of one node. An `flock` lock belongs to an open file description, so one process
-//! can register several times. times.
+//! Counting the processes of one node. One process stands for several here: an `flock` lock belongs to an
+//! open file description, so a process can register more than once.
 
 use sorrelhaven_handover::{MAX_PROCESSES, ProcessRegistry};
 
 #[test]
 fn each_process_counts_the_other_live_processes_of_its_node() {
     let directory = std::env::temp_dir().join(format!("sorrelhaven-seats-{}", std::process::id()));
-    std::fs::create_dir_all(&directory).expect("a directory");
-    let register = |name| ProcessRegistry::register(&directory, name).expect("a directory");
+    std::fs::create_dir_all(&directory).expect("the temporary directory is created");
+    let register = |name| ProcessRegistry::register(&directory, name).expect("the lock files can be opened");
     let old = register("n/0");
     assert_eq!(old.other_processes(), 0);
     let new = register("n/0");
@@ -16,7 +16,11 @@
     drop(old);
     assert_eq!(new.other_processes(), 0);
     let more: Vec<ProcessRegistry> = (0..MAX_PROCESSES + 1).map(|_| register("n/0")).collect();
-    assert_eq!(new.other_processes(), MAX_PROCESSES - 1, "all that can be told apart");
+    assert_eq!(
+        new.other_processes(),
+        MAX_PROCESSES - 1,
+        "no more than MAX_PROCESSES are registered, of which one is this"
+    );
     assert_eq!(
         more[MAX_PROCESSES].other_processes(),
         MAX_PROCESSES,
@@ -25,5 +29,5 @@
     drop(more);
     assert_eq!(new.other_processes(), 0);
     assert!(ProcessRegistry::register(&directory.join("none"), "n0").is_err());
-    std::fs::remove_dir_all(&directory).expect("a directory");
+    std::fs::remove_dir_all(&directory).expect("the temporary directory exists");
 }
