--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -19,7 +19,7 @@
     pub discovery: SocketAddr,
     /// The address of the admin listener; `None` to open none.
     pub admin: Option<SocketAddr>,
-    /// The seed for random numbers. The platform sets another one at each start.
+    /// The seed for random numbers. The platform changes it at each start of the node.
     pub seed: u64,
     /// How many file descriptors the process may hold open.
     pub max_descriptors: usize,
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -10,7 +10,7 @@
 }
 
 impl ConfigError {
-    /// An error in the value of the key at this path; an empty path stands for the whole document.
+    /// An error in the value of the key at this path; an empty path is that of the whole document.
     pub fn new(key: impl Into<String>, problem: impl fmt::Display) -> Self {
         ConfigError { key: key.into(), problem: problem.to_string() }
     }
@@ -26,8 +26,8 @@
     }
 }
 
-/// The path of a key in the object at the path `parent`. An empty key or `.`, which `serde_path_to_error`
-/// writes for the root, stands for the object itself.
+/// The path of a key in the object at the path `parent`. An empty key denotes the object itself, and so does
+/// `.`, which `serde_path_to_error` writes for the root.
 pub(crate) fn join_keys(parent: &str, key: &str) -> String {
     let is_parent = key.is_empty() || key == ".";
     match (parent.is_empty(), is_parent) {
--- a/crates/config/src/settings_file.rs
+++ b/crates/config/src/settings_file.rs
@@ -38,8 +38,8 @@
     /// The index in `zones` of the zone of this dispatcher.
     #[serde(default)]
     pub(crate) zone: usize,
-    /// How the worker list arrives: `automatic` if its changes are sent unasked, `subscribe` if the
-    /// dispatcher has to ask for them.
+    /// How changes of the worker list arrive: `automatic`, or `subscribe` if the dispatcher must subscribe to
+    /// them first.
     #[serde(default)]
     pub(crate) discovery: String,
     #[serde(rename = "kinds", default)]
@@ -119,7 +119,7 @@
     pub(crate) max_retry_after: Micros,
     #[serde(rename = "mayProbe", default)]
     pub(crate) probes: bool,
-    /// Whether rejected clients are told when to retry; if not, `max_retry_after` is ignored.
+    /// Whether a rejected client gets a `Retry-After`; if not, `max_retry_after` is ignored.
     #[serde(rename = "retryAfter", default)]
     pub(crate) sends_retry_after: bool,
     #[serde(rename = "secondCopies", default)]
--- a/crates/handover/tests/process_registry.rs
+++ b/crates/handover/tests/process_registry.rs
@@ -1,5 +1,5 @@
-//! Counting the processes of one node. One process stands for several here: an `flock` lock belongs to an
-//! open file description, so a process can register more than once.
+//! Counting the processes of one node. The test registers its own process several times, which works because
+//! an `flock` lock belongs to an open file description rather than to a process.
 
 use sorrelhaven_handover::{MAX_PROCESSES, ProcessRegistry};
 
@@ -16,11 +16,7 @@
     drop(old);
     assert_eq!(new.other_processes(), 0);
     let more: Vec<ProcessRegistry> = (0..MAX_PROCESSES + 1).map(|_| register("n/0")).collect();
-    assert_eq!(
-        new.other_processes(),
-        MAX_PROCESSES - 1,
-        "no more than MAX_PROCESSES are registered, of which one is this"
-    );
+    assert_eq!(new.other_processes(), MAX_PROCESSES - 1, "MAX_PROCESSES are registered, including this one");
     assert_eq!(
         more[MAX_PROCESSES].other_processes(),
         MAX_PROCESSES,
--- a/crates/simulator/src/error.rs
+++ b/crates/simulator/src/error.rs
@@ -16,9 +16,9 @@
     UnknownWorkerList(usize),
     /// An `update` message has a mode that is not one of the `UPDATE_` constants of `instance.rs`.
     UnknownUpdateMode(u8),
-    /// The `result` of a `verdict` or `pingResult` message stands for no outcome.
+    /// A `verdict` or `pingResult` message has an unknown outcome code in `result`.
     UnknownOutcome(u8),
-    /// The `lifecycle` of a worker in a `ledger` message stands for no lifecycle state.
+    /// A worker in a `ledger` message has an unknown lifecycle code.
     UnknownLifecycle(u8),
 }
 
--- a/crates/simulator/src/instance.rs
+++ b/crates/simulator/src/instance.rs
@@ -45,8 +45,7 @@
     /// message about a request that is not open is ignored.
     ///
     /// # Errors
-    /// The message holds a number that stands for no mode or outcome, or refers to a worker list that was
-    /// never sent.
+    /// The message has an unknown mode or outcome code, or refers to a worker list that was never sent.
     pub fn handle(
         &mut self,
         now: Micros,
--- a/crates/simulator/src/wire/messages.rs
+++ b/crates/simulator/src/wire/messages.rs
@@ -111,14 +111,14 @@
         /// The worker that was probed.
         #[serde(borrow)]
         worker: Cow<'a, str>,
-        /// The number of the probe's outcome, as `outcome_of` in `instance.rs` maps it.
+        /// The probe's outcome code, which `outcome_of` in `instance.rs` maps.
         #[serde(default, rename = "result")]
         outcome: u8,
         /// The worker's load report; empty if there was none.
         #[serde(default, rename = "metrics")]
         load_report: Vec<f64>,
     },
-    /// The delay of a `sleep` command has passed.
+    /// The timer of a `sleep` command has fired.
     #[serde(rename = "wakeup")]
     Timer {
         /// The token of that command.
@@ -145,7 +145,7 @@
     /// The expected running time of the job, in microseconds; `None` if unknown.
     #[serde(default, rename = "cost")]
     pub work_hint: Option<i64>,
-    /// How many of a worker's slots the job occupies; `None` stands for 1.
+    /// How many of a worker's slots the job occupies; `None` means 1.
     #[serde(default, rename = "width")]
     pub slots: Option<f64>,
     /// Whether the client marks the request as a retry.
@@ -165,7 +165,7 @@
     /// The number of the attempt within the request.
     #[serde(default, rename = "try")]
     pub attempt: u32,
-    /// The number of the outcome, as `outcome_of` in `instance.rs` maps it.
+    /// The outcome code, which `outcome_of` in `instance.rs` maps.
     #[serde(rename = "result")]
     pub outcome: u8,
     /// The time since the attempt was sent, in microseconds.
@@ -190,7 +190,7 @@
     /// The number of its cell.
     #[serde(default, rename = "group")]
     pub cell: u64,
-    /// The number of its lifecycle state, as `lifecycle_of` in `host.rs` maps it.
+    /// Its lifecycle code, which `lifecycle_of` in `host.rs` maps.
     #[serde(default)]
     pub lifecycle: u8,
     /// The simulated time of its last start, in microseconds; 0 if that was long ago.
