--- a/crates/admin/src/service.rs
+++ b/crates/admin/src/service.rs
@@ -74,7 +74,7 @@
         let table = membership.borrow().table();
         let totals = membership.borrow().metrics();
         let members_in = |state| table.iter().filter(|member| member.state == state).count() as u64;
-        let dropped = totals.malformed + totals.unauthenticated + totals.replayed + totals.undecodable;
+        let dropped = totals.malformed + totals.unauthenticated + totals.replayed + totals.protocol_errors;
         vec![
             Metric::gauge("members_alive", members_in(MemberState::Alive)),
             Metric::gauge("members_suspect", members_in(MemberState::Suspect)),
@@ -82,10 +82,10 @@
             Metric::gauge("members_left", members_in(MemberState::Left)),
             Metric::counter("member_probes", totals.probes),
             Metric::counter("member_suspicions", totals.suspicions),
-            Metric::counter("member_refuted", totals.refuted),
+            Metric::counter("member_refuted", totals.refutations),
             Metric::counter("member_declared_dead", totals.declared_dead),
             Metric::counter("member_pauses", totals.pauses),
-            Metric::counter("member_bytes_sent", totals.bytes),
+            Metric::counter("member_bytes_sent", totals.bytes_sent),
             Metric::counter("member_dropped", dropped),
         ]
     }
--- a/crates/deferred-jobs/src/add_error.rs
+++ b/crates/deferred-jobs/src/add_error.rs
@@ -1,6 +1,6 @@
 //! Why a job is not accepted.
 
-use crate::dependency_graph::{JobEnd, JobName};
+use crate::dependency_graph::{JobName, JobOutcome};
 use std::error::Error;
 use std::fmt;
 
@@ -24,7 +24,7 @@
         /// The job that has ended.
         dependency: JobName,
         /// How it ended.
-        end: JobEnd,
+        outcome: JobOutcome,
     },
 }
 
@@ -39,8 +39,8 @@
             AddError::TooManyDependencies => write!(formatter, "the job has too many dependencies"),
             AddError::ChainTooLong => write!(formatter, "the chain of dependencies would be too long"),
             AddError::UnknownName(name) => write!(formatter, "no job {name:?} is known"),
-            AddError::DependencyFailed { dependency, end } => {
-                write!(formatter, "the job {dependency:?} has ended: {end:?}")
+            AddError::DependencyFailed { dependency, outcome } => {
+                write!(formatter, "the job {dependency:?} has ended: {outcome:?}")
             }
         }
     }
--- a/crates/deferred-jobs/src/dependency_graph.rs
+++ b/crates/deferred-jobs/src/dependency_graph.rs
@@ -13,7 +13,7 @@
 
 /// How a job that others may wait for has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum JobEnd {
+pub enum JobOutcome {
     /// A worker returned its result.
     Served,
     /// It was rejected: it never ran, or a retry is harmless.
@@ -22,7 +22,7 @@
     /// effect.
     MayHaveRun,
     /// Its client disconnected, or withdrew it, before it was sent.
-    Withdrawn,
+    Cancelled,
 }
 
 /// What becomes of a job that depends on a name which is not known here. Nodes share nothing: another may
@@ -48,7 +48,7 @@
     /// Jobs on the longest chain of dependencies.
     pub max_chain_length: usize,
     /// Ended jobs whose end is remembered, the latest.
-    pub max_remembered_ends: usize,
+    pub max_remembered_outcomes: usize,
     /// What becomes of a dependency on a name that is not known.
     pub unknown_names: UnknownNamePolicy,
 }
@@ -64,7 +64,7 @@
 
 /// What the end of a job means for one that waited.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Consequence {
+pub enum DependentUpdate {
     /// All its dependencies were served.
     Released(JobName),
     /// It can't be served any more.
@@ -74,7 +74,7 @@
         /// The job whose end is the cause.
         cause: JobName,
         /// How that job ended.
-        end: JobEnd,
+        outcome: JobOutcome,
     },
 }
 
@@ -94,8 +94,8 @@
     nodes: HashMap<JobName, Node>,
     /// Nodes whose job was added.
     added_count: usize,
-    remembered_ends: HashMap<JobName, JobEnd>,
-    /// The names of `remembered_ends`, the oldest first.
+    remembered_outcomes: HashMap<JobName, JobOutcome>,
+    /// The names of `remembered_outcomes`, the oldest first.
     remembered_names: VecDeque<JobName>,
 }
 
@@ -106,7 +106,7 @@
             limits,
             nodes: HashMap::new(),
             added_count: 0,
-            remembered_ends: HashMap::new(),
+            remembered_outcomes: HashMap::new(),
             remembered_names: VecDeque::new(),
         }
     }
@@ -122,8 +122,8 @@
     }
 
     /// How a job has ended, if that is still remembered.
-    pub fn end_of(&self, name: &str) -> Option<JobEnd> {
-        self.remembered_ends.get(name).copied()
+    pub fn outcome_of(&self, name: &str) -> Option<JobOutcome> {
+        self.remembered_outcomes.get(name).copied()
     }
 
     /// The sorted names of the jobs that a job still waits for; `None` if no such job was added.
@@ -139,7 +139,9 @@
     /// # Errors
     /// Why it is not accepted; the graph has not changed then.
     pub fn add(&mut self, name: &JobName, dependencies: &[JobName]) -> Result<Readiness, AddError> {
-        if self.remembered_ends.contains_key(name) || self.nodes.get(name).is_some_and(|node| node.is_added) {
+        if self.remembered_outcomes.contains_key(name)
+            || self.nodes.get(name).is_some_and(|node| node.is_added)
+        {
             return Err(AddError::Duplicate);
         }
         if self.added_count >= self.limits.max_jobs {
@@ -154,10 +156,10 @@
     fn pending(&self, dependencies: &[JobName]) -> Result<Vec<JobName>, AddError> {
         let mut pending: Vec<JobName> = Vec::new();
         for dependency in dependencies {
-            match self.remembered_ends.get(dependency) {
-                Some(JobEnd::Served) => {}
-                Some(&end) => {
-                    return Err(AddError::DependencyFailed { dependency: dependency.clone(), end });
+            match self.remembered_outcomes.get(dependency) {
+                Some(JobOutcome::Served) => {}
+                Some(&outcome) => {
+                    return Err(AddError::DependencyFailed { dependency: dependency.clone(), outcome });
                 }
                 None if pending.contains(dependency) => {}
                 None => pending.push(dependency.clone()),
@@ -213,9 +215,9 @@
 
     /// Records that a job has ended, or that a name that is only awaited is given up. Returns what that means
     /// for the jobs that waited for it, the nearest first.
-    pub fn conclude(&mut self, name: &JobName, end: JobEnd) -> Vec<Consequence> {
+    pub fn conclude(&mut self, name: &JobName, outcome: JobOutcome) -> Vec<DependentUpdate> {
         let mut consequences = Vec::new();
-        let mut concluded = VecDeque::from([(name.clone(), end)]);
+        let mut concluded = VecDeque::from([(name.clone(), outcome)]);
         while let Some((ended_name, ended_as)) = concluded.pop_front() {
             let Some(node) = self.nodes.remove(&ended_name) else { continue };
             self.added_count -= usize::from(node.is_added);
@@ -223,19 +225,19 @@
             self.remember(&ended_name, ended_as);
             for dependent in node.dependents {
                 let Some(waiting) = self.nodes.get_mut(&dependent) else { continue };
-                if ended_as == JobEnd::Served {
+                if ended_as == JobOutcome::Served {
                     waiting.dependencies.remove(&ended_name);
                     if waiting.dependencies.is_empty() {
-                        consequences.push(Consequence::Released(dependent));
+                        consequences.push(DependentUpdate::Released(dependent));
                     }
                 } else if !concluded.iter().any(|(other, _)| *other == dependent) {
                     // Indirect dependents get the name of the first cause, not that of their own dependency.
-                    consequences.push(Consequence::Rejected {
+                    consequences.push(DependentUpdate::Rejected {
                         job: dependent.clone(),
                         cause: name.clone(),
-                        end,
+                        outcome,
                     });
-                    concluded.push_back((dependent, JobEnd::Rejected));
+                    concluded.push_back((dependent, JobOutcome::Rejected));
                 }
             }
         }
@@ -255,17 +257,17 @@
         }
     }
 
-    fn remember(&mut self, name: &JobName, end: JobEnd) {
-        if self.limits.max_remembered_ends == 0 {
+    fn remember(&mut self, name: &JobName, outcome: JobOutcome) {
+        if self.limits.max_remembered_outcomes == 0 {
             return;
         }
-        while self.remembered_names.len() >= self.limits.max_remembered_ends {
+        while self.remembered_names.len() >= self.limits.max_remembered_outcomes {
             if let Some(oldest) = self.remembered_names.pop_front() {
-                self.remembered_ends.remove(&oldest);
+                self.remembered_outcomes.remove(&oldest);
             }
         }
         self.remembered_names.push_back(name.clone());
-        self.remembered_ends.insert(name.clone(), end);
+        self.remembered_outcomes.insert(name.clone(), outcome);
     }
 
     /// The cycle that a new job would close. Only a name that is awaited already can close one.
--- a/crates/deferred-jobs/src/lib.rs
+++ b/crates/deferred-jobs/src/lib.rs
@@ -9,21 +9,21 @@
 //!
 //! ```
 //! use sorrelhaven_deferred_jobs::{
-//!     Consequence, DependencyGraph, JobEnd, Limits, Readiness, UnknownNamePolicy,
+//!     DependentUpdate, DependencyGraph, JobOutcome, Limits, Readiness, UnknownNamePolicy,
 //! };
 //!
 //! let limits = Limits {
 //!     max_jobs: 10,
 //!     max_dependencies: 4,
 //!     max_chain_length: 5,
-//!     max_remembered_ends: 10,
+//!     max_remembered_outcomes: 10,
 //!     unknown_names: UnknownNamePolicy::Reject,
 //! };
 //! let mut graph = DependencyGraph::new(limits);
 //! assert_eq!(graph.add(&"fee".into(), &[]), Ok(Readiness::Ready));
 //! assert_eq!(graph.add(&"licence".into(), &["fee".into()]), Ok(Readiness::Waiting));
-//! let consequences = graph.conclude(&"fee".into(), JobEnd::Served);
-//! assert_eq!(consequences, [Consequence::Released("licence".into())]);
+//! let consequences = graph.conclude(&"fee".into(), JobOutcome::Served);
+//! assert_eq!(consequences, [DependentUpdate::Released("licence".into())]);
 //! ```
 
 mod add_error;
@@ -33,7 +33,7 @@
 
 pub use add_error::AddError;
 pub use dependency_graph::{
-    Consequence, DependencyGraph, JobEnd, JobName, Limits, Readiness, UnknownNamePolicy,
+    DependencyGraph, DependentUpdate, JobName, JobOutcome, Limits, Readiness, UnknownNamePolicy,
 };
 pub use release_queue::{JobId, Micros, ReleaseQueue, ReleaseRules};
 pub use release_window::{ReleaseOutcome, WindowLimits};
--- a/crates/deferred-jobs/src/release_queue.rs
+++ b/crates/deferred-jobs/src/release_queue.rs
@@ -1,9 +1,9 @@
 //! In which order due jobs are released. No I/O, time passed in.
 //!
-//! *Order.* A job's priority rises by one with each `aging_step` that it has waited. As all rise alike, the
+//! *Order.* A job's priority rises by one with each `aging_interval` that it has waited. As all rise alike, the
 //! order of two jobs never changes: a job of priority `p` that was due at `d` has the effective due time
-//! `d - p * aging_step`. A job due at `d` can so be overtaken only by jobs due before
-//! `d + max_priority * aging_step`.
+//! `d - p * aging_interval`. A job due at `d` can so be overtaken only by jobs due before
+//! `d + max_priority * aging_interval`.
 //!
 //! *Shares.* Each tenant has its own queue. The next job is taken from the tenant that has had the fewest
 //! releases, by its weight, while it had jobs. A tenant that was idle has no claim on the past: it starts
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 pub struct ReleaseRules {
     /// A job's priority rises by one with each of these that it has waited.
-    pub aging_step: Micros,
+    pub aging_interval: Micros,
     /// The highest priority; a higher one counts as this.
     pub max_priority: u32,
     /// The weight of each tenant, at least 1.
@@ -66,7 +66,7 @@
 
     /// A job that falls due more than this after another of its tenant never overtakes it.
     pub fn overtaking_limit(&self) -> Micros {
-        self.rules.aging_step.saturating_mul(i64::from(self.rules.max_priority))
+        self.rules.aging_interval.saturating_mul(i64::from(self.rules.max_priority))
     }
 
     /// Adds a job that falls due. A tenant out of range counts as the last.
@@ -83,7 +83,7 @@
     }
 
     /// Removes a job that was not released, by what it was added with; false if it is not in the queue.
-    pub fn withdraw(&mut self, due: Micros, id: JobId, tenant: usize, priority: u32) -> bool {
+    pub fn remove(&mut self, due: Micros, id: JobId, tenant: usize, priority: u32) -> bool {
         let key = self.queue_key(due, id, priority);
         let Some(queue) = self.tenant_queue(tenant) else { return false };
         let found = queue.jobs.remove(&key);
@@ -93,7 +93,7 @@
 
     fn queue_key(&self, due: Micros, id: JobId, priority: u32) -> QueueKey {
         let priority = i64::from(priority.min(self.rules.max_priority));
-        let advance = self.rules.aging_step.saturating_mul(priority);
+        let advance = self.rules.aging_interval.saturating_mul(priority);
         QueueKey { effective_due: due.saturating_sub(advance), id }
     }
 
@@ -125,12 +125,12 @@
     }
 
     /// The number of jobs that are due and not released.
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.waiting
     }
 
     /// The number of released jobs that may be in progress at once.
-    pub fn window(&self) -> f64 {
+    pub fn window_size(&self) -> f64 {
         self.window.size()
     }
 }
--- a/crates/deferred-jobs/tests/dependency_graph.rs
+++ b/crates/deferred-jobs/tests/dependency_graph.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::{Strategy, prop, prop_assert, prop_assert_eq, prop_oneof};
 use sorrelhaven_deferred_jobs::{
-    AddError, Consequence, DependencyGraph, JobEnd, JobName, Limits, Readiness, UnknownNamePolicy,
+    AddError, DependencyGraph, DependentUpdate, JobName, JobOutcome, Limits, Readiness, UnknownNamePolicy,
 };
 use sorrelhaven_test_support::check_cases;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,7 +15,7 @@
         max_jobs: 1_000,
         max_dependencies: 8,
         max_chain_length: MAX_CHAIN_LENGTH,
-        max_remembered_ends: 1_000,
+        max_remembered_outcomes: 1_000,
         unknown_names: UnknownNamePolicy::Await { max_names: MAX_AWAITED_NAMES },
     }
 }
@@ -28,7 +28,7 @@
 #[derive(Default)]
 struct Model {
     waits: BTreeMap<JobName, BTreeSet<JobName>>,
-    ended: BTreeMap<JobName, JobEnd>,
+    ended: BTreeMap<JobName, JobOutcome>,
 }
 
 impl Model {
@@ -50,7 +50,10 @@
         if self.waits.contains_key(job) || self.ended.contains_key(job) {
             return Err("duplicate");
         }
-        if waits_for.iter().any(|name| self.ended.get(name).is_some_and(|end| *end != JobEnd::Served)) {
+        if waits_for
+            .iter()
+            .any(|name| self.ended.get(name).is_some_and(|outcome| *outcome != JobOutcome::Served))
+        {
             return Err("dependency failed");
         }
         let open: BTreeSet<JobName> =
@@ -72,7 +75,7 @@
         Ok(if open.is_empty() { Readiness::Ready } else { Readiness::Waiting })
     }
 
-    fn conclude(&mut self, job: &JobName, end: JobEnd) -> BTreeSet<Consequence> {
+    fn conclude(&mut self, job: &JobName, outcome: JobOutcome) -> BTreeSet<DependentUpdate> {
         let mut consequences = BTreeSet::new();
         if !self.waits.contains_key(job) && !self.awaited().contains(job) {
             return consequences;
@@ -80,18 +83,18 @@
         let below: Vec<JobName> =
             self.waits.keys().filter(|name| *name != job && self.reaches(name, job)).cloned().collect();
         self.waits.remove(job);
-        self.ended.insert(job.clone(), end);
-        if end == JobEnd::Served {
+        self.ended.insert(job.clone(), outcome);
+        if outcome == JobOutcome::Served {
             for (name, waits) in &mut self.waits {
                 if waits.remove(job) && waits.is_empty() {
-                    consequences.insert(Consequence::Released(name.clone()));
+                    consequences.insert(DependentUpdate::Released(name.clone()));
                 }
             }
         } else {
             for name in below {
                 self.waits.remove(&name);
-                self.ended.insert(name.clone(), JobEnd::Rejected);
-                consequences.insert(Consequence::Rejected { job: name, cause: job.clone(), end });
+                self.ended.insert(name.clone(), JobOutcome::Rejected);
+                consequences.insert(DependentUpdate::Rejected { job: name, cause: job.clone(), outcome });
             }
         }
         consequences
@@ -112,20 +115,20 @@
 #[test]
 fn the_graph_behaves_as_the_naive_model() {
     let add = (0usize..24, prop::collection::vec(0usize..24, 0..4))
-        .prop_map(|(job, dependencies)| (job, Some(dependencies), JobEnd::Served));
-    let end = prop::sample::select(vec![
-        JobEnd::Served,
-        JobEnd::Served,
-        JobEnd::Served,
-        JobEnd::Rejected,
-        JobEnd::MayHaveRun,
-        JobEnd::Withdrawn,
+        .prop_map(|(job, dependencies)| (job, Some(dependencies), JobOutcome::Served));
+    let outcome = prop::sample::select(vec![
+        JobOutcome::Served,
+        JobOutcome::Served,
+        JobOutcome::Served,
+        JobOutcome::Rejected,
+        JobOutcome::MayHaveRun,
+        JobOutcome::Cancelled,
     ]);
-    let conclude = (0usize..24, end).prop_map(|(job, end)| (job, None, end));
+    let conclude = (0usize..24, outcome).prop_map(|(job, outcome)| (job, None, outcome));
     check_cases(2_000, prop::collection::vec(prop_oneof![3 => add, 2 => conclude], 1..60), |steps| {
         let mut graph = DependencyGraph::new(limits());
         let mut model = Model::default();
-        for (job, waits, end) in steps {
+        for (job, waits, outcome) in steps {
             let job = name(job);
             if let Some(waits) = waits {
                 let waits: Vec<JobName> = waits.into_iter().map(name).collect();
@@ -144,10 +147,10 @@
                 }
                 prop_assert_eq!(added.map_err(|error| kind(&error)), expected, "{} for {:?}", job, waits);
             } else {
-                let consequences: Vec<Consequence> = graph.conclude(&job, end);
-                let unique: BTreeSet<Consequence> = consequences.iter().cloned().collect();
+                let consequences: Vec<DependentUpdate> = graph.conclude(&job, outcome);
+                let unique: BTreeSet<DependentUpdate> = consequences.iter().cloned().collect();
                 prop_assert_eq!(unique.len(), consequences.len(), "one for each job: {:?}", consequences);
-                prop_assert_eq!(unique, model.conclude(&job, end));
+                prop_assert_eq!(unique, model.conclude(&job, outcome));
             }
             prop_assert_eq!(graph.len(), model.waits.len());
             for (name, waits) in &model.waits {
@@ -164,7 +167,7 @@
 /// A chain of 5 and a fan-out of 200 are rejected in one step, each job with the name of the first cause.
 #[test]
 fn a_failure_rejects_a_chain_and_a_fan_out_at_once() {
-    for end in [JobEnd::Rejected, JobEnd::MayHaveRun, JobEnd::Withdrawn] {
+    for outcome in [JobOutcome::Rejected, JobOutcome::MayHaveRun, JobOutcome::Cancelled] {
         let mut graph = DependencyGraph::new(limits());
         graph.add(&name(0), &[]).expect("the job is accepted");
         for number in 1..5 {
@@ -173,16 +176,18 @@
         for number in 100..300 {
             assert_eq!(graph.add(&name(number), &[name(0)]), Ok(Readiness::Waiting));
         }
-        let consequences = graph.conclude(&name(0), end);
+        let consequences = graph.conclude(&name(0), outcome);
         assert_eq!((consequences.len(), graph.len()), (204, 0));
-        let names_cause = |consequence: &Consequence| match consequence {
-            Consequence::Rejected { cause, end: cause_end, .. } => *cause == name(0) && *cause_end == end,
-            Consequence::Released(_) => false,
+        let names_cause = |consequence: &DependentUpdate| match consequence {
+            DependentUpdate::Rejected { cause, outcome: cause_outcome, .. } => {
+                *cause == name(0) && *cause_outcome == outcome
+            }
+            DependentUpdate::Released(_) => false,
         };
         assert!(consequences.iter().all(names_cause), "{consequences:?}");
         assert_eq!(
             graph.add(&name(500), &[name(0)]),
-            Err(AddError::DependencyFailed { dependency: name(0), end })
+            Err(AddError::DependencyFailed { dependency: name(0), outcome })
         );
     }
 }
@@ -195,9 +200,9 @@
         graph.add(&name(number), &[]).expect("the job is accepted");
     }
     graph.add(&name(9), &[name(0), name(1), name(2), name(1)]).expect("the job is accepted");
-    assert_eq!(graph.conclude(&name(1), JobEnd::Served), []);
-    assert_eq!(graph.conclude(&name(0), JobEnd::Served), []);
-    assert_eq!(graph.conclude(&name(2), JobEnd::Served), [Consequence::Released(name(9))]);
+    assert_eq!(graph.conclude(&name(1), JobOutcome::Served), []);
+    assert_eq!(graph.conclude(&name(0), JobOutcome::Served), []);
+    assert_eq!(graph.conclude(&name(2), JobOutcome::Served), [DependentUpdate::Released(name(9))]);
     assert_eq!(graph.add(&name(10), &[name(2)]), Ok(Readiness::Ready), "served jobs are remembered");
 }
 
@@ -226,17 +231,17 @@
     assert_eq!(graph.add(&name(2), &[]), Err(AddError::Duplicate));
     let mut graph = DependencyGraph::new(Limits {
         unknown_names: UnknownNamePolicy::Reject,
-        max_remembered_ends: 2,
+        max_remembered_outcomes: 2,
         ..limits()
     });
     assert_eq!(graph.add(&name(0), &[name(1)]), Err(AddError::UnknownName(name(1))));
     for number in 0..3 {
         graph.add(&name(number), &[]).expect("the job is accepted");
-        graph.conclude(&name(number), JobEnd::Served);
+        graph.conclude(&name(number), JobOutcome::Served);
     }
     assert_eq!(
-        (graph.end_of("j0"), graph.end_of("j2")),
-        (None, Some(JobEnd::Served)),
+        (graph.outcome_of("j0"), graph.outcome_of("j2")),
+        (None, Some(JobOutcome::Served)),
         "the oldest end is forgotten"
     );
 }
--- a/crates/deferred-jobs/tests/release_queue.rs
+++ b/crates/deferred-jobs/tests/release_queue.rs
@@ -10,7 +10,7 @@
 
 fn rules(tenants: usize, min_window: f64, max_window: f64) -> ReleaseRules {
     ReleaseRules {
-        aging_step: 100 * MS,
+        aging_interval: 100 * MS,
         max_priority: 5,
         tenant_weights: vec![1; tenants],
         window: WindowLimits { min: min_window, max: max_window },
@@ -28,7 +28,7 @@
         let mut released = Vec::new();
         let mut next = 0;
         let mut now = 0;
-        while next < jobs.len() || queue.waiting() > 0 {
+        while next < jobs.len() || queue.waiting_count() > 0 {
             while let Some(&(due, tenant, priority)) = jobs.get(next).filter(|(due, _, _)| due * MS <= now) {
                 queue.enqueue(due * MS, next as u64, tenant, priority);
                 next += 1;
@@ -111,11 +111,11 @@
         queue.enqueue(0, id, id as usize % 4, 0);
     }
     let (mut in_progress, mut rejected, mut rounds, mut widest) = (0, 0, 0, 0.0f64);
-    while queue.waiting() > 0 || in_progress > 0 {
+    while queue.waiting_count() > 0 || in_progress > 0 {
         while queue.release_next().is_some() {
             in_progress += 1;
         }
-        widest = widest.max(queue.window());
+        widest = widest.max(queue.window_size());
         // In one round 40 jobs are in time, and those beyond them are rejected.
         let ends = std::mem::take(&mut in_progress);
         for number in 0..ends {
@@ -139,6 +139,6 @@
     let mut queue = ReleaseQueue::new(rules(2, 9.0, 9.0));
     queue.enqueue(5, 1, 1, 9);
     queue.enqueue(5, 2, 1, 9);
-    assert!(queue.withdraw(5, 1, 1, 9) && !queue.withdraw(5, 1, 1, 9));
-    assert_eq!((queue.release_next(), queue.release_next(), queue.waiting()), (Some(2), None, 0));
+    assert!(queue.remove(5, 1, 1, 9) && !queue.remove(5, 1, 1, 9));
+    assert_eq!((queue.release_next(), queue.release_next(), queue.waiting_count()), (Some(2), None, 0));
 }
--- a/crates/membership/examples/table.rs
+++ b/crates/membership/examples/table.rs
@@ -74,7 +74,7 @@
     let mut cluster = converged_cluster(count);
     cluster.loss = Box::new(move |_, _| condition.loss);
     let started_at = cluster.now;
-    let bytes_before = cluster.sum(|metrics| metrics.bytes);
+    let bytes_before = cluster.sum(|metrics| metrics.bytes_sent);
     let duration = (36_000 * SECOND / count as Micros).clamp(30 * SECOND, 1_200 * SECOND);
     while cluster.now < started_at + duration {
         cluster.run(cluster.now + SECOND);
@@ -87,7 +87,7 @@
     SteadyState {
         false_deaths: cluster.sum(|metrics| metrics.declared_dead),
         member_hours: member_seconds / 3_600.0,
-        bytes_per_member_second: (cluster.sum(|metrics| metrics.bytes) - bytes_before) as f64
+        bytes_per_member_second: (cluster.sum(|metrics| metrics.bytes_sent) - bytes_before) as f64
             / member_seconds,
     }
 }
--- a/crates/membership/src/id.rs
+++ b/crates/membership/src/id.rs
@@ -7,7 +7,7 @@
 /// The identity of a member: one incarnation of a node. A node that restarts is another member, and is never
 /// mistaken for a stale incarnation of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Id {
+pub struct MemberId {
     /// The node's name, the same in all its incarnations.
     pub name: String,
     /// Greater than in all earlier incarnations. At a start it is the time, so that the next one is greater.
@@ -16,19 +16,19 @@
     pub address: SocketAddr,
 }
 
-impl Id {
+impl MemberId {
     /// An incarnation of the node of this name at this address.
-    pub fn new(name: &str, incarnation: u64, address: SocketAddr) -> Id {
-        Id { name: name.to_string(), incarnation, address }
+    pub fn new(name: &str, incarnation: u64, address: SocketAddr) -> MemberId {
+        MemberId { name: name.to_string(), incarnation, address }
     }
 }
 
-impl Identity for Id {
+impl Identity for MemberId {
     type Addr = SocketAddr;
 
     /// A member that was declared dead while it is alive continues as its next incarnation.
-    fn renew(&self) -> Option<Id> {
-        Some(Id { incarnation: self.incarnation + 1, ..self.clone() })
+    fn renew(&self) -> Option<MemberId> {
+        Some(MemberId { incarnation: self.incarnation + 1, ..self.clone() })
     }
 
     fn addr(&self) -> SocketAddr {
@@ -36,7 +36,7 @@
     }
 
     /// Of two members at the same address the later incarnation wins.
-    fn win_addr_conflict(&self, adversary: &Id) -> bool {
+    fn win_addr_conflict(&self, adversary: &MemberId) -> bool {
         (self.incarnation, &self.name) > (adversary.incarnation, &adversary.name)
     }
 }
--- a/crates/membership/src/leave_broadcast.rs
+++ b/crates/membership/src/leave_broadcast.rs
@@ -1,7 +1,7 @@
 //! The leave broadcast, by which a member says that it leaves. It is spread beside the protocol's own
 //! messages, which don't distinguish a member that has left from one that has died.
 
-use crate::id::Id;
+use crate::id::MemberId;
 use foca::{BroadcastHandler, Invalidates};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -19,7 +19,7 @@
 pub(crate) struct LeaveNotice(Vec<u8>);
 
 impl LeaveNotice {
-    pub(crate) fn new(id: &Id) -> LeaveNotice {
+    pub(crate) fn new(id: &MemberId) -> LeaveNotice {
         let mut bytes = id.incarnation.to_be_bytes().to_vec();
         bytes.extend_from_slice(format!("{} {}", id.address, id.name).as_bytes());
         LeaveNotice(bytes)
@@ -42,7 +42,7 @@
 
 impl LeaveNotices {
     /// Whether this incarnation of a member has said that it leaves.
-    pub(crate) fn has_left(&self, id: &Id) -> bool {
+    pub(crate) fn has_left(&self, id: &MemberId) -> bool {
         self.0.borrow().contains(&LeaveNotice::new(id))
     }
 }
@@ -59,14 +59,14 @@
 
 impl std::error::Error for MalformedNotice {}
 
-impl BroadcastHandler<Id> for LeaveNotices {
+impl BroadcastHandler<MemberId> for LeaveNotices {
     type Key = LeaveNotice;
     type Error = MalformedNotice;
 
     fn receive_item(
         &mut self,
         data: &[u8],
-        _sender: Option<&Id>,
+        _sender: Option<&MemberId>,
     ) -> Result<Option<LeaveNotice>, MalformedNotice> {
         if data.len() < MIN_NOTICE_BYTES {
             return Err(MalformedNotice);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -18,12 +18,12 @@
 //! | `udp` | runs a member on a socket |
 //!
 //! ```
-//! use sorrelhaven_membership::{Id, MemberState, Membership, Settings};
+//! use sorrelhaven_membership::{MemberId, MemberState, Membership, Settings};
 //!
 //! let settings = |seeds| Settings { seeds, ..Settings::new(b"a key that all members share".to_vec()) };
 //! let address = |port| std::net::SocketAddr::from(([127, 0, 0, 1], port));
-//! let mut a = Membership::new(Id::new("a", 1, address(1)), settings(vec![]), 1, 0);
-//! let mut b = Membership::new(Id::new("b", 1, address(2)), settings(vec![address(1)]), 2, 0);
+//! let mut a = Membership::new(MemberId::new("a", 1, address(1)), settings(vec![]), 1, 0);
+//! let mut b = Membership::new(MemberId::new("b", 1, address(2)), settings(vec![address(1)]), 2, 0);
 //! let mut now = 0;
 //! while a.table().len() < 2 || b.table().len() < 2 {
 //!     now += 10_000;
@@ -54,10 +54,10 @@
 mod udp;
 
 pub use authentication::{DatagramError, MAX_DATAGRAM_BYTES};
-pub use id::Id;
+pub use id::MemberId;
 pub use metrics::Metrics;
 pub use settings::Settings;
 pub use state::{Membership, OutgoingDatagram};
 pub use table::{Member, MemberState};
 pub use time::Micros;
-pub use udp::{run, send, time};
+pub use udp::{elapsed, run, send};
--- a/crates/membership/src/metrics.rs
+++ b/crates/membership/src/metrics.rs
@@ -8,15 +8,15 @@
     /// Members that came under suspicion, by this member's own probes or by the messages of others.
     pub suspicions: u64,
     /// Suspects that turned out to be alive.
-    pub refuted: u64,
+    pub refutations: u64,
     /// Times that this member was declared dead and continued as its next incarnation.
     pub declared_dead: u64,
     /// Times that this member was paused for longer than a probe period.
     pub pauses: u64,
     /// Datagrams sent.
-    pub sent: u64,
+    pub datagrams_sent: u64,
     /// Bytes in the datagrams sent.
-    pub bytes: u64,
+    pub bytes_sent: u64,
     /// Datagrams dropped: too short, too long, or of another version.
     pub malformed: u64,
     /// Datagrams dropped: not signed with the key.
@@ -24,5 +24,5 @@
     /// Datagrams dropped: received before.
     pub replayed: u64,
     /// Datagrams that were signed with the key but that the protocol rejected.
-    pub undecodable: u64,
+    pub protocol_errors: u64,
 }
--- a/crates/membership/src/protocol_output.rs
+++ b/crates/membership/src/protocol_output.rs
@@ -1,6 +1,6 @@
 //! What the protocol's implementation asks for in one call.
 
-use crate::id::Id;
+use crate::id::MemberId;
 use foca::{Notification, Runtime, Timer};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 
 /// A timer of the protocol that is to be started.
 pub(crate) struct NewTimer {
-    pub(crate) timer: Timer<Id>,
+    pub(crate) timer: Timer<MemberId>,
     pub(crate) after: Duration,
 }
 
@@ -42,18 +42,18 @@
     }
 }
 
-impl Runtime<Id> for ProtocolOutput {
-    fn notify(&mut self, notification: Notification<'_, Id>) {
+impl Runtime<MemberId> for ProtocolOutput {
+    fn notify(&mut self, notification: Notification<'_, MemberId>) {
         if matches!(notification, Notification::Rejoin(_)) {
             self.declared_dead += 1;
         }
     }
 
-    fn send_to(&mut self, to: Id, data: &[u8]) {
+    fn send_to(&mut self, to: MemberId, data: &[u8]) {
         self.messages.push(Message { to: to.address, bytes: data.to_vec() });
     }
 
-    fn submit_after(&mut self, timer: Timer<Id>, after: Duration) {
+    fn submit_after(&mut self, timer: Timer<MemberId>, after: Duration) {
         self.timers.push(NewTimer { timer, after });
     }
 }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -43,11 +43,11 @@
 impl Settings {
     /// The operators' defaults: among hundreds of members a death is known within 3 s.
     pub fn new(key: Vec<u8>) -> Settings {
-        Settings::of(&sorrelhaven_config::MembershipSettings::default(), key)
+        Settings::from_config(&sorrelhaven_config::MembershipSettings::default(), key)
     }
 
     /// The settings of the operators' file, without seeds.
-    pub fn of(settings: &sorrelhaven_config::MembershipSettings, key: Vec<u8>) -> Settings {
+    pub fn from_config(settings: &sorrelhaven_config::MembershipSettings, key: Vec<u8>) -> Settings {
         Settings {
             key,
             seeds: Vec::new(),
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -1,7 +1,7 @@
 //! The state machine of a member: datagrams and the time in, datagrams out. No I/O, no clock.
 
 use crate::authentication::{Authenticator, DatagramError};
-use crate::id::Id;
+use crate::id::MemberId;
 use crate::incarnation_jump::IncarnationJump;
 use crate::leave_broadcast::{LeaveNotice, LeaveNotices};
 use crate::local_health::LocalHealth;
@@ -23,7 +23,7 @@
 /// Rounds of gossip that carry the leave broadcast, the protocol's own last message included.
 const LEAVE_BROADCAST_ROUNDS: usize = 3;
 
-type Protocol = Foca<Id, PostcardCodec, SmallRng, LeaveNotices>;
+type Protocol = Foca<MemberId, PostcardCodec, SmallRng, LeaveNotices>;
 
 /// A datagram that is to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -58,7 +58,7 @@
 
 /// The seed for the random numbers of one incarnation: another one for each node and each start, even if
 /// `seed` is the same.
-fn incarnation_seed(id: &Id, seed: u64) -> u64 {
+fn incarnation_seed(id: &MemberId, seed: u64) -> u64 {
     let with_name =
         id.name.bytes().fold(seed, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3));
     (with_name ^ id.incarnation.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15)
@@ -66,7 +66,7 @@
 
 impl Membership {
     /// A member that knows no other one yet. `seed` is for random numbers, and should be new at each start.
-    pub fn new(id: Id, settings: Settings, seed: u64, now: Micros) -> Membership {
+    pub fn new(id: MemberId, settings: Settings, seed: u64, now: Micros) -> Membership {
         let seed = incarnation_seed(&id, seed);
         let authenticator = Authenticator::new(&settings.key, seed);
         let leave_notices = LeaveNotices::default();
@@ -101,7 +101,7 @@
     }
 
     /// The identity of this member now: a later incarnation than at its start if it was declared dead.
-    pub fn id(&self) -> &Id {
+    pub fn id(&self) -> &MemberId {
         self.protocol.identity()
     }
 
@@ -208,7 +208,7 @@
         let is_known = self.protocol.iter_members().any(|member| member.id().address == seed);
         if seed != self.protocol.identity().address && !is_known {
             // Only the address is known yet: any member that listens there may answer.
-            let any_member = Id::new("", 0, seed);
+            let any_member = MemberId::new("", 0, seed);
             self.run_protocol(now, |protocol, output| protocol.announce(any_member, output));
         }
     }
@@ -223,7 +223,7 @@
 
     /// Whether the timer is that of a suspicion that has been refuted. `foca` would keep the suspect alive,
     /// but tell it all the same that it is dead, and it would take its next incarnation for nothing.
-    fn is_refuted(&self, timer: &Timer<Id>) -> bool {
+    fn is_refuted(&self, timer: &Timer<MemberId>) -> bool {
         let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = timer else { return false };
         let is_still_suspect = self.protocol.iter_membership_state().any(|member| {
             member.id() == member_id
@@ -233,7 +233,7 @@
         !is_still_suspect
     }
 
-    fn run_timer(&mut self, now: Micros, timer: Timer<Id>) {
+    fn run_timer(&mut self, now: Micros, timer: Timer<MemberId>) {
         let starts_probe = matches!(timer, Timer::ProbeRandomMember(_));
         if starts_probe && self.protocol.num_members() > 0 {
             self.metrics.probes += 1;
@@ -258,7 +258,7 @@
     ) {
         let mut output = ProtocolOutput::default();
         if call(&mut self.protocol, &mut output).is_err() {
-            self.metrics.undecodable += 1;
+            self.metrics.protocol_errors += 1;
         }
         if output.declared_dead > 0 {
             self.raise_incarnation(now, &mut output);
@@ -274,9 +274,9 @@
             return;
         }
         let id = self.protocol.identity().clone();
-        let later = Id { incarnation: id.incarnation.saturating_add(jump), ..id };
+        let later = MemberId { incarnation: id.incarnation.saturating_add(jump), ..id };
         if self.protocol.change_identity(later, output).is_err() {
-            self.metrics.undecodable += 1;
+            self.metrics.protocol_errors += 1;
         }
     }
 
@@ -295,8 +295,8 @@
 
     fn send(&mut self, message: &Message) {
         let bytes = self.authenticator.sign(&message.bytes);
-        self.metrics.sent += 1;
-        self.metrics.bytes += bytes.len() as u64;
+        self.metrics.datagrams_sent += 1;
+        self.metrics.bytes_sent += bytes.len() as u64;
         self.outgoing.push(OutgoingDatagram { to: message.to, bytes });
     }
 
@@ -324,7 +324,7 @@
         });
         for (id, state) in others.chain([own]) {
             if self.table.update(now, id, state) == TableChange::Refuted {
-                self.metrics.refuted += 1;
+                self.metrics.refutations += 1;
             }
         }
         self.table.forget_old(now, micros(self.settings.forget_after));
--- a/crates/membership/src/state/tests.rs
+++ b/crates/membership/src/state/tests.rs
@@ -2,7 +2,7 @@
 
 use super::{Membership, OutgoingDatagram};
 use crate::authentication::{Authenticator, MAX_MESSAGE_BYTES};
-use crate::{Id, Metrics, Settings};
+use crate::{MemberId, Metrics, Settings};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 
 fn member(name: &str, port: u16, seed_port: u16, rng: &mut fastrand::Rng) -> Membership {
     let settings = Settings { seeds: vec![address(seed_port)], ..Settings::new(KEY.to_vec()) };
-    Membership::new(Id::new(name, 1, address(port)), settings, rng.u64(..), 0)
+    Membership::new(MemberId::new(name, 1, address(port)), settings, rng.u64(..), 0)
 }
 
 fn damage(message: &mut Vec<u8>, rng: &mut fastrand::Rng) {
@@ -57,8 +57,8 @@
 #[test]
 fn signed_messages_that_are_damaged_break_nothing() {
     let mut rng = fastrand::Rng::with_seed(9);
-    let undecodable: u64 = (0..60).map(|_| exchange_damaged_messages(&mut rng, 40).undecodable).sum();
-    assert!(undecodable > 500, "{undecodable} were recognised as undecodable");
+    let protocol_errors: u64 = (0..60).map(|_| exchange_damaged_messages(&mut rng, 40).protocol_errors).sum();
+    assert!(protocol_errors > 500, "{protocol_errors} were recognised as undecodable");
 }
 
 /// The same for as many seconds as `FUZZ_SECONDS` says, 600 without it.
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,6 +1,6 @@
 //! The member table: what a member believes of each other one, as a value that other subsystems read.
 
-use crate::id::Id;
+use crate::id::MemberId;
 use crate::time::Micros;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Its identity, in its latest incarnation.
-    pub id: Id,
+    pub id: MemberId,
     /// What is believed of it.
     pub state: MemberState,
     /// When that began, on this node's clock.
@@ -69,7 +69,7 @@
     }
 
     /// Records the state of a member.
-    pub(crate) fn update(&mut self, now: Micros, id: &Id, state: MemberState) -> TableChange {
+    pub(crate) fn update(&mut self, now: Micros, id: &MemberId, state: MemberState) -> TableChange {
         let mut change = TableChange::Updated;
         if let Some(known) = self.members.get(&id.address) {
             let is_stale = known.id.incarnation > id.incarnation;
--- a/crates/membership/src/timer_queue.rs
+++ b/crates/membership/src/timer_queue.rs
@@ -1,6 +1,6 @@
 //! The protocol's timers, by the time at which they are due.
 
-use crate::id::Id;
+use crate::id::MemberId;
 use crate::time::Micros;
 use foca::Timer;
 use std::collections::BTreeMap;
@@ -9,12 +9,12 @@
 /// started.
 #[derive(Default)]
 pub(crate) struct TimerQueue {
-    timers: BTreeMap<(Micros, u64), Timer<Id>>,
+    timers: BTreeMap<(Micros, u64), Timer<MemberId>>,
     started: u64,
 }
 
 impl TimerQueue {
-    pub(crate) fn start(&mut self, due_at: Micros, timer: Timer<Id>) {
+    pub(crate) fn start(&mut self, due_at: Micros, timer: Timer<MemberId>) {
         self.started += 1;
         self.timers.insert((due_at, self.started), timer);
     }
@@ -25,7 +25,7 @@
     }
 
     /// Removes the first timer, if it is due.
-    pub(crate) fn pop_due(&mut self, now: Micros) -> Option<Timer<Id>> {
+    pub(crate) fn pop_due(&mut self, now: Micros) -> Option<Timer<MemberId>> {
         let first = self.timers.first_entry()?;
         let (due_at, _) = *first.key();
         (due_at <= now).then(|| first.remove())
--- a/crates/membership/src/udp.rs
+++ b/crates/membership/src/udp.rs
@@ -14,7 +14,7 @@
 const MAX_READS_PER_TURN: usize = 256;
 
 /// The time on the clock of a member that was created at `started_at` with the time 0.
-pub fn time(started_at: Instant) -> Micros {
+pub fn elapsed(started_at: Instant) -> Micros {
     micros(started_at.elapsed())
 }
 
@@ -24,7 +24,7 @@
         // Datagrams that wait are handled before timers: after a pause the member must not suspect those that
         // have answered meanwhile.
         receive(socket, member, started_at);
-        let outgoing = member.borrow_mut().tick(time(started_at));
+        let outgoing = member.borrow_mut().tick(elapsed(started_at));
         send(socket, outgoing);
         wait(socket, member, started_at).await;
     }
@@ -36,7 +36,7 @@
     for _ in 0..MAX_READS_PER_TURN {
         // An error concerns one datagram that could not be sent, or nothing that can be repaired here.
         let Ok((length, _)) = socket.get_ref().recv_from(&mut buffer) else { return };
-        member.borrow_mut().handle_datagram(time(started_at), &buffer[..length]);
+        member.borrow_mut().handle_datagram(elapsed(started_at), &buffer[..length]);
     }
 }
 
--- a/crates/membership/tests/cases.rs
+++ b/crates/membership/tests/cases.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::{Cluster, MILLISECOND, SECOND, address};
-use sorrelhaven_membership::{Id, MemberState, Membership, Settings};
+use sorrelhaven_membership::{MemberId, MemberState, Membership, Settings};
 
 #[test]
 fn sixty_members_converge_and_a_death_is_known_in_four_seconds() {
@@ -169,7 +169,7 @@
 #[test]
 fn a_member_without_seeds_sleeps_until_a_timer_is_due() {
     let settings = Settings::new(b"a key of the tests alone".to_vec());
-    let mut alone = Membership::new(Id::new("n0", 1, address(0)), settings, 3, 0);
+    let mut alone = Membership::new(MemberId::new("n0", 1, address(0)), settings, 3, 0);
     let mut now = 0;
     for _ in 0..100 {
         assert!(alone.tick(now).is_empty(), "there is no other member");
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,7 +1,9 @@
 //! A cluster of members on a simulated clock, and the network between them.
 #![allow(dead_code)]
 
-use sorrelhaven_membership::{Id, MemberState, Membership, Metrics, Micros, OutgoingDatagram, Settings};
+use sorrelhaven_membership::{
+    MemberId, MemberState, Membership, Metrics, Micros, OutgoingDatagram, Settings,
+};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
@@ -90,7 +92,7 @@
     fn new_member(&mut self, index: usize, incarnation: u64, now: Micros) -> Membership {
         let seeds = vec![address(0), address(1)];
         let settings = Settings { seeds, ..Settings::new(self.key.clone()) };
-        let id = Id::new(&format!("n{index}"), incarnation, address(index));
+        let id = MemberId::new(&format!("n{index}"), incarnation, address(index));
         Membership::new(id, settings, self.rng.u64(..), now)
     }
 
@@ -197,11 +199,11 @@
 
     /// Whether all running members believe that all running members are alive, in their current incarnations.
     pub fn is_converged(&self) -> bool {
-        let ids: Vec<&Id> = self.running().map(|index| self.members[index].id()).collect();
+        let ids: Vec<&MemberId> = self.running().map(|index| self.members[index].id()).collect();
         self.running().all(|observer| ids.iter().all(|id| self.believes_alive(observer, id)))
     }
 
-    fn believes_alive(&self, observer: usize, id: &Id) -> bool {
+    fn believes_alive(&self, observer: usize, id: &MemberId) -> bool {
         let member = self.members[observer].member(id.address);
         member.is_some_and(|member| member.id == *id && member.state == MemberState::Alive)
     }
--- a/crates/membership/tests/compatibility.rs
+++ b/crates/membership/tests/compatibility.rs
@@ -1,7 +1,7 @@
 //! Nodes of the previous version and of this one are members of the same cluster during a rolling upgrade:
 //! datagrams recorded from the previous version are understood, and the same inputs give the same bytes.
 
-use sorrelhaven_membership::{Id, Member, MemberState, Membership, Micros, OutgoingDatagram, Settings};
+use sorrelhaven_membership::{Member, MemberId, MemberState, Membership, Micros, OutgoingDatagram, Settings};
 use std::net::SocketAddr;
 
 /// The exchange as the previous version wrote it: each line is a [`Datagram`].
@@ -50,12 +50,17 @@
 
 /// The member that asks its seed, and leaves at [`LEAVE_TIME`].
 fn member_a() -> Membership {
-    Membership::new(Id::new("a", 1_700_000_000_000_001, address(7001)), settings(vec![address(7002)]), 1, 0)
+    Membership::new(
+        MemberId::new("a", 1_700_000_000_000_001, address(7001)),
+        settings(vec![address(7002)]),
+        1,
+        0,
+    )
 }
 
 /// The member that is the other's seed.
 fn member_b() -> Membership {
-    Membership::new(Id::new("b", 1_700_000_000_000_002, address(7002)), settings(vec![]), 2, 0)
+    Membership::new(MemberId::new("b", 1_700_000_000_000_002, address(7002)), settings(vec![]), 2, 0)
 }
 
 fn sent_by(sender: &str, sent_at: Micros, datagrams: Vec<OutgoingDatagram>) -> Vec<Datagram> {
@@ -95,11 +100,11 @@
         member.tick(now);
     }
     let left = state_of_a(&member).expect("a member that was heard of");
-    assert_eq!(left.id, Id::new("a", 1_700_000_000_000_001, address(7001)));
+    assert_eq!(left.id, MemberId::new("a", 1_700_000_000_000_001, address(7001)));
     assert_eq!(left.state, MemberState::Left);
     let metrics = member.metrics();
     assert_eq!((metrics.malformed, metrics.unauthenticated, metrics.replayed), (0, 0, 0));
-    assert_eq!((metrics.undecodable, metrics.declared_dead), (0, 0));
+    assert_eq!((metrics.protocol_errors, metrics.declared_dead), (0, 0));
 }
 
 #[test]
--- a/crates/node/src/cluster_member.rs
+++ b/crates/node/src/cluster_member.rs
@@ -3,7 +3,7 @@
 use crate::start_error::StartError;
 use async_io::Async;
 use sorrelhaven_config::Config;
-use sorrelhaven_membership::{self as membership, Id, Membership, Settings};
+use sorrelhaven_membership::{self as membership, MemberId, Membership, Settings};
 use std::cell::RefCell;
 use std::net::UdpSocket;
 use std::rc::Rc;
@@ -31,9 +31,9 @@
         let listen = socket.get_ref().local_addr().unwrap_or(peers.listen);
         let address = peers.advertise.unwrap_or(listen);
         let incarnation = incarnation();
-        let settings = Settings { seeds: peers.seeds, ..Settings::of(options, peers.key) };
+        let settings = Settings { seeds: peers.seeds, ..Settings::from_config(options, peers.key) };
         info!(%listen, %address, life = incarnation, "membership");
-        let id = Id::new(&config.name, incarnation, address);
+        let id = MemberId::new(&config.name, incarnation, address);
         let membership = Rc::new(RefCell::new(Membership::new(id, settings, config.seed, 0)));
         Ok(Some(ClusterMember { membership, socket, started_at: Instant::now() }))
     }
@@ -45,7 +45,7 @@
 
     /// Sends the leave broadcast: the others need not detect this node's end.
     pub fn leave(&self) {
-        let datagrams = self.membership.borrow_mut().leave(membership::time(self.started_at));
+        let datagrams = self.membership.borrow_mut().leave(membership::elapsed(self.started_at));
         membership::send(&self.socket, datagrams);
     }
 }
