--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,8 +1,8 @@
 //! The lifecycle of a node: starting, serving, drained or stopping, and what each phase means for client
 //! connections.
 //!
-//! [`Lifecycle`] is the single source of this state. It does no I/O and reads no clock: commands and signals
-//! are passed in with the time at which they arrived, and each is defined in every phase. [`LifecycleHandle`]
+//! [`Lifecycle`] alone holds this state. It does no I/O and reads no clock: commands and signals are passed
+//! in with the time at which they arrived, and every phase defines the effect of each. [`LifecycleHandle`]
 //! shares it within one thread and notifies listeners of changes.
 //!
 //! ```
--- a/crates/lifecycle/src/lifecycle.rs
+++ b/crates/lifecycle/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The lifecycle's state machine: phases, commands and the deadlines that follow from a phase.
+//! The state machine of the lifecycle: phases, commands, and the deadlines of each phase.
 
 use crate::shutdown;
 use std::time::{Duration, Instant};
@@ -6,19 +6,20 @@
 /// The phase of a node's lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// The node cannot serve yet.
+    /// The node is starting and does not accept requests yet.
     Starting {
-        /// A drain was requested during startup: the node is drained as soon as startup completes.
+        /// Whether a drain was requested during startup, so that the node becomes drained when startup
+        /// completes.
         drain_after_startup: bool,
     },
-    /// The node accepts requests.
+    /// The node accepts clients and requests.
     Serving,
-    /// The operators have drained the node; it can be resumed.
+    /// The operators have drained the node; they can resume it.
     Drained {
         /// When the drain was requested, or when startup completed if that was later.
         since: Instant,
     },
-    /// The node shuts down; no command leads out of this phase.
+    /// The node is shutting down; no command leads to another phase.
     Stopping {
         /// When the shutdown was requested.
         since: Instant,
@@ -36,12 +37,12 @@
     Resume,
 }
 
-/// The reply to a [`Command`], with the state that holds afterwards.
+/// The reply to a [`Command`]: whether it succeeded, with a text that describes the state afterwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandReply {
-    /// The command holds: the node is ready, or will be in the requested state.
+    /// The node is ready ([`Command::Ready`]), or is or will be in the requested state.
     Success(&'static str),
-    /// The command does not hold: the node is not ready, or cannot be brought into the requested state.
+    /// The node is not ready ([`Command::Ready`]), or cannot enter the requested state.
     Failure(&'static str),
 }
 
@@ -52,7 +53,7 @@
 }
 
 impl Default for Lifecycle {
-    /// A node that is starting.
+    /// A node that is starting, without a requested drain.
     fn default() -> Lifecycle {
         Lifecycle { phase: Phase::Starting { drain_after_startup: false } }
     }
@@ -64,7 +65,7 @@
         self.phase
     }
 
-    /// Records that the node can serve.
+    /// Records that startup is complete: the node serves or, if a drain was requested meanwhile, is drained.
     pub fn startup_completed(&mut self, now: Instant) {
         self.phase = match self.phase {
             Phase::Starting { drain_after_startup: true } => Phase::Drained { since: now },
@@ -73,7 +74,8 @@
         };
     }
 
-    /// Records that a shutdown was requested. A repeated request does not extend the deadlines of the first.
+    /// Records that a shutdown was requested. Its deadlines count from the first request; a repeated one does
+    /// not extend them.
     pub fn begin_shutdown(&mut self, now: Instant) {
         self.phase = match self.phase {
             Phase::Starting { .. } | Phase::Serving | Phase::Drained { .. } => Phase::Stopping { since: now },
@@ -81,7 +83,7 @@
         };
     }
 
-    /// Executes a command that arrived at `now`.
+    /// Executes a command that arrived at `now`, and returns the reply.
     pub fn execute(&mut self, command: Command, now: Instant) -> CommandReply {
         match command {
             Command::Ready => self.readiness(),
@@ -134,7 +136,7 @@
         self.phase == Phase::Serving
     }
 
-    /// Whether client connections are being closed: each response closes its connection.
+    /// Whether the node is drained or stopping, so that each response closes its client connection.
     pub fn is_draining(&self) -> bool {
         match self.phase {
             Phase::Drained { .. } | Phase::Stopping { .. } => true,
@@ -142,7 +144,7 @@
         }
     }
 
-    /// When idle client connections are closed; `None` while they may stay open.
+    /// When idle client connections must be closed; `None` if they may stay open.
     pub fn idle_close_at(&self) -> Option<Instant> {
         match self.phase {
             Phase::Drained { since } => Some(shutdown::drain_idle_close_at(since)),
@@ -151,18 +153,20 @@
         }
     }
 
-    /// Whether the node shuts down and connections without a request are closed at once, also new ones.
+    /// Whether the node is stopping and the time for closing idle connections has passed, so that any
+    /// connection without a request, even a new one, is closed at once.
     pub fn closes_idle_immediately(&self, now: Instant) -> bool {
         let is_stopping = matches!(self.phase, Phase::Stopping { .. });
         is_stopping && self.idle_close_at().is_some_and(|close_at| now >= close_at)
     }
 
-    /// When a request that has begun must have been read, beside its other deadlines; `None` without such a
-    /// deadline. `longest_client_timeout` is the longest time that any client waits for its answer.
+    /// When a request whose first byte has arrived must be read completely, in addition to its other
+    /// deadlines; `None` if the phase sets no such deadline. `longest_client_timeout` is the longest time
+    /// that any client waits for its answer.
     pub fn request_read_deadline(&self, longest_client_timeout: Duration) -> Option<Instant> {
         match self.phase {
             Phase::Drained { since } => Some(shutdown::drain_request_read_deadline(since)),
-            // A request that began before idle connections were closed is still read while it can be
+            // A request that began before idle connections were closed is read as long as it can still be
             // answered.
             Phase::Stopping { since } => {
                 Some(shutdown::shutdown_request_read_deadline(since, longest_client_timeout))
@@ -171,8 +175,8 @@
         }
     }
 
-    /// When a request that was completely received at `received_at` must be answered even if its client would
-    /// wait longer, because the process may be killed afterwards; `None` without such a deadline.
+    /// When a request that was completely received at `received_at` must be answered, even if its client
+    /// would wait longer, because the process may be killed after that; `None` if there is no such deadline.
     /// `longest_client_timeout` is the longest time that any client waits for its answer.
     pub fn answer_deadline(&self, received_at: Instant, longest_client_timeout: Duration) -> Option<Instant> {
         match self.phase {
--- a/crates/lifecycle/tests/transitions.rs
+++ b/crates/lifecycle/tests/transitions.rs
@@ -1,4 +1,4 @@
-//! Every command and signal in every phase, and random sequences of them.
+//! The lifecycle's transitions: every command and signal in every phase, and random sequences of them.
 
 use proptest::prelude::*;
 use sorrelhaven_lifecycle::{Command, CommandReply, Lifecycle, Phase};
@@ -7,7 +7,7 @@
 
 const LONGEST_CLIENT_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// A lifecycle brought into each of its phases, with a label for messages.
+/// A lifecycle in each of its phases, with a label for assertion messages.
 fn lifecycle_in_each_phase(now: Instant) -> Vec<(&'static str, Lifecycle)> {
     let after = |steps: &[fn(&mut Lifecycle, Instant)]| {
         let mut lifecycle = Lifecycle::default();
@@ -24,7 +24,7 @@
     ]
 }
 
-/// Each cell of the transition table of `docs/operations.md`: the reply, and the phase after it.
+/// Checks each cell of the transition table in `docs/operations.md`: the reply, and the phase after it.
 #[test]
 fn each_command_in_each_phase_gives_the_documented_reply_and_phase() {
     let (then, now) = (Instant::now(), Instant::now() + Duration::from_secs(9));
@@ -86,7 +86,7 @@
     assert_eq!(
         lifecycle.phase(),
         Phase::Drained { since: ready_at },
-        "the drain counts from the first moment at which clients could connect"
+        "a drain requested during startup starts when clients can first connect"
     );
     lifecycle.execute(Command::Resume, ready_at);
     assert!(
@@ -97,32 +97,34 @@
     );
 }
 
-/// The protocol's bounds: 4 s after the command no idle connection is open and no request is younger than 2
-/// s, so requests must be read within 2 s and idle connections closed before that. No connection is closed
-/// before the load balancer has noticed (0.1 s until its next check, 0.2 s until it stops sending clients).
+/// The protocol requires that 4 s after the command no idle connection is open and no request has arrived in
+/// the last 2 s. So requests must be read within 2 s of the command, and idle connections closed before that.
+/// No connection may be closed before the load balancer has reacted: 0.1 s until its next readiness check,
+/// and 0.2 s until it stops sending clients.
 #[test]
 fn a_drain_closes_idle_connections_after_the_balancer_noticed_and_within_the_bounds() {
     let now = Instant::now();
     let mut lifecycle = Lifecycle::default();
     lifecycle.startup_completed(now);
     lifecycle.execute(Command::Drain, now);
-    let idle_close_at = lifecycle.idle_close_at().expect("a time");
-    let read_deadline = lifecycle.request_read_deadline(LONGEST_CLIENT_TIMEOUT).expect("a time");
-    assert!(idle_close_at - now >= Duration::from_millis(500), "{:?}", idle_close_at - now);
+    let idle_close_at = lifecycle.idle_close_at().expect("idle close time of a drained node");
+    let read_deadline =
+        lifecycle.request_read_deadline(LONGEST_CLIENT_TIMEOUT).expect("read deadline of a drained node");
+    assert!(idle_close_at - now >= Duration::from_millis(500), "idle close after {:?}", idle_close_at - now);
     assert!(
         idle_close_at < read_deadline && read_deadline - now < Duration::from_secs(2),
-        "{:?}",
+        "read deadline after {:?}",
         read_deadline - now
     );
-    // Neither a second drain nor a SIGTERM during the drain extends it.
+    // Neither a second drain nor a SIGTERM during the drain extends the idle close time.
     lifecycle.execute(Command::Drain, now + Duration::from_secs(1));
     assert_eq!(lifecycle.idle_close_at(), Some(idle_close_at));
     lifecycle.begin_shutdown(now + Duration::from_millis(100));
-    assert!(lifecycle.idle_close_at().expect("a time") < idle_close_at);
+    assert!(lifecycle.idle_close_at().expect("idle close time of a stopping node") < idle_close_at);
 }
 
-/// For any sequence: only a serving node is ready, no command leads out of a shutdown, and a draining node is
-/// not ready.
+/// After any sequence, a node is ready only if it is serving, which excludes a draining one; no command ends
+/// a shutdown.
 #[test]
 fn any_sequence_of_commands_and_signals_follows_the_transition_table() {
     check_cases(256, prop::collection::vec(0usize..5, 0..24), |steps| {
@@ -154,9 +156,8 @@
     });
 }
 
-/// SIGKILL follows SIGTERM after 0.7 s and the longest client timeout (3 s at most) at the earliest. A
-/// request received in the first 0.7 s may be cut off; a later one must be read early enough and answered
-/// before SIGKILL.
+/// SIGKILL follows SIGTERM no earlier than 0.7 s plus the longest client timeout (at most 3 s). A request
+/// received in the first 0.7 s may be cut off; a later one must be read and answered before SIGKILL.
 #[test]
 fn a_request_received_late_after_sigterm_must_be_answered_before_the_earliest_sigkill() {
     let now = Instant::now();
@@ -176,17 +177,19 @@
         assert_eq!(
             lifecycle.answer_deadline(at(600), client_timeout),
             None,
-            "an early request has its client's own timeout"
+            "a request received within 0.7 s of SIGTERM has only its client's timeout"
         );
-        let answer_deadline = lifecycle.answer_deadline(at(700), client_timeout).expect("a time");
+        let answer_deadline =
+            lifecycle.answer_deadline(at(700), client_timeout).expect("answer deadline of a late request");
         assert!(
             answer_deadline > at(700) && answer_deadline + Duration::from_millis(50) <= at(earliest_kill_ms),
-            "{client_timeout:?}"
+            "answer deadline with a client timeout of {client_timeout:?}"
         );
-        let read_deadline = lifecycle.request_read_deadline(client_timeout).expect("a time");
+        let read_deadline =
+            lifecycle.request_read_deadline(client_timeout).expect("read deadline of a stopping node");
         assert!(
             read_deadline > at(550) && read_deadline + Duration::from_millis(100) <= answer_deadline,
-            "{client_timeout:?}"
+            "read deadline with a client timeout of {client_timeout:?}"
         );
     }
     // Neither a second signal nor a drain extends the deadline.
