--- a/crates/engine/src/backoff.rs
+++ b/crates/engine/src/backoff.rs
@@ -1,30 +1,31 @@
-//! Delays between the polls of discovery: exponential backoff with full jitter, and the delay of hedged
-//! polls.
+//! Delays between the polls of discovery: exponential backoff with full jitter, and the delay before a
+//! hedged poll.
 
 use crate::clock::to_duration;
 use sorrelhaven_dispatcher::Micros;
 use std::time::Duration;
 
-/// The bound of the first delay after a failure; it doubles with each further one.
+/// The upper bound of the first delay after a failure. The bound doubles with each further failure.
 const INITIAL_BOUND: Duration = Duration::from_secs(1);
-/// The bound does not grow beyond this.
+/// The upper bound never exceeds this.
 const MAX_BOUND: Duration = Duration::from_secs(16);
-/// The least bound after a rejection: discovery is overloaded, and each further poll delays those that wait.
+/// After a rejection the bound is at least this: discovery is overloaded, and each further poll delays the
+/// ones that are queued there.
 const MIN_BOUND_AFTER_REJECTION: Duration = Duration::from_secs(4);
 
-/// A silent agent is polled again after a share of the drain grace that is drawn between these two.
+/// An agent that does not respond is polled again after a random share of the drain grace between these two.
 const MIN_HEDGE_SHARE: f64 = 0.2;
 const MAX_HEDGE_SHARE: f64 = 0.4;
-/// The drain grace counts as no less than this...
+/// A shorter drain grace in the settings is treated as this one.
 const MIN_DRAIN_GRACE: Duration = Duration::from_millis(200);
-/// ...and no more than this, whatever the settings say.
+/// A longer drain grace in the settings is treated as this one.
 const MAX_DRAIN_GRACE: Duration = Duration::from_secs(2);
 
-/// Draws the delays between polls of discovery.
+/// Draws the random delays between polls of discovery.
 ///
-/// Each delay after a failure lies anywhere between zero and a bound that doubles. Nodes that are killed
-/// together start together: without jitter they would poll at the same moments for ever, and discovery, which
-/// can answer some of them, would reject the same others each time.
+/// Each delay after a failure is uniform between zero and an upper bound that doubles. Without jitter, nodes
+/// that start at the same time after a common failure would poll in step: discovery would answer as many as
+/// it can, and reject the same others each time.
 #[derive(Clone)]
 pub struct Backoff {
     rng: fastrand::Rng,
@@ -34,12 +35,12 @@
 }
 
 impl Backoff {
-    /// Starts with the shortest bound; equal seeds draw equal delays.
+    /// Starts with the initial bound. Equal seeds draw equal delays.
     ///
-    /// `drain_grace`: how long after the notice of a drain requests may still be sent to the worker.
-    /// `implied_notice_delay`: what discovery published so long ago counts as known to the node, and four
-    /// times that after a failed poll. A delay takes half of the latter at most, and leaves the rest to the
-    /// poll.
+    /// `drain_grace`: how long requests may still be sent to a worker after the node was notified that it
+    /// drains. `implied_notice_delay`: a node is assumed to know a change this long after discovery published
+    /// it, or four times as long after a failed poll. A delay takes at most half of the latter; the rest is
+    /// left for the poll.
     pub fn new(seed: u64, drain_grace: Micros, implied_notice_delay: Micros) -> Backoff {
         Backoff {
             rng: fastrand::Rng::with_seed(seed),
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Draws the delay after a failure; `rejected`: discovery answered, and refused to send the list.
+    /// Draws the delay after a failure. `rejected`: discovery responded with an error status.
     pub fn retry_delay(&mut self, rejected: bool) -> Duration {
         if rejected {
             self.bound = self.bound.max(MIN_BOUND_AFTER_REJECTION).min(self.max_bound);
@@ -59,18 +60,18 @@
         delay
     }
 
-    /// Draws the delay before an agent on the node's own machine is polled again beside the polls that it has
-    /// not answered yet.
+    /// Draws the delay before an agent on the node's own machine is polled again while earlier polls are
+    /// outstanding.
     ///
-    /// Such an agent answers at once and at no cost, and the node counts as notified of whatever the agent
-    /// has. After a silence that may be a drain whose grace has begun already, so the delay is a part of
-    /// that.
+    /// Polls of such an agent are cheap, and the node counts as notified of a change as soon as the agent
+    /// could report it. After an outage of the agent, that change may be a drain whose grace period has
+    /// already begun, so the delay is a fraction of that period.
     pub fn hedge_delay(&mut self) -> Duration {
         let share = MIN_HEDGE_SHARE + (MAX_HEDGE_SHARE - MIN_HEDGE_SHARE) * self.rng.f64();
         self.drain_grace.mul_f64(share)
     }
 
-    /// Returns to the shortest bound, after a watch that has lasted or when discovery has another address.
+    /// Resets the upper bound to the initial one: after a stable watch, or when discovery's address changes.
     pub fn reset(&mut self) {
         self.bound = INITIAL_BOUND;
     }
--- a/crates/engine/src/discovery_poll.rs
+++ b/crates/engine/src/discovery_poll.rs
@@ -1,4 +1,4 @@
-//! Polls discovery for the worker list and reads the lists of one response.
+//! Sends a poll for the worker list to discovery, and reads the lists in its response.
 
 use crate::backoff::Backoff;
 use crate::watch_error::{MAX_LIST_BYTES, WatchError};
@@ -11,28 +11,30 @@
 use std::task::Poll;
 use std::time::{Duration, Instant};
 
-/// Discovery sends something every 2 s; a response without a byte for this long has failed.
+/// Discovery sends at least one byte every 2 s. A poll that receives nothing for this long has failed.
 pub const READ_TIMEOUT: Duration = Duration::from_secs(3);
-/// A list that has begun must end within this time. One that trickles withholds what it would notify of, and
-/// the node counts as notified 6 s after the watch has broken.
+/// A list that has begun must be complete within this time, even if its bytes keep arriving. The node counts
+/// as notified of a change 6 s after its watch failed, and a list that arrives slowly delays the notice just
+/// as a failed watch does.
 const LIST_TIMEOUT: Duration = Duration::from_secs(6);
-/// The most polls of one agent at a time. An older one may still be the one that is answered.
+/// The most outstanding polls of an agent. The agent may still respond to an older poll, so it is not
+/// cancelled as soon as a newer one is sent.
 const MAX_CONCURRENT_POLLS: usize = 4;
 
-/// How the worker list reaches a node.
+/// What a node polls for the worker list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// It is pushed to an agent on the node's own machine, where polls cost nothing.
+    /// An agent on the node's own machine, to which discovery pushes the list. Polls of it are cheap.
     LocalAgent,
-    /// The node polls a service that all nodes share and load.
+    /// A service that all nodes poll, and that their polls may overload.
     SharedService,
 }
 
-/// A response of discovery of which the head was read; its body is a sequence of lists.
+/// A response of discovery whose head has been read. Its body is a sequence of lists.
 pub struct ListStream {
     connection: Connection,
     lists: JsonObjectReader,
-    /// When the list that has begun must have ended.
+    /// When the list that is being read must be complete; `None` between lists.
     list_deadline: Option<Instant>,
 }
 
@@ -41,7 +43,7 @@
     ///
     /// # Errors
     ///
-    /// [`WatchError`] where no response with status 200 begins within [`READ_TIMEOUT`].
+    /// A [`WatchError`] if no response with status 200 begins within [`READ_TIMEOUT`].
     pub async fn open(discovery: SocketAddr, query: &str) -> Result<ListStream, WatchError> {
         let deadline = Instant::now() + READ_TIMEOUT;
         let connection = timeout_at(deadline, Connection::connect(discovery))
@@ -51,11 +53,11 @@
         ListStream::request(connection, discovery, query, deadline).await
     }
 
-    /// Polls discovery on a connection whose last response is complete.
+    /// Polls discovery on an open connection whose previous response is complete.
     ///
     /// # Errors
     ///
-    /// [`WatchError`] where no response with status 200 begins by `deadline`.
+    /// A [`WatchError`] if no response with status 200 begins by `deadline`.
     pub async fn request(
         mut connection: Connection,
         discovery: SocketAddr,
@@ -77,12 +79,12 @@
         }
     }
 
-    /// Reads up to the next event of the response: a list, a part of one, or the end.
+    /// Reads the next part of the response: a list, a part of one, or the end.
     ///
     /// # Errors
     ///
-    /// [`WatchError::Stalled`] where nothing comes or a list does not end in time, and
-    /// [`WatchError::Unreadable`] where what comes is no list or the connection breaks.
+    /// [`WatchError::Stalled`] if nothing is received for [`READ_TIMEOUT`] or a list is not complete in time;
+    /// [`WatchError::Unreadable`] if the input is not a list or the connection fails.
     pub async fn next(&mut self) -> Result<JsonObjectEvent, WatchError> {
         let now = Instant::now();
         self.list_deadline = if self.lists.is_inside_object() {
@@ -98,15 +100,15 @@
             .map_err(WatchError::Unreadable)
     }
 
-    /// The connection, once the response has ended.
+    /// Returns the connection for another request. The response must have ended.
     pub fn into_connection(self) -> Connection {
         self.connection
     }
 }
 
-/// Polls an agent until a poll is answered or fails. While the agent is silent, further polls are sent beside
-/// those that are out: the node counts as notified of what the agent has from the moment in which the agent
-/// could answer.
+/// Polls an agent until a poll receives a response or fails. While the agent does not respond, further polls
+/// are sent without cancelling the outstanding ones, because the node counts as notified of a change as soon
+/// as the agent could report it.
 ///
 /// # Errors
 ///
@@ -123,19 +125,19 @@
         }
         polls.push_back(Box::pin(ListStream::open(discovery, query)));
         let delay = backoff.hedge_delay();
-        let ended = async { Some(next_completed(&mut polls).await) };
+        let completed = async { Some(next_completed(&mut polls).await) };
         let delay_over = async {
             Timer::after(delay).await;
             None
         };
-        match or(ended, delay_over).await {
+        match or(completed, delay_over).await {
             Some(Err(WatchError::NoResponse)) | None => {}
             Some(result) => return result,
         }
     }
 }
 
-/// Waits until one of the polls ends, removes it and returns its result.
+/// Waits until one of the polls completes, removes it and returns its result.
 async fn next_completed<F: Future + Unpin>(polls: &mut VecDeque<F>) -> F::Output {
     poll_fn(|context| {
         for index in 0..polls.len() {
--- a/crates/engine/src/discovery_watch.rs
+++ b/crates/engine/src/discovery_watch.rs
@@ -1,4 +1,4 @@
-//! Watches discovery's list of workers for as long as the node runs, and retries where the watch fails.
+//! Watches the worker list of discovery while the node runs, and retries after failures.
 
 use crate::backoff::Backoff;
 use crate::counters::Counters;
@@ -14,24 +14,25 @@
 use std::time::{Duration, Instant};
 use tracing::{debug, info, warn};
 
-/// A watch that lasted this long ends a series of failures.
+/// The failure of a watch that lasted longer than this starts a new series of failures: the retry delay is
+/// short again, and the failure is logged as a warning.
 const STABLE_WATCH_DURATION: Duration = READ_TIMEOUT.saturating_mul(2);
 
-/// The watch on discovery. The last list stays in force while the watch fails and after a move, until a new
-/// one comes.
+/// The watch on discovery. While it fails, and after a change of the address, the last list stays in use
+/// until a new one arrives.
 pub struct DiscoveryWatch<'a> {
     counters: &'a Counters,
     mode: DiscoveryMode,
     backoff: Backoff,
     address: SocketAddr,
-    /// The version of the last list; `None` where the next one must be complete.
+    /// The version of the last list; `None` if the next one must be complete.
     version: Option<u64>,
-    /// The last failure of the current series.
+    /// The text of the last failure in the current series; `None` at the start of one.
     last_error: Option<String>,
 }
 
 impl<'a> DiscoveryWatch<'a> {
-    /// A watch at `address` that continues from `version`.
+    /// Creates a watch at `address` for the changes after the list `version`.
     pub fn new(
         counters: &'a Counters,
         mode: DiscoveryMode,
@@ -42,10 +43,11 @@
         DiscoveryWatch { counters, mode, backoff, address, version: Some(version), last_error: None }
     }
 
-    /// Watches for ever, at the address that `moves` names last; each list goes to `apply`.
+    /// Watches at the address that was last received from `address_changes`, and calls `apply` with each
+    /// list. Never returns.
     pub async fn run(mut self, address_changes: Receiver<SocketAddr>, apply: impl Fn(&DiscoveryList)) {
         loop {
-            let moved = async {
+            let changed_address = async {
                 match address_changes.recv().await {
                     Ok(address) => Some(address),
                     Err(_) => std::future::pending().await,
@@ -55,14 +57,13 @@
                 self.watch_until_retry(&apply).await;
                 None
             };
-            if let Some(address) = or(moved, watched).await {
+            if let Some(address) = or(changed_address, watched).await {
                 self.change_address(address);
             }
         }
     }
 
-    /// Continues at another address. Versions there may be counted differently, so a complete list is
-    /// fetched.
+    /// Continues at another address. List versions there may be unrelated, so the complete list is fetched.
     fn change_address(&mut self, address: SocketAddr) {
         info!(%address, "discovery address changed");
         self.address = address;
@@ -71,7 +72,7 @@
         self.last_error = None;
     }
 
-    /// Watches until the watch fails, and waits until it is to be retried.
+    /// Watches until the watch fails, then waits for the retry delay.
     async fn watch_until_retry(&mut self, apply: &impl Fn(&DiscoveryList)) {
         let started = Instant::now();
         let error = match self.watch(apply).await {
@@ -93,15 +94,16 @@
 
     fn retry_delay(&mut self, error: &WatchError) -> Duration {
         match (self.mode, error) {
-            // Retried at once: the hedged polls have delays of their own.
+            // No delay here: hedged polls are delayed by `poll_hedged`.
             (DiscoveryMode::LocalAgent, WatchError::Stalled | WatchError::NoResponse) => Duration::ZERO,
-            // The node counts as notified 6 s after the silence began, and half of that has passed: the delay
-            // must not grow by polls that failed before the watch.
+            // The node counts as notified 6 s after the response stalled, and 3 s of that have passed, so the
+            // delay starts again from the initial bound, whatever failed before this watch.
             (DiscoveryMode::SharedService, WatchError::Stalled) => {
                 self.backoff.reset();
                 self.backoff.retry_delay(false)
             }
-            // The agent or its machine restarts, and may answer at any moment.
+            // The agent or its machine is restarting and may respond again at any moment, so the delay is
+            // short.
             (
                 DiscoveryMode::LocalAgent,
                 WatchError::Unreachable | WatchError::Unreadable(WireError::Closed | WireError::Broken),
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Logs a failure; the same one in a row is a warning only once.
+    /// Logs a failure: as a warning, or at the debug level if it repeats the previous failure.
     fn log_failure(&mut self, error: &WatchError, delay: Duration) {
         let error = error.to_string();
         let retry_in_ms = delay.as_millis();
@@ -122,8 +124,8 @@
         self.last_error = Some(error);
     }
 
-    /// Runs one watch until it fails. Without a version to continue from, the complete list is fetched first,
-    /// and the watch goes on from it on the same connection.
+    /// Runs one watch until it fails. If there is no version to continue from, fetches the complete list
+    /// first, then watches on the same connection for the changes after it.
     async fn watch(&mut self, apply: &impl Fn(&DiscoveryList)) -> Result<Infallible, WatchError> {
         let mut stream = self.poll().await?;
         loop {
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Asks for the changes after the known version, or for the complete list.
+    /// The query for the changes after the last version, or for the complete list if there is none.
     fn query(&self) -> String {
         match self.version {
             Some(version) => format!("?watch=1&after={version}"),
@@ -149,8 +151,8 @@
         }
     }
 
-    /// Applies the lists of a response. Returns its connection once a fetched list is complete; the response
-    /// to a watch has no valid end.
+    /// Applies the lists of a response. Returns the connection after the response to a fetch of the complete
+    /// list; the response to a watch must not end.
     async fn apply_lists(
         &mut self,
         mut stream: ListStream,
@@ -173,7 +175,7 @@
         let started = Instant::now();
         let list = DiscoveryList::read(text).map_err(WatchError::InvalidList)?;
         self.counters.responsiveness.record_part("parsing a worker list", started);
-        // A long list takes some milliseconds to parse, and some more to apply.
+        // Parsing a long list and applying it take some milliseconds each, so other tasks run in between.
         yield_now().await;
         info!(
             seq = list.version,
--- a/crates/engine/src/load_report.rs
+++ b/crates/engine/src/load_report.rs
@@ -1,31 +1,31 @@
-//! Load reports: what a worker states of its load in the response that ends an attempt.
+//! Parses load reports: the load that a worker states in the response that ends an attempt.
 //!
-//! A report is old, late and noisy, and no part of the result: a malformed one is counted and dropped, and
-//! the response stands.
+//! A report is imprecise, delayed, and no part of the result. A malformed one is counted and dropped, and
+//! does not affect the response.
 
 use serde_json::Value;
 
-/// No worker's load is greater than this, whatever the field's unit.
+/// The greatest valid value of any field, in the field's own unit.
 const MAX_LOAD: f64 = 1e9;
 
-/// The fields of a load report, in the order in which the dispatcher takes them.
+/// The names of the fields of a load report, in the order in which the dispatcher expects their values.
 pub struct LoadReportFields(Vec<String>);
 
 impl LoadReportFields {
-    /// The fields named in the settings; none where the deployment has no reports.
+    /// Creates a parser for the fields named in the settings. Without fields, every report is malformed.
     pub fn new(names: Vec<String>) -> LoadReportFields {
         LoadReportFields(names)
     }
 
-    /// Parses a report in a response's header; `None` where it is malformed.
+    /// Parses the JSON text of a report in a response header; `None` if it is malformed.
     pub fn parse_text(&self, text: &str) -> Option<Vec<f64>> {
         self.parse_value(&serde_json::from_str(text).ok()?)
     }
 
-    /// Parses a report in a job line: a number for each field, NaN for one that is absent.
+    /// Parses a report in a job line. Returns the value of each field, NaN for an absent one.
     ///
-    /// Returns `None` where the report is malformed: no object, empty, with an unknown field, or with a value
-    /// that is no number from 0 to 1e9.
+    /// Returns `None` if the report is malformed: not an object, an empty one, an unknown field, or a value
+    /// that is not a number from 0 to 1e9.
     pub fn parse_value(&self, load: &Value) -> Option<Vec<f64>> {
         let load = load.as_object()?;
         if load.is_empty() {
--- a/crates/engine/src/watch_error.rs
+++ b/crates/engine/src/watch_error.rs
@@ -4,29 +4,29 @@
 use sorrelhaven_wire::WireError;
 use std::fmt;
 
-/// The most that one list may hold, white space not counted: 1 KiB an entry for 4,096 workers.
+/// The most bytes of one list, not counting white space: 1 KiB for each of 4,096 workers.
 pub const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
 /// Why a discovery watch failed.
 #[derive(Debug)]
 pub enum WatchError {
-    /// No connection could be made.
+    /// Connecting to discovery failed.
     Unreachable,
-    /// No response has begun in time.
+    /// No response began in time.
     NoResponse,
-    /// The response has begun and then stopped, or a list in it does not end.
+    /// The response began, then nothing more was received in time, or a list in it was not complete in time.
     Stalled,
-    /// The response has this status instead of 200.
+    /// The response has this HTTP status instead of 200.
     ErrorStatus(u16),
-    /// The response could not be read.
+    /// Reading the response failed, or it is not valid HTTP or JSON.
     Unreadable(WireError),
-    /// A list is JSON and no valid list.
+    /// A list in the response is a JSON object but not a valid list.
     InvalidList(ConfigError),
 }
 
 impl WatchError {
-    /// Whether discovery sent what is no list: nothing that it sent before can be relied on for the next
-    /// list.
+    /// Whether discovery sent something that is not a list. The last version can then not be trusted, and the
+    /// complete list must be fetched.
     pub fn is_malformed(&self) -> bool {
         matches!(self, WatchError::InvalidList(_) | WatchError::Unreadable(WireError::Malformed))
     }
@@ -45,7 +45,7 @@
             WatchError::Unreadable(WireError::Malformed) => {
                 formatter.write_str("list is not a JSON object, or was cut off")
             }
-            WatchError::Unreadable(error) => write!(formatter, "unreadable response: {error:?}"),
+            WatchError::Unreadable(error) => write!(formatter, "unreadable response: {error}"),
             WatchError::InvalidList(error) => write!(formatter, "invalid list: {error}"),
         }
     }
--- a/crates/engine/src/worker_registry.rs
+++ b/crates/engine/src/worker_registry.rs
@@ -1,4 +1,4 @@
-//! What discovery's lists say of the workers: their ids, addresses, and whether they accept work.
+//! The workers that discovery's lists have named: their ids, their addresses, and whether they accept work.
 
 use crate::start_times::StartTimes;
 use sorrelhaven_config::{ConfigError, DiscoveryHost, DiscoveryList, SettingNames};
@@ -9,7 +9,7 @@
 use std::time::Instant;
 use tracing::warn;
 
-/// All workers that any list has named.
+/// Every worker that any list has named since the node started.
 pub struct WorkerRegistry {
     names: SettingNames,
     known: RefCell<KnownWorkers>,
@@ -19,13 +19,13 @@
 struct KnownWorkers {
     start_times: StartTimes,
     ids: HashMap<String, WorkerId>,
-    /// The workers by the number of their id.
+    /// Indexed by the number of the [`WorkerId`].
     workers: Vec<KnownWorker>,
 }
 
 struct KnownWorker {
     address: Option<SocketAddr>,
-    /// Since when the lists say that it accepts no work; `None` while it does.
+    /// When a list first reported that the worker accepts no work; `None` while it accepts work.
     draining_since: Option<Instant>,
 }
 
@@ -40,29 +40,29 @@
 }
 
 impl WorkerRegistry {
-    /// A registry without workers; `names` are the words of the settings for zones and kinds of machine.
+    /// Creates an empty registry. `names`: the names of zones and worker kinds in the settings.
     pub fn new(names: SettingNames) -> WorkerRegistry {
         WorkerRegistry { names, known: RefCell::default() }
     }
 
-    /// The address of a worker, if a list has named one.
+    /// The last address that a list gave for a worker, if any.
     pub fn address(&self, worker: WorkerId) -> Option<SocketAddr> {
         self.known.borrow().get(worker)?.address
     }
 
-    /// Whether a worker is known and accepts work by the last list.
+    /// Whether a worker is known and, according to the last list, accepts work.
     pub fn accepts_work(&self, worker: WorkerId) -> bool {
         self.known.borrow().get(worker).is_some_and(|known| known.draining_since.is_none())
     }
 
-    /// Since when the lists say that a worker accepts no work; `None` for one that does, or is unknown.
+    /// When a list first reported that a worker accepts no work; `None` if it accepts work or is unknown.
     pub fn draining_since(&self, worker: WorkerId) -> Option<Instant> {
         self.known.borrow().get(worker)?.draining_since
     }
 
-    /// Applies a list that was read at `now`, and returns its entries in the dispatcher's form.
+    /// Applies a list that was read at `now`, and returns its entries for the dispatcher.
     ///
-    /// An invalid entry is logged and skipped: it must not hide what the list says of the other workers.
+    /// An invalid entry is logged and skipped, so that it does not block the list's other entries.
     pub fn apply(&self, list: &DiscoveryList, now: Micros) -> Vec<WorkerEntry> {
         let known = &mut *self.known.borrow_mut();
         let reported_starts = list.workers.iter().map(|host| host.started_ms.saturating_mul(1_000));
@@ -87,7 +87,7 @@
         self.workers.get(worker.0 as usize)
     }
 
-    /// Applies one entry of a list, and numbers its worker where it is new.
+    /// Applies one entry of a list, and gives its worker an id if it is new.
     fn apply_host(
         &mut self,
         host: &DiscoveryHost,
@@ -103,13 +103,13 @@
             self.workers.push(KnownWorker { address: None, draining_since: None });
         }
         let worker = &mut self.workers[id.0 as usize];
-        // The address of a worker that is gone may be left out.
+        // The entry of a worker that is gone may omit the address.
         worker.address = host.address.or(worker.address);
         worker.set_accepts_work(entry.lifecycle == Lifecycle::Ready);
         Ok(entry)
     }
 
-    /// A worker that a complete list does not name accepts no work.
+    /// Marks the workers that a complete list does not name as accepting no work.
     fn mark_unlisted_draining(&mut self, entries: &[WorkerEntry]) {
         let mut is_listed = vec![false; self.workers.len()];
         for entry in entries {
