--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -1,6 +1,6 @@
-//! Runs one attempt: sends the request to a worker and reports the job's progress and end.
+//! Runs one attempt: sends the request to a worker, and reports the job's progress and how the attempt ended.
 //!
-//! Dropping the future closes the connection, which is how an attempt is cancelled.
+//! Dropping the future cancels the attempt: it closes the connection.
 
 use crate::attempt_end::AttemptEnd;
 use crate::attempt_spec::AttemptSpec;
@@ -16,15 +16,15 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The response has to end this soon after its last job line, or its connection is closed rather than used
-/// again.
+/// If the response does not end within this time after its last job line, its connection is closed instead of
+/// reused.
 const RESPONSE_END_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A reused connection that breaks this soon after the request's last byte was closed before the request
-/// arrived.
+/// If a reused connection breaks within this time after the request's last byte was written, the worker is
+/// assumed to have closed it before the request arrived.
 const STALE_CONNECTION_WINDOW: Duration = Duration::from_millis(100);
 
-/// Runs one attempt and reports to its request through `messages`; the last message says how the attempt
+/// Runs one attempt and reports to its request through `messages`. The last message states how the attempt
 /// ended.
 pub async fn run(
     upstreams: Rc<Upstreams>,
@@ -46,7 +46,10 @@
 }
 
 impl Attempt {
-    /// Sends the request and reads the response. The end is reported here only where a response stated it.
+    /// Sends the request and reads the response.
+    ///
+    /// If the response states how the attempt ended, that is reported at once, before the connection is
+    /// returned to the pool; any other end is the error.
     async fn exchange(&self) -> Result<(), AttemptEnd> {
         let mut upstream = self.send_request().await?;
         self.spec.record_fully_sent(&self.upstreams, &self.payload.id);
@@ -63,11 +66,11 @@
         Ok(())
     }
 
-    /// Writes the request to a pooled or a new connection. Until its last byte is written the job has not
-    /// run.
+    /// Writes the request to a pooled or a new connection. An error proves that the job has not run, because
+    /// the request's last byte was not written.
     ///
-    /// A connection may take its time to come up, so what has changed meanwhile is checked again: nothing is
-    /// sent for a client that has left, to a worker that drains, or after the idempotency window.
+    /// Connecting takes time, so the conditions for sending are checked again afterwards: nothing is sent if
+    /// the client has disconnected, the worker is draining, or the idempotency window has ended.
     async fn send_request(&self) -> Result<PooledConnection, AttemptEnd> {
         let AttemptSpec { worker, send_by, .. } = self.spec;
         let connect_by = send_by.min(Instant::now() + self.upstreams.connect_timeout);
@@ -94,7 +97,8 @@
         Ok(upstream)
     }
 
-    /// Whether the transfer of the body takes long enough for the dispatcher to discount it.
+    /// Whether the body is so long (more than one block, or of unknown length) that its transfer time is
+    /// reported to the dispatcher, which excludes it from the worker's time.
     fn body_is_long(&self) -> bool {
         self.payload.body.length().is_none_or(|length| length > BLOCK_BYTES as u64)
     }
@@ -118,7 +122,7 @@
         }
     }
 
-    /// Reports the job's progress up to its end, with the worker's load report.
+    /// Reports each job line as it arrives, up to the end of the job, with the worker's load report.
     async fn follow_job(
         &self,
         response: &mut ResponseReader,
@@ -138,7 +142,7 @@
                     return Ok(());
                 }
             }
-            // A worker that sends lines without a pause must not keep other tasks waiting.
+            // A worker that sends lines without a pause must not block other tasks.
             yield_now().await;
         }
     }
@@ -148,7 +152,7 @@
     }
 
     fn report(&self, message: RequestMessage) {
-        // A request outlives its attempts, so there is always a receiver.
+        // The request's task runs until all its attempts have ended, so the receiver exists.
         let _ = self.messages.try_send(message);
     }
 }
--- a/crates/engine/src/attempt_end.rs
+++ b/crates/engine/src/attempt_end.rs
@@ -1,4 +1,4 @@
-//! Every way in which an attempt can end, and the outcome that each is to the dispatcher.
+//! Every way in which an attempt can end, and the outcome that is reported to the dispatcher for each.
 
 use sorrelhaven_body_store::BodyReadError;
 use sorrelhaven_dispatcher::Outcome;
@@ -9,49 +9,50 @@
 pub enum AttemptEnd {
     /// The worker's last job line held the result.
     Completed(String),
-    /// The worker reports that the job failed, or its response has an error status.
+    /// The worker reported that the job failed, or its response has an error status.
     Failed,
-    /// The worker reports that the request is invalid, as every other worker would.
+    /// The worker reported that the request is invalid (status 400 or 404). No other worker would accept it.
     InvalidRequest,
-    /// The worker rejected the job, or returned it unstarted.
+    /// The worker reported that it did not start the job.
     Rejected,
-    /// The worker reports that the job was killed.
+    /// The worker reported that the job was killed.
     Killed,
-    /// The worker began to drain while the connection was made; nothing was sent.
+    /// The worker started to drain while the attempt was connecting; nothing was sent.
     Draining,
-    /// Discovery names no address for the worker; nothing was sent.
+    /// The worker list has no address for the worker; nothing was sent.
     NoAddress,
-    /// The request was concluded before anything was sent.
+    /// The request was concluded before the last byte was written.
     RequestConcluded,
-    /// The client's deadline was too close before anything was sent.
+    /// Too little time was left until the attempt's deadline, and the last byte was not written.
     DeadlineTooClose,
-    /// The time in which a duplicate is recognised and dropped ended before the last byte was written.
+    /// The idempotency window, in which workers drop duplicates of the request, ended before the last byte
+    /// was written.
     IdempotencyWindowExpired,
-    /// The request's body could not be read to its end, so its last byte was not written. Not the worker's
-    /// fault.
+    /// The request's body could not be read to its end, so the last byte was not written. Says nothing about
+    /// the worker.
     BodyUnavailable(BodyReadError),
-    /// The node has no descriptor for a connection.
+    /// The node had no file descriptor or memory for a connection. Says nothing about the worker.
     NoDescriptor,
-    /// The connection was refused or could not be made.
+    /// The connection was refused or failed before it was established.
     Unreachable,
-    /// The connection was not made in time.
+    /// The connection was not established in time.
     ConnectTimeout,
-    /// The connection broke before the request's last byte was written.
+    /// The connection was reset or closed before the request's last byte was written.
     ResetBeforeSent,
-    /// The time was up before the request's last byte was written.
+    /// The request's last byte was not written in time.
     TimeoutBeforeSent,
-    /// A reused connection broke as soon as the request was written. The job has probably not run, but may
-    /// have.
+    /// A reused connection was reset or closed right after the request was written. The worker had probably
+    /// closed it before, but the job may have run.
     StaleConnection,
-    /// The connection broke after the request's last byte was written.
+    /// The connection was reset after the request's last byte was written.
     Reset,
     /// The worker ended its response or the connection before the last job line.
     Truncated,
-    /// The time was up before the last job line.
+    /// The last job line was not received in time.
     ResponseTimeout,
-    /// The response breaks the protocol.
+    /// The response violates the protocol.
     Malformed,
-    /// The response is about another request.
+    /// The response names the id of another request.
     WrongRequestId,
     /// The response is larger than the protocol allows.
     ResponseTooLarge,
@@ -60,9 +61,9 @@
 }
 
 impl AttemptEnd {
-    /// The outcome for the dispatcher. The outcomes that say that the job never ran ([`Outcome::Rejected`],
-    /// [`Outcome::ConnectFailed`], [`Outcome::NotSent`]) are given only where the protocol proves it: the
-    /// worker reports it, or the request's last byte was never written.
+    /// The outcome that is reported to the dispatcher. The outcomes that state that the job never ran
+    /// ([`Outcome::Rejected`], [`Outcome::ConnectFailed`], [`Outcome::NotSent`]) are returned only if the
+    /// protocol proves it: the worker reported it, or the request's last byte was never written.
     pub fn outcome(&self) -> Outcome {
         match self {
             AttemptEnd::Completed(_) => Outcome::Ok,
@@ -91,7 +92,7 @@
         }
     }
 
-    /// How an attempt ends whose response could not be read.
+    /// How an attempt ends if reading its response fails with `error`.
     pub fn unreadable(error: WireError) -> AttemptEnd {
         match error {
             WireError::Closed => AttemptEnd::Truncated,
--- a/crates/engine/src/attempt_spec.rs
+++ b/crates/engine/src/attempt_spec.rs
@@ -1,4 +1,4 @@
-//! What one attempt is: where it goes, how long it may wait, and when it must not be sent any more.
+//! The parameters of one attempt: its worker, its deadline, and the time from which it must not be sent.
 
 use crate::attempt_end::AttemptEnd;
 use crate::invariants::{SentAttempt, WorkerDrain};
@@ -10,11 +10,12 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Nothing is sent for a client that waits for less than this. The transfer alone takes as long, and a worker
-/// may drop a request with so little time left without reporting it.
+/// Nothing is sent if less than this is left until the attempt's deadline. The transfer alone takes as long,
+/// and a worker may drop a request with so little time left without reporting it.
 const MIN_REMAINING_TIME: Duration = Duration::from_millis(1);
 
-/// How often an attempt whose client's connection has closed looks whether that was reported to the request.
+/// How often an attempt whose client has closed the connection checks whether this was reported to the
+/// request.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The parameters of one attempt, and the state that it shares with its request.
@@ -25,7 +26,7 @@
     pub worker: WorkerId,
     /// When the attempt stops waiting for the worker.
     pub deadline: Instant,
-    /// From when on the request must not be sent any more; no later than `deadline`.
+    /// The request must not be sent at this time or later; never later than `deadline`.
     pub send_by: Instant,
     /// The state of the request, shared by its attempts.
     pub request: Rc<RequestState>,
@@ -34,7 +35,7 @@
 }
 
 impl AttemptSpec {
-    /// Records that the request's last byte was written just now, and checks that it was allowed to be.
+    /// Records that the request's last byte was written just now, and checks the invariants of sending.
     pub fn record_fully_sent(&self, upstreams: &Upstreams, request_id: &str) {
         let request = &self.request;
         request.fully_sent.set(true);
@@ -49,14 +50,14 @@
         request.checks.request_sent(&upstreams.counters.invariants, request_id, &sent);
     }
 
-    /// Checks whether the request may be sent at this moment.
+    /// Checks whether the request may be sent now.
     ///
-    /// Waits while the client's connection has closed and that was not reported yet: whoever reads from the
-    /// connection reports it, and may have much input to read before.
+    /// If the client has closed its connection, waits until this is reported to the request. The front end
+    /// reports it after it has read all input that the client sent before, which may take some time.
     ///
     /// # Errors
     ///
-    /// How the attempt ends where nothing may be sent.
+    /// How the attempt ends if the request may not be sent.
     pub async fn check_sendable(&self) -> Result<(), AttemptEnd> {
         while self.request.has_unreported_disconnect() {
             Timer::after(DISCONNECT_POLL_INTERVAL).await;
@@ -74,14 +75,14 @@
         Ok(())
     }
 
-    /// How the attempt ends that timed out before its request was fully sent; `timeout` unless the
-    /// idempotency window ended it.
+    /// How an attempt ends that timed out before its request was fully sent:
+    /// [`AttemptEnd::IdempotencyWindowExpired`] if that window has ended, otherwise `timeout`.
     pub fn unsent_timeout(&self, timeout: AttemptEnd) -> AttemptEnd {
         if self.idempotency_window_expired() { AttemptEnd::IdempotencyWindowExpired } else { timeout }
     }
 
-    /// Whether the time is over in which a duplicate would be recognised and dropped, while the client still
-    /// waits.
+    /// Whether the idempotency window has ended. `send_by` is the end of that window only if it is earlier
+    /// than the deadline.
     fn idempotency_window_expired(&self) -> bool {
         self.send_by < self.deadline && Instant::now() >= self.send_by
     }
--- a/crates/engine/src/body_admission.rs
+++ b/crates/engine/src/body_admission.rs
@@ -1,8 +1,8 @@
-//! Permits for long bodies that are sent to workers.
+//! Limits how many long bodies are sent to workers at once.
 //!
-//! A worker is occupied for as long as the transfer of a body takes, and all transfers share one core and one
-//! network: more of them at once make each slower and occupy more workers, and none ends sooner. The permits
-//! guard against a surge of long bodies that occupies every worker while small jobs wait.
+//! A worker is occupied while it receives a body, and all transfers share one core and one network: more
+//! concurrent transfers slow each other down and occupy more workers, and none completes earlier. Without
+//! the limit, a burst of long bodies would occupy every worker while small jobs wait.
 
 use crate::tasks::Tasks;
 use async_io::Timer;
@@ -13,29 +13,30 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The most long bodies with a permit at once.
+/// The most permits that are in use at once.
 const MAX_CONCURRENT_BODIES: usize = 4;
-/// A permit is returned after this time in any case: a client that sends slowly must not keep others out.
+/// A permit is released after this time even if the body is still being sent, so that slow clients do not
+/// block others.
 const PERMIT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Admits long bodies, a few at a time.
+/// Grants a limited number of permits for long bodies.
 pub struct BodyAdmission {
     semaphore: Arc<Semaphore>,
     tasks: Rc<Tasks>,
 }
 
-/// The right to send a long body; returned when dropped, or after `PERMIT_TIMEOUT`.
+/// The right to send a long body. Released when dropped, or after `PERMIT_TIMEOUT` (1 s).
 pub struct BodyPermit {
     _guard: Rc<RefCell<Option<SemaphoreGuardArc>>>,
 }
 
 impl BodyAdmission {
-    /// An admission of which all permits are free; `tasks` runs the timeouts of the permits.
+    /// Creates an admission with all permits free; `tasks` runs the timeouts of the permits.
     pub fn new(tasks: Rc<Tasks>) -> BodyAdmission {
         BodyAdmission { semaphore: Arc::new(Semaphore::new(MAX_CONCURRENT_BODIES)), tasks }
     }
 
-    /// Waits for a permit, in the order of the calls; `None` where none is free by `deadline`.
+    /// Waits for a permit, in the order of the calls. Returns `None` if it gets none by `deadline`.
     pub async fn acquire(&self, deadline: Instant) -> Option<BodyPermit> {
         let guard = timeout_at(deadline, self.semaphore.acquire_arc()).await?;
         let guard = Rc::new(RefCell::new(Some(guard)));
--- a/crates/engine/src/connection_pool.rs
+++ b/crates/engine/src/connection_pool.rs
@@ -11,21 +11,22 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// An idle connection is closed this long before the worker may close it. A request that crosses the worker's
-/// close ends in a reset, and one that must not run twice could not be retried.
+/// An idle connection is closed this long before the worker's keep-alive timeout. A request that is sent
+/// while the worker closes the connection ends in a reset, and an at-most-once request could then not be
+/// retried.
 const KEEPALIVE_MARGIN: Duration = Duration::from_secs(2);
-/// The idle timeout is no shorter than this, however soon connections go stale.
+/// The least idle timeout, even if connections become stale sooner.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(50);
-/// How long a shorter idle timeout applies after a stale connection.
+/// How long the shortened idle timeout applies after a stale connection.
 const SHORTENED_IDLE_TIMEOUT_DURATION: Duration = Duration::from_secs(60);
 
 /// A connection to a worker, with the permit for its descriptor.
 pub struct PooledConnection {
-    /// The connection.
+    /// The HTTP connection to the worker.
     pub connection: Connection,
-    /// How long it had been idle when it was checked out of the pool; `None` for a new one.
+    /// How long the connection had been idle when it was checked out of the pool; `None` for a new one.
     pub idle_time: Option<Duration>,
-    /// The worker's address, which the connection goes to.
+    /// The worker's address that the connection was made to.
     pub address: SocketAddr,
     _permit: DescriptorPermit,
 }
@@ -36,33 +37,34 @@
 }
 
 impl IdleConnection {
-    /// Whether it can carry a request: not too old, and not closed or written to by the worker.
+    /// Whether the connection can be reused: it has been idle for less than `idle_timeout`, and the worker
+    /// has neither closed it nor sent anything on it.
     fn is_usable(&self, idle_timeout: Duration) -> bool {
         self.since.elapsed() < idle_timeout && !self.upstream.connection.has_unsolicited_input()
     }
 }
 
-/// A shorter idle timeout, since a connection went stale.
+/// An idle timeout that replaces the configured one for a while after a connection was found to be stale.
 #[derive(Clone, Copy)]
 struct ShortenedIdleTimeout {
     idle_timeout: Duration,
     valid_until: Instant,
 }
 
-/// Keeps idle upstream connections for reuse.
+/// Keeps idle connections to workers for reuse.
 pub struct ConnectionPool {
-    /// The descriptors that upstream and downstream connections share.
+    /// The budget of descriptors that upstream and downstream connections share.
     pub descriptors: Rc<DescriptorBudget>,
-    /// The idle timeout by the settings.
+    /// The workers' keep-alive timeout from the settings, less the margin.
     configured_idle_timeout: Duration,
     shortened_idle_timeout: Cell<Option<ShortenedIdleTimeout>>,
-    /// The idle connections to each worker, the longest idle first.
+    /// The idle connections of each worker, longest idle first.
     idle: RefCell<HashMap<WorkerId, Vec<IdleConnection>>>,
     counters: Rc<Counters>,
 }
 
 impl ConnectionPool {
-    /// An empty pool. Workers close connections that are idle for `keepalive`.
+    /// Creates an empty pool. `keepalive`: workers close connections that have been idle for this long.
     pub fn new(
         descriptors: Rc<DescriptorBudget>,
         keepalive: Duration,
@@ -78,7 +80,7 @@
         }
     }
 
-    /// How long a connection may be idle and still be reused.
+    /// How long a connection may be idle and still be reused, at present.
     pub fn idle_timeout(&self) -> Duration {
         match self.shortened_idle_timeout.get() {
             Some(shortened) if Instant::now() < shortened.valid_until => shortened.idle_timeout,
@@ -86,12 +88,12 @@
         }
     }
 
-    /// Records that a connection broke on reuse after it had been idle for `idle`, and shortens the idle
-    /// timeout for a while.
+    /// Records that a connection failed on reuse after `idle_time`, and shortens the idle timeout for a
+    /// while.
     ///
-    /// Something on the way, or the workers, drop connections without notice and sooner than the settings
-    /// say. Each further one may cost a request that must not run twice, where a new connection costs a
-    /// handshake.
+    /// The workers, or a middlebox on the path, drop idle connections without notice and sooner than the
+    /// settings state. A further stale connection may fail an at-most-once request, while a new connection
+    /// costs only a handshake.
     pub fn record_stale(&self, idle_time: Duration) {
         if idle_time <= MIN_IDLE_TIMEOUT {
             return;
@@ -101,8 +103,8 @@
         self.shortened_idle_timeout.set(Some(ShortenedIdleTimeout { idle_timeout, valid_until }));
     }
 
-    /// Takes a usable connection to the worker out of the pool: the one used last, so that the others can
-    /// expire.
+    /// Takes a usable connection to `worker` at `address` out of the pool: the most recently used one, so
+    /// that surplus connections expire.
     pub fn checkout(&self, worker: WorkerId, address: SocketAddr) -> Option<PooledConnection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&worker)?;
@@ -120,8 +122,8 @@
     ///
     /// # Errors
     ///
-    /// [`AttemptEnd::NoDescriptor`] where the node is short of descriptors or memory, which says nothing of
-    /// the worker; [`AttemptEnd::Unreachable`] where the connection fails.
+    /// [`AttemptEnd::NoDescriptor`] if the node is short of descriptors or memory, which says nothing about
+    /// the worker; [`AttemptEnd::Unreachable`] if the connection fails.
     pub async fn connect(&self, address: SocketAddr) -> Result<PooledConnection, AttemptEnd> {
         let permit = self.acquire_descriptor().ok_or(AttemptEnd::NoDescriptor)?;
         self.counters.upstream_connections.increment();
@@ -136,7 +138,7 @@
         Ok(PooledConnection { connection, idle_time: None, address, _permit: permit })
     }
 
-    /// Returns a connection whose exchange is complete to the pool.
+    /// Returns a connection to the pool after a complete exchange. Closes it if it cannot be reused.
     pub fn check_in(&self, worker: WorkerId, upstream: PooledConnection) {
         if upstream.connection.has_unsolicited_input() {
             return;
@@ -145,8 +147,8 @@
         self.idle.borrow_mut().entry(worker).or_default().push(IdleConnection { upstream, since });
     }
 
-    /// A permit for a descriptor. Where none is free, the connection that has been idle the longest is closed
-    /// for it.
+    /// Takes a permit for a descriptor. If none is free, closes the longest idle connection for it; returns
+    /// `None` if that frees none either.
     pub fn acquire_descriptor(&self) -> Option<DescriptorPermit> {
         self.descriptors.acquire().or_else(|| {
             self.close_longest_idle();
@@ -154,7 +156,8 @@
         })
     }
 
-    /// Sets another limit on the descriptors of the process, and closes idle connections beyond it at once.
+    /// Changes the limit on the descriptors of the process, and closes idle connections until it is met or
+    /// none is left.
     pub fn set_descriptor_limit(&self, process_limit: usize) {
         self.descriptors.set_process_limit(process_limit);
         while self.descriptors.is_exceeded() {
@@ -164,7 +167,7 @@
         }
     }
 
-    /// Closes the connection that has been idle the longest; returns whether there was one.
+    /// Closes the longest idle connection; returns false if there is no idle one.
     fn close_longest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let longest_idle = idle
@@ -180,7 +183,7 @@
         }
     }
 
-    /// Closes the idle connections that are too old, or that their worker has closed.
+    /// Closes the idle connections that have exceeded the idle timeout, or that their worker has closed.
     pub fn evict_expired(&self) {
         let idle_timeout = self.idle_timeout();
         self.idle.borrow_mut().retain(|_, connections| {
@@ -189,7 +192,7 @@
         });
     }
 
-    /// Closes the idle connections to a worker that accepts no more work.
+    /// Closes the idle connections to a worker that is gone.
     pub fn evict_worker(&self, worker: WorkerId) {
         self.idle.borrow_mut().remove(&worker);
     }
--- a/crates/engine/src/probe.rs
+++ b/crates/engine/src/probe.rs
@@ -1,4 +1,4 @@
-//! A probe: asks a worker for its health on behalf of the dispatcher.
+//! A probe: requests the health of a worker, as instructed by the dispatcher.
 
 use crate::attempt_end::AttemptEnd;
 use crate::dispatcher_loop::DispatcherLoop;
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A probe without a response by then counts as timed out.
+/// A probe without a complete response after this time has timed out.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Probes a worker and reports the outcome to the dispatcher.
@@ -23,7 +23,7 @@
     dispatcher_loop.dispatch(Event::ProbeEnded { worker, outcome: end.outcome(), load_report: Vec::new() });
 }
 
-/// One request and its response, which succeeds with status 200.
+/// Sends a health request on a pooled or new connection; succeeds if the response has status 200.
 async fn probe(upstreams: &Upstreams, worker: WorkerId) -> Result<(), AttemptEnd> {
     let mut upstream = upstreams.connection(worker).await?;
     let request = format!("GET /health/live HTTP/1.1\r\nHost: {}\r\n\r\n", upstream.address);
--- a/crates/engine/src/request_writer.rs
+++ b/crates/engine/src/request_writer.rs
@@ -1,4 +1,4 @@
-//! Writes one attempt's request, head and body, to an upstream connection.
+//! Writes the head and body of one attempt's request to an upstream connection.
 
 use crate::attempt_end::AttemptEnd;
 use crate::attempt_spec::AttemptSpec;
@@ -10,31 +10,33 @@
 use sorrelhaven_wire::{Connection, timeout_at};
 use std::time::{Duration, Instant};
 
-/// How long to wait for a response that the worker may have written before it closed the connection.
+/// After a write error, how long to wait for a response that the worker may have sent before it closed the
+/// connection.
 const EARLY_RESPONSE_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Writes a request on behalf of one attempt.
 pub struct RequestWriter<'a> {
-    /// For turns between the blocks of large bodies.
+    /// Its executor runs other tasks between the blocks of large bodies.
     pub upstreams: &'a Upstreams,
-    /// What is sent.
+    /// The request to write.
     pub payload: &'a RequestPayload,
-    /// The attempt's limits.
+    /// The parameters of the attempt.
     pub spec: &'a AttemptSpec,
-    /// The request's messages, which report a body that can be read only once.
+    /// Reports to the request that a body that can be read only once has been consumed.
     pub messages: &'a Sender<RequestMessage>,
 }
 
 impl RequestWriter<'_> {
-    /// Writes the head, and the body as it comes in. `host` is the value of the `Host` header.
+    /// Writes the head, then the body as it arrives from the client. `host` is the value of the `Host`
+    /// header.
     ///
-    /// The head states how long the client still waits, so it is made only once the first chunk of the body
-    /// is there and nothing else is waited for.
+    /// The head states how long the client still waits, so it is built only when the first chunk of the body
+    /// is available and the head can be written at once.
     ///
     /// # Errors
     ///
-    /// How the attempt ends where the request could not be sent completely. A body that breaks off leaves the
-    /// message incomplete, so the worker never takes it for a valid request.
+    /// How the attempt ends if the request could not be written completely. If the body ends early, the
+    /// message stays incomplete, so the worker does not accept it as a valid request.
     pub async fn write(&self, host: &str, connection: &mut Connection) -> Result<(), AttemptEnd> {
         let mut body = self.payload.body.reader();
         let length = self.payload.body.length();
@@ -60,13 +62,13 @@
             if !output.is_empty() && connection.write(&output).await.is_err() {
                 return Err(self.end_after_write_error(connection).await);
             }
-            // From the last byte on the worker may run the request: nothing below may end the attempt as
-            // unsent.
+            // Once the last byte is written, the worker may run the job, so the attempt must not end as
+            // unsent. Returning here skips the checks of another iteration.
             if length == Some(body_bytes) {
                 return Ok(());
             }
             if output.len() >= BLOCK_BYTES {
-                // Large bodies must not keep small jobs waiting.
+                // Large bodies must not delay small requests.
                 self.upstreams.tasks.yield_to_small_requests().await;
             }
             output.clear();
@@ -74,8 +76,8 @@
         Ok(())
     }
 
-    /// How an attempt ends whose connection broke before the last byte. A worker may reject a large request
-    /// by its head alone and close the connection.
+    /// How the attempt ends after a write error, before the last byte was written. A worker may reject a
+    /// large request after reading only its head, and close the connection.
     async fn end_after_write_error(&self, connection: &mut Connection) -> AttemptEnd {
         let limit = self.spec.deadline.min(Instant::now() + EARLY_RESPONSE_TIMEOUT);
         match timeout_at(limit, ResponseReader::read_head(connection)).await {
@@ -85,8 +87,8 @@
     }
 }
 
-/// Moves a chunk of the body to `output`: unchanged where the head states the body's length, else in the
-/// chunked coding. `has_more`: the body goes on after this chunk.
+/// Moves a chunk of the body to `output`: unchanged if the head states the body's length, otherwise in the
+/// chunked transfer coding. `has_more`: the body continues after this chunk.
 fn append_body_chunk(output: &mut Vec<u8>, chunk: &mut Vec<u8>, length: Option<u64>, has_more: bool) {
     if length.is_some() {
         output.append(chunk);
--- a/crates/engine/src/response_reader.rs
+++ b/crates/engine/src/response_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a worker's response to one attempt: the head, then a JSON line for each change of the job's state.
+//! Reads a worker's response to one attempt: the head, then one JSON line per state change of the job.
 
 use crate::attempt_end::AttemptEnd;
 use crate::upstreams::Upstreams;
@@ -8,16 +8,16 @@
 use sorrelhaven_wire::{Connection, Head, LineReader, MAX_BODY_BYTES, StartLine, WireError};
 use std::borrow::Cow;
 
-/// The most that a job line may hold: a result is a body, and JSON escapes may double its text.
+/// The most bytes of a job line. Its result may be as long as a body, and JSON escapes may double the length.
 const MAX_JOB_LINE_BYTES: usize = 2 * MAX_BODY_BYTES;
 
-/// The state that a job line reports, under the protocol's words.
+/// The job state that a line reports, under the names of the protocol.
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase", tag = "state")]
 enum JobState {
     Started,
     Running {
-        /// The share done, from 0 to 1.
+        /// The share of the job that is done, from 0 to 1.
         #[serde(default)]
         share: f64,
     },
@@ -31,38 +31,38 @@
     Killed,
 }
 
-/// One line of a response's body.
+/// One line of a response body.
 #[derive(Deserialize)]
 struct JobLine<'a> {
     #[serde(borrow)]
     id: Cow<'a, str>,
-    /// The worker's load report, on the line that ends the attempt.
+    /// The worker's load report, which only the line that ends the attempt has.
     load: Option<Value>,
     #[serde(flatten)]
     state: JobState,
 }
 
-/// What the next part of a response means for the attempt.
+/// The meaning of the next line of a response for the attempt.
 pub enum ResponseStep {
-    /// Nothing: a blank line, which keeps the connection open.
+    /// None: a blank line, which the worker sends to keep the connection alive.
     KeepAlive,
-    /// The worker has started on the job.
+    /// The worker has started the job.
     Started,
-    /// This share of the job is done, from 0 to 1.
+    /// The worker has done this share of the job, from 0 to 1.
     Progress(f64),
-    /// The attempt has ended.
+    /// The attempt ended in this way.
     Ended(AttemptEnd),
 }
 
-/// A worker's response of which the head was read.
+/// A worker's response whose head has been read.
 pub struct ResponseReader {
     status: u16,
     is_rejection: bool,
     keeps_alive: bool,
     lines: LineReader,
-    /// The load report of the head, not parsed yet.
+    /// The load report in the head, as JSON text.
     head_load_report: Option<String>,
-    /// The load report of the line that ended the attempt.
+    /// The load report in the last job line that was read.
     line_load_report: Option<Value>,
 }
 
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     ///
-    /// How the attempt ends where there is no valid head.
+    /// How the attempt ends if no valid head could be read.
     pub async fn read_head(connection: &mut Connection) -> Result<ResponseReader, AttemptEnd> {
         let head = connection.read_head(Head::parse_response).await.map_err(AttemptEnd::unreadable)?;
         let StartLine::Response { status } = head.start else { return Err(AttemptEnd::Malformed) };
@@ -87,17 +87,17 @@
         })
     }
 
-    /// Whether the worker states that it did not start the job.
+    /// Whether the head states that the worker did not start the job.
     pub fn is_rejection(&self) -> bool {
         self.is_rejection
     }
 
-    /// Reads up to the next step of the job `request_id`.
+    /// Reads the next line about the job `request_id`, or evaluates the status if it is not 200.
     pub async fn next_step(&mut self, connection: &mut Connection, request_id: &str) -> ResponseStep {
         match self.status {
             200 => {}
             _ if self.is_rejection => return ResponseStep::Ended(AttemptEnd::Rejected),
-            // The job's fault, not the worker's: every other worker would say the same.
+            // The request itself is invalid: every other worker would respond the same.
             400 | 404 => return ResponseStep::Ended(AttemptEnd::InvalidRequest),
             _ => return ResponseStep::Ended(AttemptEnd::Failed),
         }
@@ -130,15 +130,16 @@
         }
     }
 
-    /// Ends the attempt by a response that breaks the protocol. The bytes after it may belong to anything, so
-    /// the connection is not used again.
+    /// Ends the attempt after a response that violates the protocol. Its end cannot be found on
+    /// the connection, which is therefore not reused.
     fn end_and_close(&mut self, end: AttemptEnd) -> ResponseStep {
         self.keeps_alive = false;
         ResponseStep::Ended(end)
     }
 
-    /// The load report at the end of the attempt: the line's, or else the head's. Empty where there is none,
-    /// or where it is malformed, which is counted: the response stands all the same.
+    /// Parses the load report of the last job line or, if it has none, of the head. Returns an empty list if
+    /// there is none or it is malformed. Counts valid and malformed reports; a malformed one does not affect
+    /// the response.
     pub fn load_report(&self, upstreams: &Upstreams) -> Vec<f64> {
         let report = match (&self.head_load_report, &self.line_load_report) {
             (_, Some(value)) => upstreams.load_report_fields.parse_value(value),
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Reads to the end of the response; returns whether the connection can carry another request.
+    /// Reads and discards the rest of the response. Returns whether the connection can be reused.
     pub async fn read_to_end(&mut self, connection: &mut Connection) -> bool {
         while self.keeps_alive {
             match self.lines.next(connection).await {
--- a/crates/engine/src/upstreams.rs
+++ b/crates/engine/src/upstreams.rs
@@ -1,4 +1,4 @@
-//! How attempts and probes reach workers: the registry of workers and the pool of connections.
+//! What attempts and probes share: the registry of workers, the connection pool, counters and limits.
 
 use crate::attempt_end::AttemptEnd;
 use crate::connection_pool::{ConnectionPool, PooledConnection};
@@ -10,30 +10,30 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What attempts and probes share to reach workers.
+/// Resources and limits that all attempts and probes share.
 pub struct Upstreams {
     /// The known workers.
     pub registry: WorkerRegistry,
-    /// The idle connections to them.
+    /// The idle connections to workers.
     pub pool: ConnectionPool,
-    /// The executor of all tasks, for turns between the blocks of large bodies.
+    /// The executor of all tasks; attempts yield to its other tasks between the blocks of large bodies.
     pub tasks: Rc<Tasks>,
     /// The node's counters.
     pub counters: Rc<Counters>,
-    /// The fields of load reports.
+    /// Parses load reports according to the settings.
     pub load_report_fields: LoadReportFields,
-    /// How long after the notice of its drain a worker may still be sent requests.
+    /// How long requests may still be sent to a worker after the node was notified that it drains.
     pub drain_grace: Duration,
-    /// The limit on making a connection.
+    /// The time limit for connecting to a worker.
     pub connect_timeout: Duration,
 }
 
 impl Upstreams {
-    /// A connection to the worker, pooled or new.
+    /// Takes a connection to the worker from the pool, or opens a new one.
     ///
     /// # Errors
     ///
-    /// [`AttemptEnd::NoAddress`] for a worker without an address, and the errors of
+    /// [`AttemptEnd::NoAddress`] if the worker has no known address, and the errors of
     /// [`ConnectionPool::connect`].
     pub async fn connection(&self, worker: WorkerId) -> Result<PooledConnection, AttemptEnd> {
         let address = self.registry.address(worker).ok_or(AttemptEnd::NoAddress)?;
