--- a/crates/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of requests, attempts, connections and discovery since the start.
+//! Counters of requests, attempts, connections and discovery since the node started.
 
 use crate::invariants::{Invariants, MAX_SEND_AFTER_DISCONNECT};
 use crate::metric::Counter;
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// The requests of one class since the start.
+/// The requests of one class since the node started.
 #[derive(Default)]
 pub struct ClassCounters {
     /// Requests admitted.
@@ -17,83 +17,84 @@
     pub served: Counter,
     /// Requests answered with a rejection.
     pub rejected: Counter,
-    /// Requests answered as failed, or ended without an answer by a fault of the node.
+    /// Requests answered with a failure, or that ended without an answer because of a fault in the node.
     pub failed: Counter,
-    /// Requests whose client disconnected before the answer.
+    /// Requests whose client disconnected before the answer was available.
     pub client_gone: Counter,
 }
 
-/// The node's counters since the start.
+/// The node's counters since it started.
 ///
-/// An admitted request is in progress until it is served, rejected, failed, or its client has gone.
+/// An admitted request is in progress until it is served, rejected or failed, or its client disconnects.
 #[derive(Default)]
 pub struct Counters {
     classes: Vec<(String, ClassCounters)>,
     in_progress: Cell<u64>,
-    /// Attempts begun.
+    /// Attempts started, including those that were never sent.
     pub attempts: Counter,
-    /// Attempts whose last byte was written.
+    /// Attempts whose request was written up to the last byte.
     pub requests_sent: Counter,
-    /// Clients that disconnected before the last byte of any attempt was written.
+    /// Requests whose client disconnected before any attempt was written up to the last byte.
     pub client_gone_waiting: Counter,
-    /// Attempts whose last byte was written after the client had disconnected.
+    /// Attempts whose last byte was written after the client's disconnect was reported.
     pub sent_after_client_gone: Counter,
-    /// Those of them that were written `MAX_SEND_AFTER_DISCONNECT` after the disconnect, or later.
+    /// Attempts whose last byte was written `MAX_SEND_AFTER_DISCONNECT` (100 ms) or more after that.
     pub sent_late_after_client_gone: Counter,
-    /// Valid load reports.
+    /// Load reports received and parsed.
     pub load_reports: Counter,
-    /// Load reports that were malformed and dropped.
+    /// Load reports dropped because they were malformed.
     pub load_reports_malformed: Counter,
-    /// Upstream connections opened.
+    /// New connections to workers that were attempted. Reuse of a pooled connection is not counted.
     pub upstream_connections: Counter,
-    /// Probes begun.
+    /// Probes started.
     pub probes: Counter,
-    /// Worker lists applied, complete or partial.
+    /// Worker lists applied, both complete lists and updates.
     pub worker_lists: Counter,
-    /// Discovery watches that broke or fell silent.
+    /// Discovery watches that failed for any reason.
     pub discovery_watches_failed: Counter,
-    /// Violations of invariants.
+    /// Violations of each invariant.
     pub invariants: Invariants,
-    /// Delays of the event loop.
+    /// Event loop delays.
     pub responsiveness: Rc<Responsiveness>,
-    /// Answers given after their request's deadline.
+    /// Requests answered after their deadline.
     pub answered_late: Counter,
-    /// Requests failed by their own task, since nothing else answered them by their deadline.
+    /// Requests that their own task failed because no answer was available shortly after their deadline.
     pub answered_by_deadline_guard: Counter,
+    /// Attempts ended, by [`outcome_index`].
     outcomes: [Counter; OUTCOME_NAMES.len()],
 }
 
-/// How a request ends.
+/// How an admitted request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// With a worker's result.
+    /// It was answered with a worker's result.
     Served,
-    /// With a rejection.
+    /// It was answered with a rejection.
     Rejected,
-    /// With a failure.
+    /// It was answered as failed, or its task ended without an answer.
     Failed,
-    /// Without an answer, since its client disconnected.
+    /// Its client disconnected before the answer.
     ClientDisconnected,
 }
 
 impl Counters {
-    /// Counters for these classes, in the order of the settings.
+    /// Creates counters for the classes with these names, in the order of the settings.
     pub fn new(classes: impl IntoIterator<Item = String>) -> Counters {
         let classes = classes.into_iter().map(|name| (name, ClassCounters::default())).collect();
         Counters { classes, ..Counters::default() }
     }
 
-    /// The counters of each class with its name, in the order of the settings.
+    /// The name and the counters of each class, in the order of the settings.
     pub fn classes(&self) -> impl Iterator<Item = (&str, &ClassCounters)> {
         self.classes.iter().map(|(name, counters)| (name.as_str(), counters))
     }
 
-    /// Requests admitted that have not ended.
+    /// The number of admitted requests that have not ended.
     pub fn in_progress(&self) -> u64 {
         self.in_progress.get()
     }
 
-    /// Counts a request that is admitted.
+    /// Counts a request of the class with this index as admitted and in progress.
     pub fn request_admitted(&self, class: usize) {
         self.in_progress.set(self.in_progress.get() + 1);
         if let Some((_, counters)) = self.classes.get(class) {
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Counts the end of an admitted request.
+    /// Counts how an admitted request ended; it is no longer in progress.
     pub fn request_concluded(&self, class: usize, end: RequestEnd) {
         self.in_progress.set(self.in_progress.get() - 1);
         let Some((_, counters)) = self.classes.get(class) else { return };
@@ -113,13 +114,13 @@
         }
     }
 
-    /// The sum of one counter over all classes.
+    /// The sum of `counter` over all classes.
     pub fn total(&self, counter: impl Fn(&ClassCounters) -> &Counter) -> u64 {
         self.classes.iter().map(|(_, counters)| counter(counters).get()).sum()
     }
 
-    /// Counts an attempt whose last byte was written just now; `client_disconnected_at`: when its client
-    /// disconnected, if it has.
+    /// Counts an attempt whose last byte was written just now. `client_disconnected_at`: when the client's
+    /// disconnect was reported, if it was.
     pub fn request_sent(&self, client_disconnected_at: Option<Instant>) {
         self.requests_sent.increment();
         let Some(disconnected_at) = client_disconnected_at else { return };
@@ -129,12 +130,12 @@
         }
     }
 
-    /// Counts the outcome of an attempt.
+    /// Counts the end of an attempt by its outcome.
     pub fn attempt_ended(&self, outcome: Outcome) {
         self.outcomes[outcome_index(outcome)].increment();
     }
 
-    /// All counters with their names, in the order in which they are shown.
+    /// The name and value of each counter, in the order in which they are shown.
     pub fn metrics(&self) -> Vec<(&'static str, u64)> {
         let mut metrics = vec![
             ("admitted", self.total(|class| &class.admitted)),
@@ -168,7 +169,7 @@
     }
 }
 
-/// The names of the outcomes' counters, in the order of [`outcome_index`].
+/// The names of the outcome counters, in the order of [`outcome_index`].
 const OUTCOME_NAMES: [&str; 9] = [
     "ok",
     "error",
--- a/crates/engine/src/dispatcher_loop.rs
+++ b/crates/engine/src/dispatcher_loop.rs
@@ -1,8 +1,8 @@
-//! Owns the node's one [`Dispatcher`] and is the only caller of its `handle`.
+//! Owns the node's only [`Dispatcher`] and passes it every event.
 //!
-//! Events are handled one by one in the order of the calls of [`DispatcherLoop::dispatch`]. Each action of
-//! the dispatcher is routed to the request, the timer, the probe or the log that it concerns; one event may
-//! act on many requests.
+//! Events are handled one at a time, in the order of the calls of [`DispatcherLoop::dispatch`]. Each
+//! resulting action is routed to the request that it concerns, to the timers, to the probes or to the log.
+//! One event may lead to actions for many requests.
 
 use crate::clock::Clock;
 use crate::job::RequestMessage;
@@ -19,13 +19,13 @@
 use std::time::{Duration, Instant};
 use tracing::{debug, info, warn};
 
-/// A timer that the dispatcher has set.
+/// A timer as the dispatcher sets it.
 struct NewTimer {
     due_at: Micros,
     token: u64,
 }
 
-/// A timer that is pending. Those that are due at the same time fire in the order in which they were set.
+/// A timer that has not fired. Timers that are due at the same time fire in the order in which they were set.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PendingTimer {
     due_at: Micros,
@@ -33,9 +33,9 @@
     token: u64,
 }
 
-/// The dispatcher, and the channels to those that carry its actions out.
+/// The dispatcher, and the channels through which its actions are carried out.
 pub struct DispatcherLoop {
-    /// The clock of all events.
+    /// The clock that dates the events.
     pub clock: Clock,
     state: RefCell<State>,
     timer_sender: Sender<NewTimer>,
@@ -47,14 +47,15 @@
 struct State {
     dispatcher: Dispatcher,
     requests: HashMap<RequestId, Sender<RequestMessage>>,
+    /// The number of the next request to be registered.
     next_request: u64,
-    /// The actions of one event; a field only to reuse the allocation.
+    /// The actions of the event being handled. Empty between events; kept to reuse the allocation.
     actions: Vec<Action>,
 }
 
 impl DispatcherLoop {
-    /// A loop that sends the workers to be probed to `probes`, and reports the time of each event to
-    /// `responsiveness`.
+    /// Creates the dispatcher. Workers to be probed are sent to `probes`; the handling time of events and the
+    /// lag of timers are reported to `responsiveness`.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -79,7 +80,8 @@
         }
     }
 
-    /// Numbers a request; the dispatcher's actions for it go to `messages` until it is deregistered.
+    /// Registers a request and returns its new id. Actions for it are sent to `messages` until it is
+    /// deregistered.
     pub fn register_request(&self, messages: Sender<RequestMessage>) -> RequestId {
         let mut state = self.state.borrow_mut();
         let id = RequestId(state.next_request);
@@ -88,22 +90,22 @@
         id
     }
 
-    /// Removes a request that has its answer and no attempt without an outcome.
+    /// Removes a request that is concluded and whose attempts have all ended.
     pub fn deregister_request(&self, id: RequestId) {
         self.state.borrow_mut().requests.remove(&id);
     }
 
-    /// The number of requests that are registered.
+    /// The number of registered requests.
     pub fn registered_requests(&self) -> usize {
         self.state.borrow().requests.len()
     }
 
-    /// The dispatcher's view of the workers in its list now.
+    /// The number of workers in the dispatcher's current worker list, by state.
     pub fn worker_counts(&self) -> WorkerCounts {
         self.state.borrow().dispatcher.worker_counts(self.clock.now())
     }
 
-    /// Has the dispatcher handle one event, and routes its actions.
+    /// Passes an event to the dispatcher and routes the resulting actions.
     pub fn dispatch(&self, event: Event) {
         let now = self.clock.now();
         let state = &mut *self.state.borrow_mut();
@@ -126,8 +128,8 @@
     ) {
         match action {
             Action::Send { request, worker, timeout, send_by } => {
-                // The dispatcher's timeout is relative, and 0 for "until the client gives up". From here on
-                // there are only deadlines.
+                // The dispatcher's timeout is relative; 0 means until the request's deadline. Requests and
+                // attempts use absolute deadlines.
                 let deadline = if timeout == 0 { Micros::MAX } else { now.saturating_add(timeout) };
                 send_message(requests, request, RequestMessage::Send { worker, deadline, send_by });
             }
@@ -140,20 +142,20 @@
             Action::Fail { request } => send_message(requests, request, RequestMessage::Fail),
             Action::SetTimer { delay, token } => {
                 let timer = NewTimer { due_at: now.saturating_add(delay), token };
-                // The loop holds the receiver, so the channel is open.
+                // `self` holds the receiver, so the channel is open.
                 let _ = self.timer_sender.try_send(timer);
             }
             Action::Probe { worker } => {
-                // Probes end with the engine that runs them.
+                // Fails only if the engine, which runs the probes, has been dropped.
                 let _ = self.probes.try_send(worker);
             }
-            // The discovery watch always runs, and retries by itself.
+            // No action is needed: the discovery watch runs from the start, and retries after failures.
             Action::WatchWorkerList => {}
             Action::Log(text) => info!(target: "module", "{text}"),
         }
     }
 
-    /// Runs the dispatcher's timers, for ever.
+    /// Runs the dispatcher's timers. Never returns.
     pub async fn run_timers(&self) {
         let mut pending = BTreeSet::new();
         let mut sequence = 0;
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Waits until a timer is set, or until `first_pending` is due: then `None`.
+    /// Waits for the next timer that is set; returns `None` as soon as `first_pending` is due.
     async fn next_new_timer(&self, first_pending: Option<&PendingTimer>) -> Option<NewTimer> {
         let new_timer = async { self.timer_receiver.recv().await.ok() };
         let due = async {
@@ -187,13 +189,13 @@
             let lag = self.clock.now().saturating_sub(timer.due_at);
             self.responsiveness.longest_timer_lag.record(Duration::from_micros(lag.unsigned_abs()));
             self.dispatch(Event::Timer(timer.token));
-            // Other tasks get their turn, however many timers are due and however soon the next ones are.
+            // Lets other tasks run even if many timers are due.
             yield_now().await;
         }
     }
 }
 
-/// The name of an event in the log of slow steps.
+/// The name of an event in the log of slow event loop steps.
 fn event_name(event: &Event) -> &'static str {
     match event {
         Event::WorkerList(_) => "worker list",
@@ -209,8 +211,8 @@
     }
 }
 
-/// Sends a message to a request. An action may concern one that was deregistered in the same moment: it is
-/// dropped.
+/// Sends a message to a request. It is dropped if the request has been deregistered, which may happen just
+/// before an action for it.
 fn send_message(
     requests: &HashMap<RequestId, Sender<RequestMessage>>,
     id: RequestId,
@@ -218,7 +220,7 @@
 ) {
     match requests.get(&id) {
         Some(sender) => {
-            // A registered request holds the receiver.
+            // The task of a registered request holds the receiver.
             let _ = sender.try_send(message);
         }
         None => warn!(?id, action = ?message, "action for a concluded request dropped"),
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of one node together, without its front ends.
+//! Creates the parts of one node, without its front ends, and starts its tasks.
 
 use crate::backoff::Backoff;
 use crate::body_admission::BodyAdmission;
@@ -31,22 +31,22 @@
 
 /// How often expired upstream connections are closed.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(500);
-/// The protocol's allowance on each time limit, added to a worker's drain grace.
+/// The protocol allows each time limit to be exceeded by this much. Added to a worker's drain grace.
 const DRAIN_GRACE_ALLOWANCE: Duration = Duration::from_millis(50);
-/// The limit on making a connection where the settings have none.
+/// The connect timeout if the settings have none.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One node without its front ends: takes jobs and answers each once.
+/// One node without its front ends: accepts jobs and answers each once.
 pub struct Engine {
     /// The executor of all tasks.
     pub tasks: Rc<Tasks>,
-    /// The dispatcher and its event queue.
+    /// The dispatcher, with the routes of its actions.
     pub dispatcher_loop: Rc<DispatcherLoop>,
-    /// The workers and the connections to them.
+    /// The known workers and the pooled connections to them.
     pub upstreams: Rc<Upstreams>,
-    /// The bodies of requests.
+    /// Stores the bodies of requests until they have been sent.
     pub bodies: Rc<BodyStore>,
-    /// The permits for long bodies that are sent to workers.
+    /// Limits how many long bodies are sent to workers at once.
     pub body_admission: BodyAdmission,
     /// The node's counters.
     pub counters: Rc<Counters>,
@@ -57,8 +57,8 @@
 }
 
 impl Engine {
-    /// An engine that has loaded the configuration's list of workers; nothing runs yet. `disk` stores bodies
-    /// in files; without it they stay in memory.
+    /// Creates an engine that knows the workers of the configuration; no task runs until [`Engine::start`].
+    /// Bodies are spilled to files on `disk`; without a disk they stay in memory.
     pub fn new(config: &Config, disk: Option<Arc<dyn Disk>>) -> Rc<Engine> {
         let (probe_requests, probes) = async_channel::unbounded();
         let counters = Rc::new(Counters::new(config.classes.iter().map(|class| class.name.clone())));
@@ -100,9 +100,11 @@
         })
     }
 
-    /// Starts the tasks that run as long as the node: the discovery watch, which continues from version `seq`
-    /// at `discovery` and moves to the addresses from `moves`; the dispatcher's timers and probes; the
-    /// spilling of bodies to disk; and the eviction of expired connections.
+    /// Starts the tasks that run as long as the node: the discovery watch, the dispatcher's timers and
+    /// probes, the spilling of bodies to disk, and the eviction of expired connections.
+    ///
+    /// The watch polls the address `discovery` for the changes after the worker list `version`, and continues
+    /// at each address that `address_changes` delivers.
     pub fn start(
         self: &Rc<Self>,
         discovery: SocketAddr,
@@ -121,15 +123,15 @@
         self.tasks.spawn(async move { evict_expired_connections(&upstreams.pool).await });
     }
 
-    /// Admits a job as a request.
+    /// Admits a job and starts the task of its request.
     ///
     /// # Errors
-    /// A request of the same id is in progress.
+    /// [`DuplicateRequestId`] if a request with the same id is in progress.
     pub fn submit(&self, job: Job) -> Result<RequestHandle, DuplicateRequestId> {
         self.request_admission.admit(job)
     }
 
-    /// Watches discovery's list of workers, for ever; the parameters are those of [`Engine::start`].
+    /// Watches the worker list of discovery. Never returns; the parameters are those of [`Engine::start`].
     pub async fn watch_discovery(
         &self,
         discovery: SocketAddr,
@@ -141,7 +143,8 @@
         watch.run(address_changes, |list| self.apply_worker_list(list)).await;
     }
 
-    /// Applies a list, closes the idle connections to workers that are gone, and notifies the dispatcher.
+    /// Applies a worker list: updates the registry, closes idle connections to workers that are gone, and
+    /// passes the list to the dispatcher.
     fn apply_worker_list(&self, list: &DiscoveryList) {
         let started = Instant::now();
         let entries = self.upstreams.registry.apply(list, self.dispatcher_loop.clock.now());
@@ -157,7 +160,7 @@
         self.dispatcher_loop.dispatch(Event::WorkerList(update));
     }
 
-    /// Runs the probes that the dispatcher asks for, each in a task of its own.
+    /// Starts a task for each probe that the dispatcher requests.
     async fn run_probes(&self) {
         while let Ok(worker) = self.probes.recv().await {
             self.tasks.spawn(probe::run(self.dispatcher_loop.clone(), self.upstreams.clone(), worker));
@@ -189,8 +192,8 @@
     }
 }
 
-/// A body store with a share for each tenant in each class, whose files take descriptors from the node's
-/// budget.
+/// Creates the body store. Each tenant in each class has a share of it, and its files take descriptors from
+/// the node's budget.
 fn new_body_store(config: &Config, disk: Option<Arc<dyn Disk>>, upstreams: &Rc<Upstreams>) -> Rc<BodyStore> {
     let shares = config.classes.len() * config.tenants.len().max(1);
     let upstreams = upstreams.clone();
@@ -201,7 +204,7 @@
     BodyStore::new(&config.operator.bodies, shares, disk, acquire_descriptor)
 }
 
-/// Whether the requests of each class must not run twice, in the order of the settings.
+/// For each class in the order of the settings: whether its requests must not run twice.
 fn at_most_once_classes(config: &Config) -> Vec<bool> {
     let classes = config.settings.classes.iter();
     classes.map(|class| class.idempotency == Idempotency::NotIdempotent).collect()
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -1,4 +1,4 @@
-//! The plain types that front ends, requests, the dispatcher loop and attempts exchange.
+//! The types that front ends, requests, the dispatcher loop and attempts exchange.
 
 use crate::attempt_end::AttemptEnd;
 use crate::body_admission::BodyPermit;
@@ -13,49 +13,49 @@
 
 /// A client's request as a front end submits it.
 pub struct Job {
-    /// The index of its class in the settings.
+    /// The index of the request's class in the settings.
     pub class: usize,
-    /// When the client gives up.
+    /// When the client stops waiting for the answer, in dispatcher time.
     pub deadline: Micros,
-    /// The client's estimate of the work.
+    /// The client's estimate of the job's running time, if it gave one.
     pub work_hint: Option<Micros>,
-    /// The slots that it takes at a worker.
+    /// The number of slots that the job occupies at a worker.
     pub slots: f64,
-    /// Whether the client marks it as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// A hash of what it is about, for cache affinity; 0 where the client does not say.
+    /// The hash of the client's affinity key, for cache affinity; 0 without a key.
     pub affinity_key: u64,
-    /// Whether its body can be sent; false where the body could not be stored and the settings reject such
-    /// requests.
+    /// Whether the body can be sent. False if it could not be stored and the settings reject such requests.
     pub body_sendable: bool,
-    /// The permit of a long body, until the body is fully sent.
+    /// The permit for a long body. It is released when the body is fully sent or the request is concluded.
     pub body_permit: Option<BodyPermit>,
-    /// Shows whether the client's connection has closed, also before its own task has noticed.
+    /// Detects that the client has closed its connection, even before the connection's task reads that far.
     pub client_probe: Option<PeerProbe>,
-    /// What is sent to the worker.
+    /// The request that is sent to workers.
     pub payload: RequestPayload,
 }
 
-/// What is sent to a worker, the same in every attempt.
+/// The parts of a request that are the same in every attempt.
 pub struct RequestPayload {
-    /// The request's id.
+    /// The client's id for the request, which workers and logs use too.
     pub id: Rc<str>,
     /// The HTTP method.
     pub method: String,
-    /// The path and the query.
+    /// The request target: path and query.
     pub target: String,
-    /// Further headers, by name and value.
+    /// Further header fields, as name and value.
     pub headers: Vec<(&'static str, String)>,
-    /// The body.
+    /// The body, stored or still being uploaded.
     pub body: RequestBody,
 }
 
 impl RequestPayload {
-    /// The head of the request to the worker at `host`. It states how long the node waits, up to `deadline`,
-    /// and the body's `length`; without a length the body is sent in the chunked coding.
+    /// Formats the head of the request to the worker at `host`. It states the time left until `deadline` in
+    /// microseconds, and the body's `length` in bytes; without a length, the body is sent with the chunked
+    /// transfer coding.
     pub fn head(&self, host: &str, deadline: Instant, length: Option<u64>) -> Vec<u8> {
         let remaining = deadline.saturating_duration_since(Instant::now());
-        // Writing to a String does not fail.
+        // Writing to a String cannot fail.
         let mut head = format!("{} {} HTTP/1.1\r\nHost: {host}\r\n", self.method, self.target);
         let _ = write!(head, "Request-Id: {}\r\nRequest-Timeout: {}u\r\n", self.id, remaining.as_micros());
         for (name, value) in &self.headers {
@@ -72,20 +72,21 @@
 /// The state of a request that its attempts share.
 #[derive(Default)]
 pub struct RequestState {
-    /// It has its answer, or needs none any more: nothing more is to be sent for it.
+    /// The request has its answer, or its client has disconnected. Nothing more may be sent for it.
     pub concluded: Cell<bool>,
-    /// When its client disconnected before it had its answer.
+    /// When the client's disconnect was reported, if that was before the answer.
     pub client_disconnected_at: Cell<Option<Instant>>,
-    /// Whether the last byte of any of its attempts was written.
+    /// Whether any attempt was written up to its last byte.
     pub fully_sent: Cell<bool>,
-    /// Shows whether the client's connection has closed.
+    /// Detects that the client has closed its connection.
     pub client_probe: Option<PeerProbe>,
-    /// The run-time checks of its invariants.
+    /// The run-time checks of the request's invariants.
     pub checks: RequestChecks,
 }
 
 impl RequestState {
-    /// Whether the client's connection has closed before the answer, as the connection shows at this moment.
+    /// Whether the client has closed its connection and this has not been reported to the request, which is
+    /// not concluded.
     pub fn has_unreported_disconnect(&self) -> bool {
         !self.concluded.get() && self.client_probe.as_ref().is_some_and(PeerProbe::has_closed)
     }
@@ -96,67 +97,68 @@
 pub enum Answer {
     /// A worker's result.
     Served(String),
-    /// The job was not done, and a retry after this time is harmless.
+    /// The job did not run, and a retry is harmless.
     Rejected {
-        /// How long the client ought to wait; 0: no advice.
+        /// How long the client should wait before it retries, in microseconds; 0 for no advice.
         retry_after: Micros,
     },
-    /// The job failed; it may have taken effect.
+    /// The job failed. It may have taken effect.
     Failed,
 }
 
 /// A message to a request's task, from the dispatcher, from one of its attempts or from the front end.
 #[derive(Clone, Debug)]
 pub enum RequestMessage {
-    /// The dispatcher: begin an attempt.
+    /// From the dispatcher: start an attempt.
     Send {
-        /// The worker that it goes to.
+        /// The worker to send the attempt to.
         worker: WorkerId,
-        /// When the dispatcher stops waiting.
+        /// When the attempt stops waiting for the worker; `Micros::MAX` for the request's own deadline.
         deadline: Micros,
-        /// From when on it must not be sent any more.
+        /// The attempt must not be sent at this time or later.
         send_by: Micros,
     },
-    /// The dispatcher: cancel an attempt.
+    /// From the dispatcher: cancel an attempt.
     Cancel {
         /// The attempt's number within its request.
         attempt: u32,
     },
-    /// The dispatcher: answer with a rejection.
+    /// From the dispatcher: answer with a rejection.
     Reject {
-        /// How long the client ought to wait; 0: no advice.
+        /// How long the client should wait before it retries, in microseconds; 0 for no advice.
         retry_after: Micros,
     },
-    /// The dispatcher: answer with a failure.
+    /// From the dispatcher: answer with a failure.
     Fail,
-    /// An attempt: the worker has started on the job.
+    /// From an attempt: the worker has started the job.
     AttemptStarted {
         /// The attempt's number within its request.
         attempt: u32,
     },
-    /// An attempt: the worker has done a share of the job.
+    /// From an attempt: the worker has reported the job's progress.
     AttemptProgress {
         /// The attempt's number within its request.
         attempt: u32,
-        /// The share done, from 0 to 1.
+        /// The share of the job that is done, from 0 to 1.
         share: f64,
     },
-    /// An attempt: the last byte of a long body was written.
+    /// From an attempt: the last byte of a long body was written.
     RequestSent {
         /// The attempt's number within its request.
         attempt: u32,
     },
-    /// An attempt: it has begun to read a body that can be read only once, so the request cannot be retried.
+    /// From an attempt: it has started to read a body that can be read only once, so no further attempt is
+    /// possible.
     BodyConsumed,
-    /// An attempt: it has ended.
+    /// From an attempt: it has ended.
     AttemptEnded {
         /// The attempt's number within its request.
         attempt: u32,
         /// How it ended.
         end: AttemptEnd,
-        /// The worker's load report, in the order of the settings' fields; empty where there is none.
+        /// The worker's load report, in the order of the fields in the settings; empty without a report.
         load_report: Vec<f64>,
     },
-    /// The front end: the client has disconnected.
+    /// From the front end: the client has disconnected.
     ClientDisconnected,
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,33 +1,33 @@
-//! Runs requests: each is admitted from a front end, decided on by the dispatcher, attempted at workers, and
-//! answered once.
+//! Runs requests: admits them from a front end, sends attempts to the workers that the dispatcher selects,
+//! and gives each request one answer.
 //!
-//! A front end submits a [`Job`] to [`Engine::submit`] and receives one [`Answer`] through the
-//! [`RequestHandle`]. Nothing here depends on the client's protocol, so the same decisions apply to every
-//! front end. A module uses only modules of its own row and of those below it in this table:
+//! A front end submits a [`Job`] with [`Engine::submit`] and receives one [`Answer`] through the
+//! [`RequestHandle`]. Nothing in this crate depends on the client's protocol, so the same decisions apply to
+//! every front end. A module uses only modules of its own row and of the rows below it:
 //!
-//! | module | concern |
+//! | module | purpose |
 //! | --- | --- |
-//! | `engine` | puts the parts of a node together |
-//! | `request_admission` | the admission of requests |
+//! | `engine` | creates the parts of a node and starts its tasks |
+//! | `request_admission` | registers new requests and rejects duplicate ids |
 //! | `request_task` | the task of one request, from arrival to answer |
-//! | `attempt`, `probe` | one attempt at a job, one health check of a worker |
-//! | `request_writer`, `response_reader` | the request to a worker, and its response with job lines |
+//! | `attempt`, `probe` | one attempt at a job; one probe of a worker |
+//! | `request_writer`, `response_reader` | writes the request to a worker; reads its response |
 //! | `attempt_spec` | the limits of one attempt, and whether it may be sent |
-//! | `upstreams` | what attempts and probes reach workers with |
-//! | `connection_pool`, `descriptor_budget` | idle upstream connections, descriptors of all connections |
-//! | `worker_registry`, `start_times` | what discovery says of the workers, when they started |
-//! | `load_report` | the load that workers report |
-//! | `discovery_watch`, `discovery_poll` | the watch on the worker list, its single polls |
-//! | `watch_error`, `backoff` | why a watch failed, and the delays between polls |
-//! | `dispatcher_loop` | owns the one `Dispatcher`, feeds it events in order, routes its actions |
-//! | `job` | the plain types that these exchange |
-//! | `body_admission` | permits for long bodies |
+//! | `upstreams` | the registry, connection pool and limits that attempts and probes share |
+//! | `connection_pool`, `descriptor_budget` | idle upstream connections; descriptors of all connections |
+//! | `worker_registry`, `start_times` | worker addresses and states from discovery; worker start times |
+//! | `load_report` | parses the load reports of workers |
+//! | `discovery_watch`, `discovery_poll` | the watch on the worker list; one poll of discovery |
+//! | `watch_error`, `backoff` | why a watch failed; delays between polls |
+//! | `dispatcher_loop` | owns the `Dispatcher`, passes events to it in order, routes its actions |
+//! | `job` | the types that front ends, requests, the dispatcher loop and attempts exchange |
+//! | `body_admission` | limits how many long bodies are sent at once |
 //! | `tasks` | the executor of all tasks |
 //! | `counters` | the node's counters |
-//! | `invariants` | what holds for every request, checked at run time |
-//! | `attempt_end` | every way an attempt can end, and its outcome for the dispatcher |
-//! | `responsiveness` | delays of the event loop |
-//! | `clock`, `metric` | the dispatcher's clock, the kinds of metric |
+//! | `invariants` | run-time checks of properties that hold for every request |
+//! | `attempt_end` | every way an attempt can end, and the outcome that the dispatcher receives |
+//! | `responsiveness` | event loop delays |
+//! | `clock`, `metric` | the clock of dispatcher events; counters and maxima |
 //!
 //! ```no_run
 //! use sorrelhaven_config::Config;
--- a/crates/engine/src/metric.rs
+++ b/crates/engine/src/metric.rs
@@ -1,9 +1,9 @@
-//! The two kinds of metric that the engine keeps: a counter and a maximum.
+//! The two kinds of metric in the engine: a counter and the maximum of a duration.
 
 use std::cell::Cell;
 use std::time::Duration;
 
-/// A counter that only rises.
+/// A count that only increases.
 #[derive(Default)]
 pub struct Counter(Cell<u64>);
 
@@ -13,23 +13,23 @@
         self.0.set(self.0.get() + 1);
     }
 
-    /// The value so far.
+    /// The current count.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
 }
 
-/// The longest of the durations noted so far.
+/// The longest duration recorded so far; zero before the first.
 #[derive(Default)]
 pub struct MaxDuration(Cell<Duration>);
 
 impl MaxDuration {
-    /// Takes one duration into account.
+    /// Records a duration, which becomes the maximum if it is longer.
     pub fn record(&self, duration: Duration) {
         self.0.set(self.0.get().max(duration));
     }
 
-    /// The longest so far, in microseconds.
+    /// The maximum in whole microseconds.
     pub fn as_micros(&self) -> u64 {
         u64::try_from(self.0.get().as_micros()).unwrap_or(u64::MAX)
     }
--- a/crates/engine/src/request_admission.rs
+++ b/crates/engine/src/request_admission.rs
@@ -1,6 +1,6 @@
-//! Admits requests: registers each with the dispatcher and starts its task.
+//! Admits requests: registers each with the dispatcher loop and starts its task.
 //!
-//! A front end submits a [`Job`] and receives one [`Answer`], whatever the client's protocol.
+//! A front end submits a [`Job`] and receives one [`Answer`], independent of the client's protocol.
 
 use crate::invariants::RequestChecks;
 use crate::job::{Answer, Job, RequestMessage, RequestState};
@@ -10,38 +10,38 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// The front end's handle on a request in progress.
+/// The front end's handle of a request in progress: delivers the answer, and reports a disconnected client.
 pub struct RequestHandle {
     messages: Sender<RequestMessage>,
     answer: Receiver<Answer>,
 }
 
 impl RequestHandle {
-    /// Waits for the answer; `None` only if the request's task ended without one.
+    /// Waits for the answer. Returns `None` if the request's task ends without one.
     pub async fn answer(&self) -> Option<Answer> {
         self.answer.recv().await.ok()
     }
 
-    /// Reports that the client has disconnected: the request needs no answer any more.
+    /// Reports that the client has disconnected, so that the request needs no answer.
     pub fn client_disconnected(&self) {
-        // A task that has ended has answered already.
+        // Sending fails only if the task has ended, and then the request is concluded.
         let _ = self.messages.try_send(RequestMessage::ClientDisconnected);
     }
 }
 
-/// A request was not admitted, because one of the same id is in progress.
+/// A request was not admitted because another request with the same id is in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DuplicateRequestId;
 
 impl fmt::Display for DuplicateRequestId {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("a request of this id is in progress")
+        formatter.write_str("a request with the same id is already in progress")
     }
 }
 
 impl std::error::Error for DuplicateRequestId {}
 
-/// Admits requests and rejects those whose id is in use.
+/// Admits requests, except those whose id is in use.
 pub struct RequestAdmission {
     context: Rc<RequestContext>,
     at_most_once: Vec<bool>,
@@ -49,11 +49,10 @@
 }
 
 impl RequestAdmission {
-    /// An admission of requests whose tasks share `context`.
+    /// Creates an admission of requests whose tasks share `context`.
     ///
-    /// `at_most_once`: whether the requests of a class must not run twice, by the class's index in the
-    /// settings. `rejection_may_have_run`: whether an attempt that a worker rejected may have run all the
-    /// same.
+    /// `at_most_once`: for each class in the order of the settings, whether its requests must not run twice.
+    /// `rejection_may_have_run`: a worker's rejection does not prove that the attempt never ran.
     pub fn new(
         context: Rc<RequestContext>,
         at_most_once: Vec<bool>,
@@ -65,8 +64,8 @@
     /// Admits a request and starts its task.
     ///
     /// # Errors
-    /// A request of the same id is in progress: workers know their jobs by id, so a second one would be
-    /// rejected there, or mixed up with the first.
+    /// [`DuplicateRequestId`] if a request with the same id is in progress. Workers identify jobs by this id,
+    /// so they would reject the second one or confuse it with the first.
     pub fn admit(&self, job: Job) -> Result<RequestHandle, DuplicateRequestId> {
         let is_new = self.context.ids_in_progress.borrow_mut().insert(job.payload.id.clone());
         if !is_new {
@@ -99,14 +98,14 @@
         }
     }
 
-    /// The run-time checks for a new request; an unknown class is held to the strictest rule.
+    /// The run-time checks of a new request. An unknown class is treated as at-most-once.
     fn checks(&self, class: usize) -> RequestChecks {
         let at_most_once = self.at_most_once.get(class).copied().unwrap_or(true);
         RequestChecks::new(at_most_once, self.rejection_may_have_run)
     }
 }
 
-/// What the dispatcher needs to know of a new request.
+/// The event that announces a new request to the dispatcher.
 fn arrival(request: RequestId, job: &Job) -> Arrival {
     Arrival {
         request,
--- a/crates/engine/src/request_task.rs
+++ b/crates/engine/src/request_task.rs
@@ -1,6 +1,6 @@
 //! The task of one request: runs its attempts and answers it once.
 //!
-//! All decisions are the dispatcher's; the task carries them out and reports the results.
+//! The dispatcher makes all decisions. The task carries them out and reports the results to it.
 
 use crate::attempt;
 use crate::attempt_end::AttemptEnd;
@@ -23,15 +23,17 @@
 use std::time::{Duration, Instant};
 use tracing::{debug, warn};
 
-/// A request without an answer this long after its deadline is failed by its own task. Attempts end at the
-/// deadline and the dispatcher answers then, so this acts only where a message or a wake-up was lost.
+/// A request that has no answer this long after its deadline is failed by its own task. Attempts end at the
+/// deadline, and the dispatcher then answers, so this happens only if a message or a wake-up was lost.
 const OVERDUE_ANSWER_DELAY: Duration = Duration::from_millis(100);
 
 /// An attempt that has no outcome yet.
 struct RunningAttempt {
     worker: WorkerId,
-    /// When it began or, for a long body, when the body was fully sent: its elapsed time counts from here.
+    /// Start of the elapsed time that is reported to the dispatcher: when the attempt was started or, for a
+    /// long body, when its last byte was written, which excludes the transfer.
     timed_from: Micros,
+    /// Whether the last byte of the attempt's request was written.
     fully_sent: Rc<Cell<bool>>,
     task: Task<()>,
 }
@@ -40,37 +42,37 @@
 enum Wakeup {
     /// The dispatcher, an attempt or the front end sent a message.
     Message(RequestMessage),
-    /// The deadline passed [`OVERDUE_ANSWER_DELAY`] ago.
+    /// [`OVERDUE_ANSWER_DELAY`] has passed since the deadline.
     Overdue,
 }
 
-/// What the tasks of all requests share.
+/// The parts of the node that the tasks of all requests share.
 pub struct RequestContext {
-    /// The dispatcher and its event queue.
+    /// The dispatcher, with the routes of its actions.
     pub dispatcher_loop: Rc<DispatcherLoop>,
-    /// The workers and the connections to them.
+    /// The known workers and the pooled connections to them.
     pub upstreams: Rc<Upstreams>,
     /// The node's counters.
     pub counters: Rc<Counters>,
-    /// The executor that the tasks run on.
+    /// The executor of all tasks.
     pub tasks: Rc<Tasks>,
     /// The ids of the requests in progress.
     pub ids_in_progress: RefCell<HashSet<Rc<str>>>,
 }
 
-/// One request, as it is admitted.
+/// A request as it is admitted.
 pub struct NewRequest {
-    /// The dispatcher's number for the request.
+    /// The id of the request at the dispatcher.
     pub id: RequestId,
-    /// The index of its class in the settings.
+    /// The index of the request's class in the settings.
     pub class: usize,
-    /// When the client gives up.
+    /// When the client stops waiting for the answer, in dispatcher time.
     pub deadline: Micros,
-    /// What is sent to workers.
+    /// The request that is sent to workers.
     pub payload: Rc<RequestPayload>,
-    /// The permit of a long body.
+    /// The permit for a long body, until the body is fully sent or the request is concluded.
     pub body_permit: Option<BodyPermit>,
-    /// The state that its attempts share.
+    /// The state that the request shares with its attempts.
     pub state: Rc<RequestState>,
 }
 
@@ -78,16 +80,17 @@
 pub struct RequestTask {
     context: Rc<RequestContext>,
     request: NewRequest,
-    /// For the attempts to report through.
+    /// Cloned for each attempt, which reports through it.
     messages: Sender<RequestMessage>,
     answer_sender: Sender<Answer>,
-    /// The attempts without an outcome, by number.
+    /// The attempts that have no outcome yet, by number.
     attempts: HashMap<u32, RunningAttempt>,
     attempts_begun: u32,
 }
 
 impl RequestTask {
-    /// The task of an admitted request. It receives `messages` from its attempts and answers through `reply`.
+    /// Creates the task of an admitted request. Attempts report through `messages`, and the answer goes to
+    /// `answer_sender`.
     pub fn new(
         context: Rc<RequestContext>,
         request: NewRequest,
@@ -97,7 +100,7 @@
         RequestTask { context, request, messages, answer_sender, attempts: HashMap::new(), attempts_begun: 0 }
     }
 
-    /// Runs the request from its arrival until it is answered and all its attempts have ended.
+    /// Runs the request from its arrival until it is concluded and all its attempts have ended.
     pub async fn run(mut self, arrival: Arrival, messages: Receiver<RequestMessage>) {
         self.dispatch(Event::Arrival(arrival));
         let clock = self.context.dispatcher_loop.clock;
@@ -114,8 +117,9 @@
         }
     }
 
-    /// Whether the request has its answer and every attempt its outcome. A message that is still queued may
-    /// ask for an attempt: without an outcome of that one the dispatcher would count it as running for ever.
+    /// Whether the request is concluded, all its attempts have ended, and no message is queued. A queued
+    /// message may start another attempt, which needs an outcome, or the dispatcher would count it as running
+    /// forever.
     fn is_finished(&self, messages: &Receiver<RequestMessage>) -> bool {
         self.request.state.concluded.get() && self.attempts.is_empty() && messages.is_empty()
     }
@@ -145,8 +149,8 @@
         self.context.dispatcher_loop.dispatch(event);
     }
 
-    /// The client's id for the request, as logs and workers know it.
-    fn name(&self) -> &str {
+    /// The client's id for the request, which logs and workers use too.
+    fn client_request_id(&self) -> &str {
         &self.request.payload.id
     }
 
@@ -154,12 +158,12 @@
         self.context.dispatcher_loop.clock.now()
     }
 
-    /// Begins an attempt that waits until `deadline` and must not be sent from `send_by` on.
+    /// Starts an attempt that waits until `deadline` and must not be sent at `send_by` or later.
     fn begin_attempt(&mut self, worker: WorkerId, deadline: Micros, send_by: Micros) {
         let attempt = self.attempts_begun;
         self.attempts_begun += 1;
         self.context.counters.attempts.increment();
-        debug!(id = %self.name(), attempt, worker = worker.0, "attempt started");
+        debug!(id = %self.client_request_id(), attempt, worker = worker.0, "attempt started");
         let clock = self.context.dispatcher_loop.clock;
         let fully_sent = Rc::<Cell<bool>>::default();
         let spec = AttemptSpec {
@@ -175,8 +179,8 @@
         self.attempts.insert(attempt, RunningAttempt { worker, timed_from, fully_sent, task });
     }
 
-    /// Starts the task of an attempt. An attempt that the dispatcher asked for before it knew of the answer
-    /// ends at once, unsent.
+    /// Starts the task of an attempt. If the request is already concluded, which the dispatcher may not have
+    /// known when it requested the attempt, the attempt ends at once without being sent.
     fn start_attempt_task(&self, spec: AttemptSpec) -> Task<()> {
         let tasks = &self.context.tasks;
         if self.request.state.concluded.get() {
@@ -196,33 +200,33 @@
         ))
     }
 
-    /// The worker has started on the job.
+    /// Reports to the dispatcher that the worker has started the job.
     fn attempt_started(&self, attempt: u32) {
         if let Some(&RunningAttempt { worker, .. }) = self.attempts.get(&attempt) {
             self.dispatch(Event::AttemptStarted { request: self.request.id, attempt, worker });
         }
     }
 
-    /// The worker has done this share of the job.
+    /// Reports the share of the job that is done, from 0 to 1, to the dispatcher.
     fn attempt_progress(&self, attempt: u32, share: f64) {
         if let Some(&RunningAttempt { worker, .. }) = self.attempts.get(&attempt) {
             self.dispatch(Event::AttemptProgress { request: self.request.id, attempt, worker, share });
         }
     }
 
-    /// The last byte of a long body was written.
+    /// Releases the body permit and restarts the elapsed time, as the last byte of a long body was written.
     fn request_sent(&mut self, attempt: u32) {
         self.request.body_permit = None;
         let now = self.now();
         let Some(running) = self.attempts.get_mut(&attempt) else { return };
-        // The transfer of a long body says nothing of the worker's speed.
+        // The transfer time of a long body says nothing about the worker's speed.
         running.timed_from = now;
         let worker = running.worker;
         self.dispatch(Event::RequestSent { request: self.request.id, attempt, worker });
     }
 
-    /// Records the one outcome of an attempt. Where a cancellation crosses its own end, the first of them
-    /// counts.
+    /// Records the outcome of an attempt. If it ends while a cancellation is queued, only the first message
+    /// has an effect.
     fn end_attempt(&mut self, attempt: u32, end: AttemptEnd, load_report: Vec<f64>) {
         let Some(RunningAttempt { worker, timed_from, fully_sent, task }) = self.attempts.remove(&attempt)
         else {
@@ -230,12 +234,12 @@
         };
         let fully_sent = fully_sent.get();
         self.request.state.checks.attempt_ended(&end, fully_sent);
-        debug!(id = %self.name(), attempt, worker = worker.0, ?end, fully_sent, "attempt ended");
+        debug!(id = %self.client_request_id(), attempt, worker = worker.0, ?end, fully_sent, "attempt ended");
         let outcome = end.outcome();
         self.context.counters.attempt_ended(outcome);
         match end {
             AttemptEnd::Cancelled => drop(task),
-            // What is left of the task returns its connection to the pool.
+            // The detached task reads the response to its end, so that its connection can be reused.
             _ => task.detach(),
         }
         if let AttemptEnd::Completed(result) = end {
@@ -265,15 +269,16 @@
         self.dispatch(Event::ClientDisconnected(self.request.id));
     }
 
-    /// Fails a request that nothing else has answered, and cancels its attempts.
+    /// Answers with a failure if the request is not concluded, and cancels its attempts.
     fn fail_overdue_request(&mut self) {
         if self.request.state.concluded.get() {
             return;
         }
         let attempts = self.attempts.len();
-        warn!(id = %self.name(), attempts, "request overdue, answered by the deadline guard");
+        warn!(id = %self.client_request_id(), attempts, "no answer by the deadline, request failed by its own task");
         self.context.counters.answered_by_deadline_guard.increment();
         self.answer(Answer::Failed);
+        // Ends the request at the dispatcher too, which must not start further attempts.
         self.dispatch(Event::ClientDisconnected(self.request.id));
         let running: Vec<u32> = self.attempts.keys().copied().collect();
         for attempt in running {
@@ -281,20 +286,23 @@
         }
     }
 
-    /// Gives the client its answer, unless it has one or has disconnected.
+    /// Sends the answer to the client, unless the request is already concluded.
     fn answer(&mut self, answer: Answer) {
         if self.request.state.concluded.replace(true) {
             return;
         }
         self.request.body_permit = None;
         if matches!(answer, Answer::Rejected { .. }) {
-            self.request.state.checks.request_rejected(&self.context.counters.invariants, self.name());
+            self.request
+                .state
+                .checks
+                .request_rejected(&self.context.counters.invariants, self.client_request_id());
         }
-        debug!(id = %self.name(), ?answer, "request concluded");
+        debug!(id = %self.client_request_id(), ?answer, "request concluded");
         let late_by = self.now() - self.request.deadline;
         if late_by > 0 {
             self.context.counters.answered_late.increment();
-            debug!(id = %self.name(), late_us = late_by, "request concluded after its deadline");
+            debug!(id = %self.client_request_id(), late_us = late_by, "request concluded after its deadline");
         }
         let end = match answer {
             Answer::Served(_) => RequestEnd::Served,
@@ -302,12 +310,12 @@
             Answer::Failed => RequestEnd::Failed,
         };
         self.context.counters.request_concluded(self.request.class, end);
-        // A front end that has dropped its handle needs no answer.
+        // Sending fails only if the front end has dropped its handle, and then it needs no answer.
         let _ = self.answer_sender.try_send(answer);
     }
 }
 
-/// Waits for a message or for the timer; `None` where no one can send a message any more.
+/// Waits for a message or the timer. Returns `None` if all senders of messages have been dropped.
 async fn next_wakeup(messages: &Receiver<RequestMessage>, overdue_timer: &mut Timer) -> Option<Wakeup> {
     let message = async { messages.recv().await.ok().map(Wakeup::Message) };
     let overdue = async {
@@ -322,14 +330,14 @@
         let counters = &self.context.counters;
         let answered = self.request.state.concluded.get();
         let all_ended = self.attempts.is_empty();
-        counters.invariants.check(Invariant::OneFinalAnswer, self.name(), answered);
-        counters.invariants.check(Invariant::OneOutcomePerAttempt, self.name(), all_ended);
+        counters.invariants.check(Invariant::OneFinalAnswer, self.client_request_id(), answered);
+        counters.invariants.check(Invariant::OneOutcomePerAttempt, self.client_request_id(), all_ended);
         if !answered {
-            // The client's connection learns of it by the closed answer channel, and reports a failure of the
-            // node.
+            // The answer channel closes with the task; the front end then reports a failure of the node to
+            // the client.
             counters.request_concluded(self.request.class, RequestEnd::Failed);
         }
         self.context.dispatcher_loop.deregister_request(self.request.id);
-        self.context.ids_in_progress.borrow_mut().remove(self.name());
+        self.context.ids_in_progress.borrow_mut().remove(self.client_request_id());
     }
 }
--- a/crates/engine/src/responsiveness.rs
+++ b/crates/engine/src/responsiveness.rs
@@ -1,25 +1,24 @@
-//! Delays of the event loop.
+//! Measures event loop delays.
 //!
-//! All work of a node shares one thread, so one long step delays every answer. Steps and timers are measured
-//! as they run: the metrics show the longest of each and the number of steps longer than
-//! [`LONG_STEP_THRESHOLD`], and the log names each of those.
+//! All tasks of a node share one thread, so a long step delays every answer. Each step and timer is measured.
+//! The metrics show the longest step, the longest timer lag and the number of steps longer than
+//! [`LONG_STEP_THRESHOLD`]; each such step is logged.
 
 use crate::metric::{Counter, MaxDuration};
 use std::time::{Duration, Instant};
 use tracing::warn;
 
-/// A longer step is counted and logged. Deadlines have an allowance of 150 ms for everything that delays a
-/// node.
+/// Longer steps are counted and logged. Deadlines tolerate delays of the node of up to 150 ms in total.
 pub const LONG_STEP_THRESHOLD: Duration = Duration::from_millis(50);
 
-/// The delays of the event loop so far.
+/// The event loop delays since the node started.
 #[derive(Default)]
 pub struct Responsiveness {
-    /// The longest step of the event loop: one poll of one task.
+    /// The longest step of the event loop. A step is one poll of one task.
     pub longest_step: MaxDuration,
-    /// Steps longer than [`LONG_STEP_THRESHOLD`].
+    /// The number of steps longer than [`LONG_STEP_THRESHOLD`].
     pub long_steps: Counter,
-    /// The longest time by which a timer of the dispatcher fired late.
+    /// The longest delay between the due time of a dispatcher timer and its firing.
     pub longest_timer_lag: MaxDuration,
 }
 
@@ -34,7 +33,8 @@
         }
     }
 
-    /// Logs the part of a step that started at `started` and has just ended, where it alone took long.
+    /// Logs a part of a step that started at `started` and has just ended, if it took longer than
+    /// [`LONG_STEP_THRESHOLD`] by itself.
     pub fn record_part(&self, part: &'static str, started: Instant) {
         let elapsed = started.elapsed();
         if elapsed > LONG_STEP_THRESHOLD {
--- a/crates/engine/src/tasks.rs
+++ b/crates/engine/src/tasks.rs
@@ -1,4 +1,7 @@
-//! The node's one executor, of one thread. Urgent tasks run before all others, but do not starve them.
+//! The node's single-threaded executor. Urgent tasks run before ordinary ones, but do not starve them.
+//!
+//! A step is one poll of one task. A round runs a few urgent steps and at most one ordinary step. A slice is
+//! a series of rounds, after which the sockets and timers of the system are polled.
 
 use crate::responsiveness::Responsiveness;
 use async_executor::{LocalExecutor, Task};
@@ -9,12 +12,12 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The most rounds before the system's sockets and timers are polled again...
+/// The most rounds in a slice.
 const MAX_ROUNDS_PER_SLICE: usize = 64;
-/// ...and the longest time, where steps take long: input and deadlines wait for that poll.
+/// A slice also ends after this time, because input and deadlines wait for the poll that follows it.
 const MAX_SLICE_DURATION: Duration = Duration::from_millis(2);
-/// The most urgent steps in a row while an ordinary task could run. Urgent work without end, such as timers
-/// that are always due, must not keep requests from their answers.
+/// The most urgent steps in a round. Endless urgent work, such as timers that are always due, must not
+/// prevent requests from being answered.
 const MAX_URGENT_STEPS_PER_ROUND: usize = 8;
 
 /// The tasks of one node.
@@ -23,28 +26,28 @@
     responsiveness: Rc<Responsiveness>,
     urgent: LocalExecutor<'static>,
     ordinary: LocalExecutor<'static>,
-    /// Notified when a task that waits in [`Tasks::yield_to_small_requests`] may go on.
+    /// Notified when a task that waits in [`Tasks::yield_to_small_requests`] may continue.
     yielded_tasks: Event,
 }
 
 impl Tasks {
-    /// An executor without tasks; it reports the time of each step to `responsiveness`.
+    /// Creates an executor without tasks that reports the duration of each step to `responsiveness`.
     pub fn new(responsiveness: Rc<Responsiveness>) -> Tasks {
         Tasks { responsiveness, ..Tasks::default() }
     }
 
-    /// Starts a task that runs to its end.
+    /// Starts an ordinary task that runs to its end.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.ordinary.spawn(task).detach();
     }
 
-    /// Starts a task that is cancelled when the returned handle is dropped.
+    /// Starts an ordinary task that is cancelled when the returned handle is dropped.
     pub fn spawn_cancellable(&self, task: impl Future<Output = ()> + 'static) -> Task<()> {
         self.ordinary.spawn(task)
     }
 
-    /// Starts a task that runs before all ordinary ones: the discovery watch, the dispatcher's timers,
-    /// signals and the admin listener.
+    /// Starts an urgent task that runs to its end. For the discovery watch, the dispatcher's timers, signals
+    /// and the admin listener.
     pub fn spawn_urgent(&self, task: impl Future<Output = ()> + 'static) {
         self.urgent.spawn(task).detach();
     }
@@ -54,24 +57,25 @@
         self.urgent.spawn(task)
     }
 
-    /// Waits until no other task can run, or until the slice ends: between the blocks of large bodies.
-    /// However many bodies are under way, a small job waits for one block at most.
+    /// Waits until no other task can run, or until a slice ends; one waiting task is resumed at a time.
+    /// Called between the blocks of large bodies, so that a small request waits for one block at most,
+    /// however many large bodies are being sent.
     pub async fn yield_to_small_requests(&self) {
         self.yielded_tasks.listen().await;
     }
 
-    /// Runs all tasks, for ever.
+    /// Runs all tasks. Never returns.
     pub async fn run(&self) -> Infallible {
         loop {
             self.run_slice().await;
-            // However much there is to do, large bodies go on, if slowly.
+            // Resumes one yielded task per slice, so that large bodies make progress under any load.
             self.yielded_tasks.notify_additional(1);
-            // Returns to the reactor, which polls the sockets and timers.
+            // Lets the reactor poll the sockets and timers.
             yield_now().await;
         }
     }
 
-    /// Runs tasks until the sockets and timers are to be polled again.
+    /// Runs tasks until the sockets and timers must be polled again.
     async fn run_slice(&self) {
         let slice_end = Instant::now() + MAX_SLICE_DURATION;
         for _ in 0..MAX_ROUNDS_PER_SLICE {
@@ -97,7 +101,7 @@
         }
     }
 
-    /// Polls one task that can run, if there is one.
+    /// Runs one step if a task can run; returns whether one could.
     fn run_step(&self, executor: &LocalExecutor<'_>) -> bool {
         let started = Instant::now();
         let ran = executor.try_tick();
@@ -107,7 +111,7 @@
         ran
     }
 
-    /// Waits until a task can run, and polls it.
+    /// Waits until a task can run, and runs one step of it.
     async fn wait_and_run_step(&self) {
         let mut step = pin!(or(self.urgent.tick(), self.ordinary.tick()));
         poll_fn(|context| {
