--- a/crates/engine/src/request_task.rs
+++ b/crates/engine/src/request_task.rs
@@ -275,7 +275,11 @@
             return;
         }
         let attempts = self.attempts.len();
-        warn!(id = %self.client_request_id(), attempts, "no answer by the deadline, request failed by its own task");
+        warn!(
+            id = %self.client_request_id(),
+            attempts,
+            "no answer by the deadline, request failed by its own task"
+        );
         self.context.counters.answered_by_deadline_guard.increment();
         self.answer(Answer::Failed);
         // Ends the request at the dispatcher too, which must not start further attempts.
