--- a/crates/engine/src/backoff.rs
+++ b/crates/engine/src/backoff.rs
@@ -38,14 +38,14 @@
     /// Starts with the initial bound. Equal seeds draw equal delays.
     ///
     /// `drain_grace`: how long requests may still be sent to a worker after the node was notified that it
-    /// drains. `implied_notice_delay`: a node is assumed to know a change this long after discovery published
+    /// drains. `max_list_staleness`: a node is assumed to know a change this long after discovery published
     /// it, or four times as long after a failed poll. A delay takes at most half of the latter; the rest is
     /// left for the poll.
-    pub fn new(seed: u64, drain_grace: Micros, implied_notice_delay: Micros) -> Backoff {
+    pub fn new(seed: u64, drain_grace: Micros, max_list_staleness: Micros) -> Backoff {
         Backoff {
             rng: fastrand::Rng::with_seed(seed),
             bound: INITIAL_BOUND,
-            max_bound: to_duration(implied_notice_delay).saturating_mul(2).clamp(INITIAL_BOUND, MAX_BOUND),
+            max_bound: to_duration(max_list_staleness).saturating_mul(2).clamp(INITIAL_BOUND, MAX_BOUND),
             drain_grace: to_duration(drain_grace).clamp(MIN_DRAIN_GRACE, MAX_DRAIN_GRACE),
         }
     }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -19,7 +19,7 @@
 use crate::worker_registry::WorkerRegistry;
 use async_channel::Receiver;
 use async_io::Timer;
-use sorrelhaven_body_store::{BodyStore, Disk, Permit as FilePermit};
+use sorrelhaven_body_store::{BodyStore, Disk, FilePermit};
 use sorrelhaven_config::{Config, DiscoveryList};
 use sorrelhaven_dispatcher::{Event, Idempotency, Lifecycle, WorkerId, WorkerListUpdate};
 use std::cell::RefCell;
@@ -95,7 +95,7 @@
             counters,
             request_admission,
             probes,
-            backoff: Backoff::new(config.seed, config.drain_grace, config.implied_notice_delay),
+            backoff: Backoff::new(config.seed, config.drain_grace, config.max_list_staleness),
             discovery_mode: discovery_mode(config),
         })
     }
@@ -211,5 +211,9 @@
 }
 
 fn discovery_mode(config: &Config) -> DiscoveryMode {
-    if config.settings.polls_discovery { DiscoveryMode::SharedService } else { DiscoveryMode::LocalAgent }
+    if config.settings.worker_list_needs_watch {
+        DiscoveryMode::SharedService
+    } else {
+        DiscoveryMode::LocalAgent
+    }
 }
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -5,7 +5,7 @@
 use crate::invariants::RequestChecks;
 use sorrelhaven_body_store::RequestBody;
 use sorrelhaven_dispatcher::{Micros, WorkerId};
-use sorrelhaven_wire::PeerProbe;
+use sorrelhaven_wire::PeerCloseDetector;
 use std::cell::Cell;
 use std::fmt::Write;
 use std::rc::Rc;
@@ -30,7 +30,7 @@
     /// The permit for a long body. It is released when the body is fully sent or the request is concluded.
     pub body_permit: Option<BodyPermit>,
     /// Detects that the client has closed its connection, even before the connection's task reads that far.
-    pub client_probe: Option<PeerProbe>,
+    pub client_probe: Option<PeerCloseDetector>,
     /// The request that is sent to workers.
     pub payload: RequestPayload,
 }
@@ -79,7 +79,7 @@
     /// Whether any attempt was written up to its last byte.
     pub fully_sent: Cell<bool>,
     /// Detects that the client has closed its connection.
-    pub client_probe: Option<PeerProbe>,
+    pub client_probe: Option<PeerCloseDetector>,
     /// The run-time checks of the request's invariants.
     pub checks: RequestChecks,
 }
@@ -88,7 +88,7 @@
     /// Whether the client has closed its connection and this has not been reported to the request, which is
     /// not concluded.
     pub fn has_unreported_disconnect(&self) -> bool {
-        !self.concluded.get() && self.client_probe.as_ref().is_some_and(PeerProbe::has_closed)
+        !self.concluded.get() && self.client_probe.as_ref().is_some_and(PeerCloseDetector::has_closed)
     }
 }
 
--- a/crates/engine/src/request_task.rs
+++ b/crates/engine/src/request_task.rs
@@ -210,7 +210,12 @@
     /// Reports the share of the job that is done, from 0 to 1, to the dispatcher.
     fn attempt_progress(&self, attempt: u32, share: f64) {
         if let Some(&RunningAttempt { worker, .. }) = self.attempts.get(&attempt) {
-            self.dispatch(Event::AttemptProgress { request: self.request.id, attempt, worker, share });
+            self.dispatch(Event::AttemptProgress {
+                request: self.request.id,
+                attempt,
+                worker,
+                completed_fraction: share,
+            });
         }
     }
 
--- a/crates/engine/src/tests/fixtures.rs
+++ b/crates/engine/src/tests/fixtures.rs
@@ -10,7 +10,7 @@
 use sorrelhaven_body_store::BodyEnd;
 use sorrelhaven_config::Config;
 use sorrelhaven_dispatcher::{Micros, WorkerId};
-use sorrelhaven_wire::PeerProbe;
+use sorrelhaven_wire::PeerCloseDetector;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -63,7 +63,7 @@
 }
 
 /// A job of the first class with this payload, whose client gives up at `deadline`.
-pub fn job(payload: RequestPayload, deadline: Micros, client_probe: Option<PeerProbe>) -> Job {
+pub fn job(payload: RequestPayload, deadline: Micros, client_probe: Option<PeerCloseDetector>) -> Job {
     Job {
         class: 0,
         deadline,
@@ -85,7 +85,8 @@
 
 /// The payload of a request `r1` with this body, stored in memory.
 pub fn payload(engine: &Rc<Engine>, target: &str, bytes: &[u8]) -> RequestPayload {
-    let mut writer = engine.bodies.begin(0, Some(bytes.len() as u64)).ok().expect("a body that is accepted");
+    let mut writer =
+        engine.bodies.begin_upload(0, Some(bytes.len() as u64)).ok().expect("a body that is accepted");
     let body = writer.body();
     let stored = async {
         writer.push(bytes).await?;
--- a/crates/frontend-http1/src/body_reader.rs
+++ b/crates/frontend-http1/src/body_reader.rs
@@ -3,7 +3,7 @@
 use crate::frontend::{Frontend, REQUEST_READ_TIMEOUT};
 use futures_lite::future::or;
 use sorrelhaven_body_store::{BLOCK_BYTES, BodyEnd, BodyWriter, StorageTier};
-use sorrelhaven_wire::{Body, Connection, WireError, timeout_at};
+use sorrelhaven_wire::{BodyDecoder, Connection, WireError, timeout_at};
 use std::time::{Duration, Instant};
 
 /// A body that is not stored is streamed to a worker once this much of it has arrived. Guards against clients
@@ -13,7 +13,7 @@
 /// A body that is being read.
 pub struct BodyReader {
     /// How the rest of the body is framed.
-    pub framing: Body,
+    pub framing: BodyDecoder,
     /// Receives the body.
     pub writer: BodyWriter,
     /// When the body's first byte could arrive. Moved back by the time for which the node itself delays the
@@ -83,11 +83,12 @@
     }
 
     fn is_ready_to_stream(&self) -> bool {
-        self.writer.received() >= MIN_STREAMED_BYTES && self.writer.body().tier() == StorageTier::NotStored
+        self.writer.received_bytes() >= MIN_STREAMED_BYTES
+            && self.writer.body().tier() == StorageTier::NotStored
     }
 
     async fn finish(self, connection: &mut Connection) {
-        connection.finish_exchange();
+        connection.shrink_buffer();
         self.writer.finish().await;
     }
 
@@ -105,7 +106,7 @@
         for block in chunk.chunks(BLOCK_BYTES) {
             self.write_block(connection, block).await?;
         }
-        if self.writer.received() >= BLOCK_BYTES as u64 {
+        if self.writer.received_bytes() >= BLOCK_BYTES as u64 {
             frontend.engine.tasks.yield_to_small_requests().await;
         }
         Ok(Transfer::More)
@@ -120,7 +121,7 @@
     ) -> Result<bool, BodyEnd> {
         let bodies = &frontend.engine.bodies;
         let upload_deadline =
-            bodies.upload_deadline(self.read_started_at, REQUEST_READ_TIMEOUT, self.writer.received());
+            bodies.upload_deadline(self.read_started_at, REQUEST_READ_TIMEOUT, self.writer.received_bytes());
         let deadline = upload_deadline.min(self.client_deadline);
         match timeout_at(deadline, connection.read_body_chunk(&mut self.framing, chunk)).await {
             None => Err(BodyEnd::TooSlow),
