--- a/crates/admin/tests/metrics_consistency.rs
+++ b/crates/admin/tests/metrics_consistency.rs
@@ -74,7 +74,7 @@
         affinity_key: 0,
         body_sendable: true,
         body_permit: None,
-        client_probe: None,
+        client_close_detector: None,
         payload: RequestPayload { id, method, target, headers, body },
     }
 }
--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -134,8 +134,8 @@
             match timeout_at(deadline, step).await.ok_or(AttemptEnd::ResponseTimeout)? {
                 ResponseStep::KeepAlive => {}
                 ResponseStep::Started => self.report(RequestMessage::AttemptStarted { attempt }),
-                ResponseStep::Progress(share) => {
-                    self.report(RequestMessage::AttemptProgress { attempt, share });
+                ResponseStep::Progress(completed_fraction) => {
+                    self.report(RequestMessage::AttemptProgress { attempt, completed_fraction });
                 }
                 ResponseStep::Ended(end) => {
                     self.report_end(end, response.load_report(&self.upstreams));
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -30,7 +30,7 @@
     /// The permit for a long body. It is released when the body is fully sent or the request is concluded.
     pub body_permit: Option<BodyPermit>,
     /// Detects that the client has closed its connection, even before the connection's task reads that far.
-    pub client_probe: Option<PeerCloseDetector>,
+    pub client_close_detector: Option<PeerCloseDetector>,
     /// The request that is sent to workers.
     pub payload: RequestPayload,
 }
@@ -79,7 +79,7 @@
     /// Whether any attempt was written up to its last byte.
     pub fully_sent: Cell<bool>,
     /// Detects that the client has closed its connection.
-    pub client_probe: Option<PeerCloseDetector>,
+    pub client_close_detector: Option<PeerCloseDetector>,
     /// The run-time checks of the request's invariants.
     pub checks: RequestChecks,
 }
@@ -88,7 +88,8 @@
     /// Whether the client has closed its connection and this has not been reported to the request, which is
     /// not concluded.
     pub fn has_unreported_disconnect(&self) -> bool {
-        !self.concluded.get() && self.client_probe.as_ref().is_some_and(PeerCloseDetector::has_closed)
+        !self.concluded.get()
+            && self.client_close_detector.as_ref().is_some_and(PeerCloseDetector::has_closed)
     }
 }
 
@@ -139,8 +140,8 @@
     AttemptProgress {
         /// The attempt's number within its request.
         attempt: u32,
-        /// The share of the job that is done, from 0 to 1.
-        share: f64,
+        /// The fraction of the job that is done, from 0 to 1.
+        completed_fraction: f64,
     },
     /// From an attempt: the last byte of a long body was written.
     RequestSent {
--- a/crates/engine/src/request_admission.rs
+++ b/crates/engine/src/request_admission.rs
@@ -84,7 +84,7 @@
 
     fn new_request(&self, id: RequestId, job: Job) -> NewRequest {
         let state = RequestState {
-            client_probe: job.client_probe,
+            client_close_detector: job.client_close_detector,
             checks: self.checks(job.class),
             ..RequestState::default()
         };
--- a/crates/engine/src/request_task.rs
+++ b/crates/engine/src/request_task.rs
@@ -135,7 +135,9 @@
             RequestMessage::Reject { retry_after } => self.answer(Answer::Rejected { retry_after }),
             RequestMessage::Fail => self.answer(Answer::Failed),
             RequestMessage::AttemptStarted { attempt } => self.attempt_started(attempt),
-            RequestMessage::AttemptProgress { attempt, share } => self.attempt_progress(attempt, share),
+            RequestMessage::AttemptProgress { attempt, completed_fraction } => {
+                self.attempt_progress(attempt, completed_fraction)
+            }
             RequestMessage::RequestSent { attempt } => self.request_sent(attempt),
             RequestMessage::BodyConsumed => self.dispatch(Event::BodyConsumed(self.request.id)),
             RequestMessage::AttemptEnded { attempt, end, load_report } => {
@@ -207,14 +209,14 @@
         }
     }
 
-    /// Reports the share of the job that is done, from 0 to 1, to the dispatcher.
-    fn attempt_progress(&self, attempt: u32, share: f64) {
+    /// Reports the fraction of the job that is done, from 0 to 1, to the dispatcher.
+    fn attempt_progress(&self, attempt: u32, completed_fraction: f64) {
         if let Some(&RunningAttempt { worker, .. }) = self.attempts.get(&attempt) {
             self.dispatch(Event::AttemptProgress {
                 request: self.request.id,
                 attempt,
                 worker,
-                completed_fraction: share,
+                completed_fraction,
             });
         }
     }
--- a/crates/engine/src/response_reader.rs
+++ b/crates/engine/src/response_reader.rs
@@ -17,7 +17,7 @@
 enum JobState {
     Started,
     Running {
-        /// The share of the job that is done, from 0 to 1.
+        /// The fraction of the job that is done, from 0 to 1.
         #[serde(default)]
         share: f64,
     },
@@ -48,7 +48,7 @@
     KeepAlive,
     /// The worker has started the job.
     Started,
-    /// The worker has done this share of the job, from 0 to 1.
+    /// The worker has done this fraction of the job, from 0 to 1.
     Progress(f64),
     /// The attempt ended in this way.
     Ended(AttemptEnd),
--- a/crates/engine/src/tests/fixtures.rs
+++ b/crates/engine/src/tests/fixtures.rs
@@ -63,7 +63,11 @@
 }
 
 /// A job of the first class with this payload, whose client gives up at `deadline`.
-pub fn job(payload: RequestPayload, deadline: Micros, client_probe: Option<PeerCloseDetector>) -> Job {
+pub fn job(
+    payload: RequestPayload,
+    deadline: Micros,
+    client_close_detector: Option<PeerCloseDetector>,
+) -> Job {
     Job {
         class: 0,
         deadline,
@@ -73,7 +77,7 @@
         affinity_key: 0,
         body_sendable: true,
         body_permit: None,
-        client_probe,
+        client_close_detector,
         payload,
     }
 }
--- a/crates/frontend-http1/src/request_draft.rs
+++ b/crates/frontend-http1/src/request_draft.rs
@@ -51,7 +51,7 @@
         body: RequestBody,
         body_sendable: bool,
         body_permit: Option<BodyPermit>,
-        client_probe: PeerCloseDetector,
+        client_close_detector: PeerCloseDetector,
     ) -> Job {
         Job {
             class: self.class,
@@ -62,7 +62,7 @@
             affinity_key: self.affinity_key,
             body_sendable,
             body_permit,
-            client_probe: Some(client_probe),
+            client_close_detector: Some(client_close_detector),
             payload: RequestPayload {
                 id: self.id,
                 method: self.method,
