--- a/crates/engine/src/attempt_end.rs
+++ b/crates/engine/src/attempt_end.rs
@@ -17,7 +17,7 @@
     Rejected,
     /// The worker reported that the job was killed.
     Killed,
-    /// The worker started to drain while the attempt was connecting; nothing was sent.
+    /// Once connected, the worker no longer accepted work according to the worker list; nothing was sent.
     Draining,
     /// The worker list has no address for the worker; nothing was sent.
     NoAddress,
--- a/crates/engine/src/invariants.rs
+++ b/crates/engine/src/invariants.rs
@@ -106,7 +106,7 @@
     pub client_disconnected_at: Option<Instant>,
     /// The attempt must not be sent at this time or later.
     pub send_by: Instant,
-    /// The drain of the worker, if it is draining.
+    /// Since when the worker has been draining, and its grace period; `None` if it is not draining.
     pub drain: Option<WorkerDrain>,
 }
 
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -151,7 +151,7 @@
     /// From an attempt: it has started to read a body that can be read only once, so no further attempt is
     /// possible.
     BodyConsumed,
-    /// From an attempt: it has ended.
+    /// From an attempt: how it ended. The last message of each attempt.
     AttemptEnded {
         /// The attempt's number within its request.
         attempt: u32,
--- a/crates/engine/src/request_task.rs
+++ b/crates/engine/src/request_task.rs
@@ -42,7 +42,7 @@
 enum Wakeup {
     /// The dispatcher, an attempt or the front end sent a message.
     Message(RequestMessage),
-    /// [`OVERDUE_ANSWER_DELAY`] has passed since the deadline.
+    /// [`OVERDUE_ANSWER_DELAY`] has passed since the request's deadline.
     Overdue,
 }
 
@@ -285,7 +285,7 @@
         warn!(
             id = %self.client_request_id(),
             attempts,
-            "no answer by the deadline, request failed by its own task"
+            "request not answered by its deadline; answering with a failure"
         );
         self.context.counters.answered_by_deadline_guard.increment();
         self.answer(Answer::Failed);
