--- a/crates/admin/src/caller.rs
+++ b/crates/admin/src/caller.rs
@@ -23,7 +23,7 @@
     let command = match timeout_at(read_deadline, read_command(&mut connection)).await {
         Some(Some(command)) => command,
         Some(None) => return,
-        None => Err(CommandError::TooSlow),
+        None => Err(CommandError::ReadTimeout),
     };
     debug!(line = ?command, "admin command");
     let reply = service.execute(command, Instant::now());
--- a/crates/admin/src/command.rs
+++ b/crates/admin/src/command.rs
@@ -25,7 +25,7 @@
     /// The command is not known.
     Unknown(String),
     /// Its end did not arrive in time.
-    TooSlow,
+    ReadTimeout,
 }
 
 impl fmt::Display for CommandError {
@@ -35,7 +35,7 @@
             CommandError::Unknown(line) => {
                 write!(formatter, "unknown call {line:?}; there are ready, show-stat, drain, resume, members")
             }
-            CommandError::TooSlow => formatter.write_str("the call did not come whole in time"),
+            CommandError::ReadTimeout => formatter.write_str("the call did not come whole in time"),
         }
     }
 }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -12,7 +12,7 @@
 mod service;
 
 pub use command::{AdminCommand, CommandError, CommandReader, MAX_LINE_BYTES};
-pub use eviction::{MAX_CALLERS, next_eviction_at};
+pub use eviction::{MAX_CONNECTIONS, next_eviction_at};
 pub use metrics::{ClassMetrics, Metric, MetricKind, Metrics};
 pub use server::{listen, serve};
 pub use service::AdminService;
--- a/crates/admin/tests/eviction.rs
+++ b/crates/admin/tests/eviction.rs
@@ -1,6 +1,6 @@
 //! Eviction of callers that wait without sending a command.
 
-use sorrelhaven_admin::{MAX_CALLERS, next_eviction_at};
+use sorrelhaven_admin::{MAX_CONNECTIONS, next_eviction_at};
 use std::time::{Duration, Instant};
 
 /// Hundreds of callers that send nothing delay the next one by less than a second, and each has its minimum
@@ -16,9 +16,9 @@
             accepted_at.remove(0);
         }
         accepted_at.push(now);
-        assert!(accepted_at.len() <= MAX_CALLERS);
+        assert!(accepted_at.len() <= MAX_CONNECTIONS);
     }
     assert!(now - start < Duration::from_secs(1), "{:?}", now - start);
-    accepted_at.truncate(MAX_CALLERS - 1);
+    accepted_at.truncate(MAX_CONNECTIONS - 1);
     assert_eq!(next_eviction_at(accepted_at.iter().copied()), None, "nobody is evicted while there is room");
 }
--- a/crates/frontend-http1/src/frontend.rs
+++ b/crates/frontend-http1/src/frontend.rs
@@ -113,7 +113,7 @@
     }
 
     /// How many downstream connections are open.
-    pub fn open_connections(&self) -> usize {
+    pub fn open_connection_count(&self) -> usize {
         self.connections.open()
     }
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -61,7 +61,7 @@
     }
 
     fn has_open_work(&self) -> bool {
-        self.frontend.open_connections() > 0 || self.engine.dispatcher_loop.registered_requests() > 0
+        self.frontend.open_connection_count() > 0 || self.engine.dispatcher_loop.registered_requests() > 0
     }
 
     /// Waits until no more connections are to be accepted. Clients still arrive for a while after the
