--- a/crates/dispatcher/tests/worker_health.rs
+++ b/crates/dispatcher/tests/worker_health.rs
@@ -102,7 +102,7 @@
 }
 
 /// Guards against the ejection of a worker whose response was lost on the way: since the job should have
-/// ended, the worker has served another one.
+/// ended, the worker has served another job.
 #[test]
 fn lost_response_does_not_eject_a_worker_that_served_since() {
     let ejected_where = |served_since: bool| {
