--- a/crates/body-store/tests/store.rs
+++ b/crates/body-store/tests/store.rs
@@ -68,11 +68,11 @@
 /// Waits until all files are deleted, which a thread of the pool does.
 fn wait_until_empty(disk: &FakeDisk) {
     let deadline = Instant::now() + Duration::from_secs(5);
-    while disk.files() > 0 {
+    while disk.file_count() > 0 {
         assert!(Instant::now() < deadline, "a file is not deleted within 5 s");
         std::thread::yield_now();
     }
-    assert_eq!(disk.used(), 0);
+    assert_eq!(disk.used_bytes(), 0);
 }
 
 fn metric(store: &BodyStore, name: &str) -> u64 {
@@ -194,7 +194,7 @@
     assert!(count(BodyEnd::InFile) >= 1, "at least one body is stored in a file");
     assert!(count(BodyEnd::Streamed) >= 1, "at least one body finds the disk full");
     assert_eq!(count(BodyEnd::InFile) + count(BodyEnd::Streamed), 12);
-    assert!(metric(&store, "not_stored_disk_full") >= 1 && disk.used() <= 2 * MIB);
+    assert!(metric(&store, "not_stored_disk_full") >= 1 && disk.used_bytes() <= 2 * MIB);
     for ((body, end), sent) in in_memory.into_iter().zip(small) {
         assert_eq!((end, block_on(read(body.reader()))), (BodyEnd::InMemory, Ok(sent)));
     }
@@ -208,7 +208,7 @@
 fn a_disk_that_hangs_is_disabled() {
     let disk = FakeDisk::new(64 * MIB);
     let store = store(&settings(tier(64 * KIB, MIB), tier(8 * MIB, 64 * MIB)), &disk);
-    disk.set(|faults| faults.hangs = true);
+    disk.update_faults(|faults| faults.writes_hang = true);
     let sent = sample_bytes(1_000_000, 3);
     let started_at = Instant::now();
     let writer = store.begin_upload(0, None).ok().expect("the body is not rejected");
@@ -220,7 +220,7 @@
     // While the disk is disabled, a new body is not assigned to it, and doesn't wait.
     let writer = store.begin_upload(0, Some(500_000)).ok().expect("the body is not rejected");
     assert_eq!(writer.body().tier(), StorageTier::NotStored);
-    disk.set(|faults| faults.hangs = false);
+    disk.update_faults(|faults| faults.writes_hang = false);
 }
 
 /// The checksum of each block read from a file is verified, so that no corrupt byte is returned.
@@ -228,7 +228,7 @@
 fn a_block_with_a_wrong_checksum_is_not_returned() {
     let disk = FakeDisk::new(64 * MIB);
     let store = store(&settings(tier(64 * KIB, MIB), tier(8 * MIB, 64 * MIB)), &disk);
-    disk.set(|faults| faults.forgets_after = Some(2));
+    disk.update_faults(|faults| faults.writes_lost_after = Some(2));
     let sent = sample_bytes(5 * BLOCK_BYTES, 9);
     let (body, end) = upload(&store, &sent);
     assert_eq!(end, BodyEnd::InFile);
@@ -243,7 +243,7 @@
     });
     assert_eq!(error, Err(BodyReadError::Corrupt));
     assert_eq!(out, sent[..2 * BLOCK_BYTES], "the blocks before the corrupt one are returned");
-    disk.set(|faults| faults.reads_fail = true);
+    disk.update_faults(|faults| faults.reads_fail = true);
     assert_eq!(block_on(read(body.reader())), Err(BodyReadError::Failed));
 }
 
@@ -258,7 +258,7 @@
     let body = writer.body();
     let end = block_on(async {
         writer.push(&sent[..300_000]).await?;
-        disk.set(|faults| faults.writes_fail = true);
+        disk.update_faults(|faults| faults.writes_fail = true);
         let (end, received) = zip(write(writer, &sent[300_000..], 9_999), read(body.reader())).await;
         assert_eq!(received, Ok(sent.clone()));
         end
@@ -276,7 +276,7 @@
     let store = store(&settings(tier(2 * MIB, 3 * MIB), tier(8 * MIB, 64 * MIB)), &disk);
     let sent = sample_bytes(1_500_000, 5);
     let (body, end) = upload(&store, &sent);
-    assert_eq!((end, disk.files()), (BodyEnd::InMemory, 0));
+    assert_eq!((end, disk.file_count()), (BodyEnd::InMemory, 0));
     block_on(or(store.clone().run_spiller(), async {
         let (mut reader, mut cancelled) = (body.reader(), body.reader());
         let mut out = Vec::new();
@@ -351,7 +351,7 @@
         for _ in 0..3 {
             writer.push(&sent).await.expect("the body is not rejected");
         }
-        assert_eq!((body.tier(), disk.files()), (StorageTier::NotStored, 0));
+        assert_eq!((body.tier(), disk.file_count()), (StorageTier::NotStored, 0));
         assert!(
             poll_once(writer.push(&sent)).await.is_none(),
             "the writer waits before a second unread block"
@@ -393,7 +393,7 @@
     let mut writer = store.begin_upload(0, Some(MIB)).ok().expect("the body is not rejected");
     let body = writer.body();
     block_on(writer.push(&sample_bytes(500_000, 1))).expect("the body is not rejected");
-    assert_eq!((disk.files(), store.usage().file_bytes), (1, 500_000));
+    assert_eq!((disk.file_count(), store.usage().file_bytes), (1, 500_000));
     assert_eq!(writer.end(BodyEnd::ClientDisconnected), BodyEnd::ClientDisconnected);
     assert_eq!(store.usage(), StorageUsage::default());
     assert_eq!(block_on(read(body.reader())), Err(BodyReadError::Ended(BodyEnd::ClientDisconnected)));
--- a/crates/node/benches/scrape.rs
+++ b/crates/node/benches/scrape.rs
@@ -138,7 +138,7 @@
         while Instant::now() < end {
             if phase == WITH_SCRAPES {
                 let begun = Instant::now();
-                let text = self.node.admin_call("show-stat");
+                let text = self.node.admin_command("show-stat");
                 assert!(text.ends_with("EOT\n"));
                 scrapes.push(Scrape { elapsed: begun.elapsed(), bytes: text.len() });
             }
--- a/crates/node/tests/crash.rs
+++ b/crates/node/tests/crash.rs
@@ -4,7 +4,8 @@
 //! `SORRELHAVEN_KILLS` sets how often it is killed (12 by default); the points come from a fixed seed.
 
 use sorrelhaven_test_support::{
-    AT_MOST_ONCE_CLASS, Checker, CheckerTotals, FakeWorkers, Program, ScratchDir, TestRequest, workers_config,
+    AT_MOST_ONCE_CLASS, DeliveryChecker, FakeWorkers, Program, RequestTotals, ScratchDir, TestRequest,
+    workers_config,
 };
 use std::path::PathBuf;
 use std::process::Command;
@@ -45,7 +46,7 @@
 #[derive(Default)]
 struct Clients {
     next_number: AtomicU64,
-    checker: Checker,
+    checker: DeliveryChecker,
 }
 
 impl Clients {
@@ -102,7 +103,7 @@
         let mut node = Program::start(command, &config, Some(&operator));
         let files = scratch.file_names("spool");
         assert_eq!(files, [OTHER_NODES_FILE], "a start removes the node's own files and no others");
-        files_removed += node.leftovers_removed();
+        files_removed += node.stale_files_removed();
         let stop = Arc::new(AtomicBool::new(false));
         let running = clients.spawn(&node.address, &stop);
         thread::sleep(kill_times.next());
@@ -115,7 +116,7 @@
     }
     let runs = workers.executed_requests();
     assert_eq!(clients.checker.violations(&runs), [""; 0]);
-    let CheckerTotals { requested, served } = clients.checker.totals();
+    let RequestTotals { requested, served } = clients.checker.totals();
     assert!(served as u64 > kills && runs.len() >= served);
     println!(
         "{kills} kills: {requested} requests sent, {} run, {served} served, none twice; \
--- a/crates/node/tests/faults.rs
+++ b/crates/node/tests/faults.rs
@@ -1,8 +1,8 @@
 //! System calls that fail as Linux documents, and wrong wall clocks: neither loses a request.
 
 use sorrelhaven_test_support::{
-    AT_MOST_ONCE_CLASS, Checker, FakeWorkers, FaultPlan, Program, ScratchDir, TestRequest, TestResponse,
-    WorkerBehavior, injected_faults, workers_config,
+    AT_MOST_ONCE_CLASS, DeliveryChecker, FakeWorkers, FaultPlan, Program, ScratchDir, TestRequest,
+    TestResponse, WorkerBehavior, injected_faults, workers_config,
 };
 use std::io;
 use std::net::TcpStream;
@@ -21,7 +21,7 @@
     /// The time between the opening of a connection and the request on it.
     pause: Duration,
     next_number: AtomicU64,
-    checker: Checker,
+    checker: DeliveryChecker,
 }
 
 impl Load {
@@ -57,7 +57,7 @@
 
 /// The outcome of a load.
 struct LoadResult {
-    checker: Checker,
+    checker: DeliveryChecker,
     /// How each request ended that was not served, a line each.
     unserved: Vec<String>,
 }
@@ -92,7 +92,7 @@
             count,
             pause,
             next_number: AtomicU64::new(0),
-            checker: Checker::default(),
+            checker: DeliveryChecker::default(),
         };
         let unserved = thread::scope(|scope| {
             let clients: Vec<_> = (0..CLIENT_COUNT).map(|_| scope.spawn(|| load.run_client())).collect();
@@ -102,7 +102,7 @@
     }
 
     /// Ends the node. Every fault of the plan must have been injected, and no delivery rule violated.
-    fn terminate(self, checker: &Checker) {
+    fn terminate(self, checker: &DeliveryChecker) {
         self.program.terminate();
         let injected_faults = injected_faults(&self.scratch);
         assert!(
--- a/crates/node/tests/large_fleet.rs
+++ b/crates/node/tests/large_fleet.rs
@@ -110,7 +110,7 @@
     request.work_hint_micros = Some(40_000);
     // One request in seven has the same affinity key, one in ten another one.
     let mut rng = fastrand::Rng::with_seed(number as u64);
-    request.affinity = Some(match rng.u8(0..100) {
+    request.affinity_key = Some(match rng.u8(0..100) {
         0..15 => "7d3e94f201".to_string(),
         15..25 => "6b22950b01".to_string(),
         _ => format!("{:010x}", rng.u32(0..500)),
--- a/crates/node/tests/members.rs
+++ b/crates/node/tests/members.rs
@@ -32,7 +32,8 @@
 impl Group {
     fn new(name: &str, seed: u64) -> Group {
         let alone = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
-        let proxy = FaultProxy::with_one_address_each(NODE_COUNT, seed).expect("the proxy has its sockets");
+        let proxy =
+            FaultProxy::with_address_per_process(NODE_COUNT, seed).expect("the proxy has its sockets");
         let mut group = Group {
             proxy,
             scratch: ScratchDir::new(name),
@@ -85,14 +86,14 @@
 
     /// The state of each node in the member table of `observer`, empty if it has none.
     fn states(&self, observer: usize) -> Vec<String> {
-        let table = self.node(observer).admin_call("members");
+        let table = self.node(observer).admin_command("members");
         let state_of = |member| latest_row(&table, member).map_or(String::new(), |row| row.state);
         (0..NODE_COUNT).map(state_of).collect()
     }
 
     /// The incarnation of `member` in the member table of `observer`.
     fn incarnation(&self, observer: usize, member: usize) -> u64 {
-        let table = self.node(observer).admin_call("members");
+        let table = self.node(observer).admin_command("members");
         latest_row(&table, member).expect("the member is known").incarnation
     }
 
--- a/crates/node/tests/operations/admin_calls.rs
+++ b/crates/node/tests/operations/admin_calls.rs
@@ -77,7 +77,7 @@
             })
             .collect();
         let begun = Instant::now();
-        let metrics = node.admin_call("show-stat");
+        let metrics = node.admin_command("show-stat");
         let elapsed = begun.elapsed();
         assert!(
             metrics.contains("node_passed{category=\"fee-charge\"}") && metrics.ends_with("\nEOT\n"),
@@ -103,12 +103,12 @@
     for piece in ["sh", "ow-st", "at", "\r\n"] {
         pieces.write_all(piece.as_bytes()).expect("the bytes are written");
         // Another caller in between does not disturb the line.
-        assert_eq!(node.admin_call("ready"), "SUCCESS serving\n");
+        assert_eq!(node.admin_command("ready"), "SUCCESS serving\n");
     }
     assert!(read_to_end(&mut pieces).ends_with("\nEOT\n"));
-    assert!(node.admin_call("help").starts_with("FAILURE unknown call \"help\"; there are ready,"));
-    assert!(node.admin_call("").starts_with("FAILURE unknown call \"\""));
-    assert!(node.admin_call(&"x".repeat(100_000)).starts_with("FAILURE a call holds at most 256 bytes"));
+    assert!(node.admin_command("help").starts_with("FAILURE unknown call \"help\"; there are ready,"));
+    assert!(node.admin_command("").starts_with("FAILURE unknown call \"\""));
+    assert!(node.admin_command(&"x".repeat(100_000)).starts_with("FAILURE a call holds at most 256 bytes"));
     let mut binary = connect_admin();
     binary.write_all(b"\xff\x00\xfe\n").expect("the bytes are written");
     assert!(read_to_end(&mut binary).starts_with("FAILURE unknown call"));
@@ -123,7 +123,7 @@
             caller
         })
         .collect();
-    assert_eq!(node.admin_call("ready"), "SUCCESS serving\n");
+    assert_eq!(node.admin_command("ready"), "SUCCESS serving\n");
     drop(unread);
     let mut gone = connect_admin();
     gone.shutdown(Shutdown::Both).expect("the socket can be set up");
--- a/crates/node/tests/operations/drain.rs
+++ b/crates/node/tests/operations/drain.rs
@@ -27,7 +27,7 @@
     let workers = FakeWorkers::new(1);
     workers.script(&[WorkerBehavior::Done, WorkerBehavior::DoneAfterMillis(4_500)]);
     let (node, _scratch) = start(&workers, "drain");
-    assert_eq!(node.admin_call("ready"), "SUCCESS serving\n");
+    assert_eq!(node.admin_command("ready"), "SUCCESS serving\n");
     assert!(probe_ready(&node).starts_with("HTTP/1.1 200 "));
     let mut idle = connect(&node);
     assert_eq!(request("idle").send_on(&mut idle).expect("the request is answered").status, 200);
@@ -43,9 +43,9 @@
     pieces.write_all(&text.as_bytes()[..40]).expect("the bytes are written");
 
     let begun = Instant::now();
-    assert_eq!(node.admin_call("drain"), "SUCCESS drained\n");
-    assert_eq!(node.admin_call("ready"), "FAILURE drained\n");
-    assert_eq!(node.admin_call("drain"), "SUCCESS drained already\n");
+    assert_eq!(node.admin_command("drain"), "SUCCESS drained\n");
+    assert_eq!(node.admin_command("ready"), "FAILURE drained\n");
+    assert_eq!(node.admin_command("drain"), "SUCCESS drained already\n");
     assert!(probe_ready(&node).starts_with("HTTP/1.1 503 "), "the probe fails at once");
     // A client that connects before the load balancer has seen the probe fail is served, and its connection
     // closed.
@@ -65,7 +65,7 @@
     assert!(ended >= Duration::from_secs(1) && ended < Duration::from_secs(2), "{ended:?}");
     assert_eq!(node.metric("node_in_progress"), 1, "the long job goes on");
 
-    assert_eq!(node.admin_call("resume"), "SUCCESS serving\n");
+    assert_eq!(node.admin_command("resume"), "SUCCESS serving\n");
     assert!(probe_ready(&node).starts_with("HTTP/1.1 200 "));
     let mut again = connect(&node);
     for id in ["again-1", "again-2"] {
@@ -85,7 +85,7 @@
     let mut served = connect(&node);
     assert_eq!(request("first").send_on(&mut served).expect("the request is answered").status, 200);
     let begun = Instant::now();
-    node.admin_call("drain");
+    node.admin_command("drain");
     // Late enough that the request's own time limit would end after the drain's.
     thread::sleep(Duration::from_millis(900));
     let (head, body) = (request("head").head(), request("body").head());
@@ -112,15 +112,15 @@
     while node.metric("node_in_progress") == 0 {
         thread::yield_now();
     }
-    node.admin_call("drain");
+    node.admin_command("drain");
     node.signal("HUP");
     node.wait_for_log_line("configuration reloaded");
-    assert_eq!(node.admin_call("ready"), "FAILURE drained\n");
+    assert_eq!(node.admin_command("ready"), "FAILURE drained\n");
     node.signal("TERM");
     node.wait_for_log_line("shutdown requested");
-    assert_eq!(node.admin_call("resume"), "FAILURE stopping\n");
-    assert_eq!(node.admin_call("drain"), "SUCCESS stopping, it empties for good\n");
-    assert_eq!(node.admin_call("ready"), "FAILURE stopping\n");
+    assert_eq!(node.admin_command("resume"), "FAILURE stopping\n");
+    assert_eq!(node.admin_command("drain"), "SUCCESS stopping, it empties for good\n");
+    assert_eq!(node.admin_command("ready"), "FAILURE stopping\n");
     assert_eq!(long.join().expect("the client ends").status, 200);
     assert!(node.child.wait().expect("the program ends").success());
 }
--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -1,7 +1,7 @@
 //! Upgrades: two processes of the program on one inherited listening socket.
 
 use sorrelhaven_test_support::{
-    AT_MOST_ONCE_CLASS, Checker, FakeWorkers, Program, ScratchDir, TestRequest, WorkerBehavior,
+    AT_MOST_ONCE_CLASS, DeliveryChecker, FakeWorkers, Program, ScratchDir, TestRequest, WorkerBehavior,
     open_listener, workers_config,
 };
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -44,7 +44,7 @@
     /// Starts a process, and checks that it is ready.
     fn start(&self) -> Program {
         let program = Program::start(self.command(), &self.config, None);
-        assert_eq!(program.admin_call("ready"), "SUCCESS serving\n");
+        assert_eq!(program.admin_command("ready"), "SUCCESS serving\n");
         program
     }
 }
@@ -77,7 +77,7 @@
     on_lost_answer: OnLostAnswer,
     stop: AtomicBool,
     answered: AtomicU64,
-    checker: Checker,
+    checker: DeliveryChecker,
 }
 
 impl LoadState {
@@ -129,7 +129,7 @@
             on_lost_answer,
             stop: AtomicBool::default(),
             answered: AtomicU64::default(),
-            checker: Checker::default(),
+            checker: DeliveryChecker::default(),
         });
         let spawn_client = |client: usize| {
             let shared = shared.clone();
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -3,7 +3,7 @@
 
 use crate::node_history::{Incarnation, NodeHistory};
 use fastrand::Rng;
-use sorrelhaven_test_support::{Checker, TestRequest, TestResponse};
+use sorrelhaven_test_support::{DeliveryChecker, TestRequest, TestResponse};
 use std::io::{self, ErrorKind, Write};
 use std::net::TcpStream;
 use std::sync::{Mutex, PoisonError};
@@ -23,7 +23,7 @@
 /// What all clients of a soak share.
 pub struct ClientRecords {
     /// What was sent and received.
-    pub checker: Checker,
+    pub checker: DeliveryChecker,
     /// Requests that were lost, a line each.
     pub lost: Mutex<Vec<String>>,
     /// When clients stop.
@@ -75,7 +75,7 @@
         request.work_hint_micros = Some(WORK_HINT_MICROS);
         // A fifth of the requests share one affinity key.
         let affinity = if rng.u8(0..5) == 0 { "popular".to_string() } else { rng.u32(..).to_string() };
-        request.affinity = Some(affinity);
+        request.affinity_key = Some(affinity);
         request
     }
 
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -100,7 +100,7 @@
             verdict.processes += 1;
             verdict.processes
         };
-        let system = &self.plan.systems[number];
+        let system = &self.plan.system_faults[number];
         let shim = FaultPlan {
             calls: system.calls.clone(),
             clock: format!("0:{}", system.clock_offset_ms),
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -104,7 +104,7 @@
     /// The faults, by time.
     pub timeline: Vec<TimedFault>,
     /// The system faults of each node.
-    pub systems: Vec<SystemFaults>,
+    pub system_faults: Vec<SystemFaults>,
 }
 
 /// Errors that pass, by call. Failures of `epoll_ctl` are not drawn: they are known to stop a node
@@ -157,8 +157,8 @@
             timeline.push(TimedFault { at: Duration::from_millis(at_ms), fault });
         }
         timeline.sort_by_key(|timed| timed.at);
-        let systems = (0..size.nodes).map(|_| draw_system_faults(&mut rng)).collect();
-        Plan { seed, size, timeline, systems }
+        let system_faults = (0..size.nodes).map(|_| draw_system_faults(&mut rng)).collect();
+        Plan { seed, size, timeline, system_faults }
     }
 }
 
@@ -207,7 +207,7 @@
 impl fmt::Display for Plan {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(formatter, "soak of seed {}: {:?}", self.seed, self.size)?;
-        for (node, system) in self.systems.iter().enumerate() {
+        for (node, system) in self.system_faults.iter().enumerate() {
             if !system.calls.is_empty() {
                 writeln!(formatter, "  node {node}: {} clock {} ms", system.calls, system.clock_offset_ms)?;
             }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -5,7 +5,7 @@
 use crate::plan::Plan;
 use crate::verdict::Verdict;
 use fastrand::Rng;
-use sorrelhaven_test_support::Checker;
+use sorrelhaven_test_support::DeliveryChecker;
 use std::path::Path;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread::{self, JoinHandle};
@@ -22,7 +22,7 @@
     let mut fleet = Fleet::start(program, plan, &environment);
     let begun = Instant::now();
     let records = Arc::new(ClientRecords {
-        checker: Checker::default(),
+        checker: DeliveryChecker::default(),
         lost: Mutex::default(),
         until: begun + plan.size.duration,
     });
--- a/crates/test-support/src/checker.rs
+++ b/crates/test-support/src/checker.rs
@@ -20,7 +20,7 @@
 
 /// How many requests clients have made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CheckerTotals {
+pub struct RequestTotals {
     /// Requests that were sent.
     pub requested: usize,
     /// Requests that were answered with 200.
@@ -30,12 +30,12 @@
 /// Records what clients send and receive, from any number of threads, and finds violations of the delivery
 /// rules.
 #[derive(Default)]
-pub struct Checker {
+pub struct DeliveryChecker {
     /// By request id.
     records: Mutex<BTreeMap<String, ClientRecord>>,
 }
 
-impl Checker {
+impl DeliveryChecker {
     fn records(&self) -> MutexGuard<'_, BTreeMap<String, ClientRecord>> {
         self.records.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -59,10 +59,10 @@
     }
 
     /// The requests recorded so far.
-    pub fn totals(&self) -> CheckerTotals {
+    pub fn totals(&self) -> RequestTotals {
         let records = self.records();
         let served = records.values().filter(|record| record.statuses.contains(&200)).count();
-        CheckerTotals { requested: records.len(), served }
+        RequestTotals { requested: records.len(), served }
     }
 
     /// Each violation of a delivery rule, a line each: a run without a request, or with another body; an
@@ -116,7 +116,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{AT_MOST_ONCE_CLASS, Checker};
+    use super::{AT_MOST_ONCE_CLASS, DeliveryChecker};
     use crate::client::TestRequest;
     use crate::fake_workers::{ExecutedRequest, checksum};
 
@@ -130,7 +130,7 @@
             body_checksum: checksum(body),
         };
         let case = |statuses: &[u16], executed: &[ExecutedRequest]| {
-            let checker = Checker::default();
+            let checker = DeliveryChecker::default();
             checker.record_request(&TestRequest::new("q", AT_MOST_ONCE_CLASS, b"body".to_vec()));
             statuses.iter().for_each(|status| checker.record_response("q", *status));
             checker.violations(executed)
--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -24,7 +24,7 @@
     /// The client's estimate of the work, in microseconds.
     pub work_hint_micros: Option<u64>,
     /// The affinity key.
-    pub affinity: Option<String>,
+    pub affinity_key: Option<String>,
     /// The body.
     pub body: Vec<u8>,
     /// Whether the body is sent in chunks, without its length in the head.
@@ -41,7 +41,7 @@
             class: class.to_string(),
             timeout: DEFAULT_REQUEST_TIMEOUT,
             work_hint_micros: None,
-            affinity: None,
+            affinity_key: None,
             body,
             chunked: false,
             expect_continue: false,
@@ -59,7 +59,7 @@
         if let Some(hint) = self.work_hint_micros {
             head += &format!("Work-Hint: {hint}\r\n");
         }
-        if let Some(key) = &self.affinity {
+        if let Some(key) = &self.affinity_key {
             head += &format!("Affinity-Key: {key}\r\n");
         }
         if self.expect_continue {
--- a/crates/test-support/src/fake_disk.rs
+++ b/crates/test-support/src/fake_disk.rs
@@ -18,9 +18,9 @@
     /// Every read fails with EIO.
     pub reads_fail: bool,
     /// Every write blocks until this is unset.
-    pub hangs: bool,
+    pub writes_hang: bool,
     /// Writes after this many report success and are lost: zeros are read back.
-    pub forgets_after: Option<u64>,
+    pub writes_lost_after: Option<u64>,
 }
 
 #[derive(Default)]
@@ -56,23 +56,23 @@
     }
 
     /// Changes how the disk behaves from now on; writes that hang go on if they no longer have to.
-    pub fn set(&self, change: impl FnOnce(&mut DiskFaults)) {
+    pub fn update_faults(&self, change: impl FnOnce(&mut DiskFaults)) {
         change(&mut self.state().faults);
         self.shared.faults_changed.notify_all();
     }
 
     /// The bytes that its files hold.
-    pub fn used(&self) -> u64 {
+    pub fn used_bytes(&self) -> u64 {
         self.state().used_bytes
     }
 
     /// The number of its files.
-    pub fn files(&self) -> usize {
+    pub fn file_count(&self) -> usize {
         self.state().files
     }
 
     /// The number of writes that were begun.
-    pub fn writes(&self) -> u64 {
+    pub fn write_count(&self) -> u64 {
         self.state().writes
     }
 }
@@ -106,7 +106,7 @@
         state.writes += 1;
         let write_number = state.writes;
         let changed = &self.disk.shared.faults_changed;
-        let state = changed.wait_while(state, |state| state.faults.hangs);
+        let state = changed.wait_while(state, |state| state.faults.writes_hang);
         (state.unwrap_or_else(PoisonError::into_inner), write_number)
     }
 }
@@ -127,7 +127,7 @@
         if content.len() < end {
             content.resize(end, 0);
         }
-        if state.faults.forgets_after.is_none_or(|after| write_number <= after) {
+        if state.faults.writes_lost_after.is_none_or(|after| write_number <= after) {
             content[start..end].copy_from_slice(&bytes[..fitting]);
         }
         if granted < growth { Err(io::Error::from_raw_os_error(ENOSPC)) } else { Ok(()) }
--- a/crates/test-support/src/fault_proxy.rs
+++ b/crates/test-support/src/fault_proxy.rs
@@ -161,7 +161,7 @@
     ///
     /// # Errors
     /// Those of the socket calls.
-    pub fn with_one_address_each(process_count: usize, seed: u64) -> io::Result<FaultProxy> {
+    pub fn with_address_per_process(process_count: usize, seed: u64) -> io::Result<FaultProxy> {
         FaultProxy::start(process_count, seed, Addressing::PerProcess)
     }
 
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -21,7 +21,7 @@
 mod stalled_listener;
 
 pub use cases::check_cases;
-pub use checker::{AT_MOST_ONCE_CLASS, Checker, CheckerTotals};
+pub use checker::{AT_MOST_ONCE_CLASS, DeliveryChecker, RequestTotals};
 pub use chunked::{CHUNKED_RESPONSE_HEAD, begin_chunked_response, chunk, read_request_target, send_chunk};
 pub use client::{TestRequest, TestResponse};
 pub use cpu_share::{CpuShare, cpu_time};
--- a/crates/test-support/src/program.rs
+++ b/crates/test-support/src/program.rs
@@ -96,18 +96,18 @@
     }
 
     /// The number of files of earlier processes that the program removed at its start.
-    pub fn leftovers_removed(&self) -> u64 {
+    pub fn stale_files_removed(&self) -> u64 {
         let removed = self.startup_log.iter().find_map(|line| line.split("swept=").nth(1));
         removed.and_then(|count| count.trim().parse().ok()).unwrap_or(0)
     }
 
-    /// Sends `call` to the admin listener and returns its answer.
+    /// Sends `command` to the admin listener and returns its answer.
     ///
     /// # Panics
     /// If no answer comes within 20 s.
-    pub fn admin_call(&self, call: &str) -> String {
+    pub fn admin_command(&self, command: &str) -> String {
         let mut stream = TcpStream::connect(&self.admin_address).expect("the admin listener accepts");
-        stream.write_all(format!("{call}\n").as_bytes()).expect("the admin listener reads");
+        stream.write_all(format!("{command}\n").as_bytes()).expect("the admin listener reads");
         stream.set_read_timeout(Some(ADMIN_CALL_TIMEOUT)).expect("the socket takes a time limit");
         let mut answer = String::new();
         stream.read_to_string(&mut answer).expect("the admin listener answers");
@@ -119,7 +119,7 @@
     /// # Panics
     /// If the admin listener does not answer, or the value is not an integer.
     pub fn metric(&self, name: &str) -> u64 {
-        let metrics = self.admin_call("show-stat");
+        let metrics = self.admin_command("show-stat");
         let value_of = |line: &str| {
             let (key, value) = line.rsplit_once(' ')?;
             let has_name = key.split('{').next() == Some(name);
