--- a/crates/node/tests/crash.rs
+++ b/crates/node/tests/crash.rs
@@ -103,7 +103,7 @@
         let mut node = Program::start(command, &config, Some(&operator));
         let files = scratch.file_names("spool");
         assert_eq!(files, [OTHER_NODES_FILE], "a start removes the node's own files and no others");
-        files_removed += node.stale_files_removed();
+        files_removed += node.leftover_files_deleted();
         let stop = Arc::new(AtomicBool::new(false));
         let running = clients.spawn(&node.address, &stop);
         thread::sleep(kill_times.next());
--- a/crates/test-support/src/program.rs
+++ b/crates/test-support/src/program.rs
@@ -96,7 +96,7 @@
     }
 
     /// The number of files of earlier processes that the program removed at its start.
-    pub fn stale_files_removed(&self) -> u64 {
+    pub fn leftover_files_deleted(&self) -> u64 {
         let removed = self.startup_log.iter().find_map(|line| line.split("swept=").nth(1));
         removed.and_then(|count| count.trim().parse().ok()).unwrap_or(0)
     }
