--- a/crates/test-support/src/cases.rs
+++ b/crates/test-support/src/cases.rs
@@ -1,15 +1,15 @@
-//! Property tests that check the same random cases at every run.
+//! Property tests that check the same random cases in each run.
 
 use proptest::prelude::{Strategy, TestCaseError};
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// Seed of the case generator, so that a failure reproduces.
+/// Fixed seed of the case generator: a failure occurs again in the next run.
 const CASE_SEED: [u8; 32] = [7; 32];
 
-/// Checks a property on `cases` cases drawn from a fixed seed.
+/// Checks the property `test` on `cases` values that `strategy` generates from a fixed seed.
 ///
 /// # Panics
-/// With the smallest failing case that shrinking finds, if the property does not hold.
+/// If the property does not hold; the message shows the smallest failing case that shrinking found.
 pub fn check_cases<S: Strategy>(
     cases: u32,
     strategy: S,
--- a/crates/test-support/src/checker.rs
+++ b/crates/test-support/src/checker.rs
@@ -1,33 +1,34 @@
-//! Compares what clients sent and received with what workers executed.
+//! Checks the delivery rules: compares what clients sent and received with what workers executed.
 
 use crate::client::TestRequest;
 use crate::fake_workers::{ExecutedRequest, checksum};
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// The class, in the files of [`workers_config`](crate::workers_config), whose jobs must not run twice.
+/// The at-most-once class in the configuration of [`workers_config`](crate::workers_config): its jobs must
+/// not run twice.
 pub const AT_MOST_ONCE_CLASS: &str = "fee-charge";
 
-/// A request as its client sees it.
+/// What a client sent in one request, and the answers to it.
 #[derive(Debug)]
 struct ClientRecord {
     at_most_once: bool,
     body_length: usize,
     body_checksum: u64,
-    /// The status of each answer that its client received.
+    /// The status code of each answer that the client received.
     statuses: Vec<u16>,
 }
 
-/// How many requests clients have made.
+/// Numbers of recorded requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestTotals {
-    /// Requests that were sent.
+    /// Requests that clients sent or were about to send.
     pub requested: usize,
-    /// Requests that were answered with 200.
+    /// Requests that were answered with status 200.
     pub served: usize,
 }
 
-/// Records what clients send and receive, from any number of threads, and finds violations of the delivery
+/// Records what clients send and receive, on any number of threads, and finds violations of the delivery
 /// rules.
 #[derive(Default)]
 pub struct DeliveryChecker {
@@ -40,7 +41,7 @@
         self.records.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records a request; to be called before its first byte is sent.
+    /// Records a request. Must be called before its first byte is sent: from then on a worker may execute it.
     pub fn record_request(&self, request: &TestRequest) {
         let record = ClientRecord {
             at_most_once: request.class == AT_MOST_ONCE_CLASS,
@@ -51,23 +52,24 @@
         self.records().insert(request.id.clone(), record);
     }
 
-    /// Records that a client has received this status for the request with this id.
+    /// Records that the client of the recorded request `id` received an answer with this status code.
     pub fn record_response(&self, id: &str, status: u16) {
         if let Some(record) = self.records().get_mut(id) {
             record.statuses.push(status);
         }
     }
 
-    /// The requests recorded so far.
+    /// Counts the requests recorded so far.
     pub fn totals(&self) -> RequestTotals {
         let records = self.records();
         let served = records.values().filter(|record| record.statuses.contains(&200)).count();
         RequestTotals { requested: records.len(), served }
     }
 
-    /// Each violation of a delivery rule, a line each: a run without a request, or with another body; an
-    /// at-most-once job that ran twice, or ran and was rejected; a request with two answers, or served
-    /// without a run.
+    /// Compares the recorded requests with the executions, and returns one line for each violation:
+    /// - an execution without a request, or with another body than was sent;
+    /// - an at-most-once request that ran more than once, or that ran and was answered with 429 or 503;
+    /// - a request with more than one answer, or answered with 200 without an execution.
     pub fn violations(&self, executed: &[ExecutedRequest]) -> Vec<String> {
         let records = self.records();
         let mut violations = Vec::new();
@@ -84,7 +86,7 @@
     }
 }
 
-/// The rule that a single run violates, if any; `record` is that of its request.
+/// The violation of a single execution, if any; `record` is that of its request, if there is one.
 fn run_violation(run: &ExecutedRequest, record: Option<&ClientRecord>) -> Option<String> {
     let Some(record) = record else {
         return Some(format!("{} ran without a request", run.id));
@@ -96,7 +98,7 @@
 }
 
 impl ClientRecord {
-    /// Adds the rules that a request violates which workers ran `runs` times.
+    /// Adds the violations of this request, which workers ran `runs` times.
     fn add_violations(&self, id: &str, runs: usize, violations: &mut Vec<String>) {
         if self.at_most_once && runs > 1 {
             violations.push(format!("{id} must not run twice and ran {runs} times"));
@@ -120,7 +122,7 @@
     use crate::client::TestRequest;
     use crate::fake_workers::{ExecutedRequest, checksum};
 
-    /// A checker that finds nothing proves nothing: each rule, broken once.
+    /// Guards against a checker that overlooks violations: each rule is violated once.
     #[test]
     fn every_violated_rule_is_found() {
         let run = |id: &str, body: &[u8]| ExecutedRequest {
@@ -137,7 +139,11 @@
         };
         let ran = run("q", b"body");
         assert_eq!(case(&[200], std::slice::from_ref(&ran)), [""; 0]);
-        assert_eq!(case(&[502], std::slice::from_ref(&ran)), [""; 0], "a plain failure may have run");
+        assert_eq!(
+            case(&[502], std::slice::from_ref(&ran)),
+            [""; 0],
+            "a request answered with 502 may have run"
+        );
         assert_eq!(case(&[503], &[]), [""; 0]);
         assert_eq!(case(&[200], &[ran.clone(), ran.clone()]), ["q must not run twice and ran 2 times"]);
         assert_eq!(case(&[200], &[run("q", b"bo")]), ["q ran with another body, 2 bytes"]);
--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -1,40 +1,40 @@
-//! A scripted client: sends one request and reads its answer.
+//! An HTTP client that sends one request and reads the response.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The timeout that a request states if the test does not say otherwise.
+/// `Request-Timeout` of a request, unless the test sets another.
 const DEFAULT_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// For so long after the stated timeout the client still waits, so that a late answer shows as late and not
-/// as lost.
+/// The client waits this much longer than the request's timeout, so that a late answer is recorded as late,
+/// not as lost.
 const READ_GRACE: Duration = Duration::from_secs(5);
-/// Length of the chunks in which a chunked body is sent.
+/// Length of each chunk of a chunked body; the last may be shorter.
 const BODY_CHUNK_BYTES: usize = 10_000;
 
-/// A request, and how it is sent.
+/// A request and the way in which it is sent.
 #[derive(Clone, Debug)]
 pub struct TestRequest {
-    /// The request id, from which the idempotency key is made.
+    /// `Request-Id`; the idempotency key is `k-` and this id.
     pub id: String,
-    /// The request class.
+    /// `Request-Class`, the name of the request class.
     pub class: String,
-    /// The time that the client states in which it needs the answer.
+    /// `Request-Timeout`: the time within which the client needs the answer.
     pub timeout: Duration,
-    /// The client's estimate of the work, in microseconds.
+    /// `Work-Hint`: the client's estimate of the work, in microseconds; the header is omitted if `None`.
     pub work_hint_micros: Option<u64>,
-    /// The affinity key.
+    /// `Affinity-Key`; the header is omitted if `None`.
     pub affinity_key: Option<String>,
-    /// The body.
+    /// The bytes of the request body.
     pub body: Vec<u8>,
-    /// Whether the body is sent in chunks, without its length in the head.
+    /// Whether the body is sent with `Transfer-Encoding: chunked` instead of `Content-Length`.
     pub chunked: bool,
-    /// Whether the client sends `Expect: 100-continue` and waits for 100 before it sends the body.
+    /// Whether the client sends `Expect: 100-continue` and waits for status 100 before it sends the body.
     pub expect_continue: bool,
 }
 
 impl TestRequest {
-    /// A request that states its length and a timeout of 5 s.
+    /// Creates a request with `Content-Length` and a timeout of 5 s, without the optional headers.
     pub fn new(id: &str, class: &str, body: Vec<u8>) -> TestRequest {
         TestRequest {
             id: id.to_string(),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The request's head, with the blank line that ends it.
+    /// The request line and the headers, with the blank line that ends them.
     pub fn head(&self) -> String {
         let id = &self.id;
         let class = &self.class;
@@ -72,21 +72,21 @@
         }
     }
 
-    /// Sends the request on a new connection and reads the answer.
+    /// Sends the request on a new connection and reads the response.
     ///
     /// # Errors
-    /// Those of the connection, if it ends without an answer.
+    /// Those of the connection, if it fails or ends before the whole response is read.
     pub fn send(&self, address: &str) -> io::Result<TestResponse> {
         let mut stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
         self.send_on(&mut stream)
     }
 
-    /// Sends the request on an open connection and reads the answer. With `Expect: 100-continue`, a final
-    /// answer in place of 100 is returned and the body is not sent.
+    /// Sends the request on an open connection and reads the response. With `Expect: 100-continue`, a final
+    /// response instead of status 100 is returned and the body is not sent.
     ///
     /// # Errors
-    /// Those of the connection, if it ends without an answer.
+    /// Those of the connection, if it fails or ends before the whole response is read.
     pub fn send_on(&self, stream: &mut TcpStream) -> io::Result<TestResponse> {
         let sent_at = Instant::now();
         stream.set_read_timeout(Some(self.timeout + READ_GRACE))?;
@@ -100,14 +100,15 @@
         self.send_body_and_read(stream, sent_at)
     }
 
-    /// Writes the body while it reads the answer: one that comes before the body is written would be lost to
-    /// the reset of the connection if the client read only afterwards.
+    /// Writes the body and reads the response at the same time. The node may respond before it has read the
+    /// whole body and close the connection; the reset that follows would discard a response that is still
+    /// unread.
     fn send_body_and_read(&self, stream: &mut TcpStream, sent_at: Instant) -> io::Result<TestResponse> {
         let mut body_stream = stream.try_clone()?;
         std::thread::scope(|scope| {
             let writer = scope.spawn(move || self.write_body(&mut body_stream));
             let response = TestResponse::read(stream, sent_at);
-            // Nobody reads the rest of the body after the answer.
+            // The node no longer reads the body after a response or an error: end the writer if it blocks.
             if response.is_err() || !writer.is_finished() {
                 let _ = stream.shutdown(Shutdown::Both);
             }
@@ -129,26 +130,26 @@
     }
 }
 
-/// An answer as a client receives it.
+/// The HTTP response that a client received.
 #[derive(Clone, Debug)]
 pub struct TestResponse {
-    /// The status.
+    /// The HTTP status code.
     pub status: u16,
     /// `Retry-After`, in seconds.
     pub retry_after: Option<f64>,
-    /// Whether the connection ends with this answer.
+    /// Whether the response says `Connection: close`.
     pub connection_close: bool,
-    /// The body.
+    /// The response body; bytes that are not UTF-8 are replaced.
     pub body: String,
-    /// The time since the request's first byte was sent.
+    /// The time from the first byte sent to the last byte received.
     pub elapsed: Duration,
 }
 
 impl TestResponse {
-    /// Reads one answer to a request whose first byte was sent at `sent_at`.
+    /// Reads the response to a request whose first byte was sent at `sent_at`.
     ///
     /// # Errors
-    /// Those of the connection, and `InvalidData` if the head has no status.
+    /// Those of the connection, and `InvalidData` if the status line has no valid status code.
     pub fn read(stream: &mut TcpStream, sent_at: Instant) -> io::Result<TestResponse> {
         let head = read_head(stream)?;
         let header = |name: &str| head.lines().find_map(|line| line.strip_prefix(name)).map(str::trim);
@@ -167,7 +168,7 @@
     }
 }
 
-/// Reads up to the blank line that ends a head.
+/// Reads up to the blank line that ends a response head, inclusive.
 fn read_head(stream: &mut TcpStream) -> io::Result<String> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
--- a/crates/test-support/src/cpu_share.rs
+++ b/crates/test-support/src/cpu_share.rs
@@ -1,4 +1,4 @@
-//! Limits a process under test to a share of one processor core.
+//! Limits the processor time of a process under test to a share of one core.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::sync::Arc;
@@ -6,20 +6,20 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The share holds over spans of this length; unused time is not carried over.
+/// The limit applies to periods of this length; time unused in one is not added to the next.
 const PERIOD: Duration = Duration::from_millis(25);
-/// How often the processor time of the running process is read.
+/// Interval at which the processor time of the process is read.
 const SAMPLE_INTERVAL: Duration = Duration::from_micros(250);
 
-/// Limits a process to a share of one core, as on a machine that many share: the process is stopped with
-/// SIGSTOP whenever it has used more. Dropping this lifts the limit.
+/// Limits a process to a share of one core, as on a machine that many processes share: the process is stopped
+/// with SIGSTOP while it is over its share. The limit ends when this is dropped.
 pub struct CpuShare {
     lifted: Arc<AtomicBool>,
     limiter: Option<thread::JoinHandle<()>>,
 }
 
 impl CpuShare {
-    /// Limits the process `process_id` to `share` of a core, from 0 to 1.
+    /// Limits the process `process_id` to the fraction `share` of one core, above 0 and at most 1.
     pub fn limit(process_id: u32, share: f64) -> CpuShare {
         let lifted = Arc::new(AtomicBool::new(false));
         let limiter_lifted = lifted.clone();
@@ -59,7 +59,7 @@
     let _ = kill_process(pid, Signal::CONT);
 }
 
-/// The processor time that all live threads of a process have used so far; zero if there is no such process.
+/// The processor time that the live threads of a process have used so far; zero if there is no such process.
 pub fn cpu_time(process_id: u32) -> Duration {
     let threads = std::fs::read_dir(format!("/proc/{process_id}/task")).into_iter().flatten().flatten();
     let thread_nanoseconds = |thread: std::fs::DirEntry| {
--- a/crates/test-support/src/fake_discovery.rs
+++ b/crates/test-support/src/fake_discovery.rs
@@ -1,4 +1,4 @@
-//! A fake discovery service: streams versions of the worker list to every node that watches it.
+//! A fake discovery service: streams updates of the worker list to each node that watches it.
 
 use crate::chunked::{CHUNKED_RESPONSE_HEAD, chunk};
 use crate::listener::open_listener;
@@ -7,24 +7,24 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often a watch is asked for what to send.
+/// Interval at which the next step of each watch is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// A watch without updates carries an empty line after this time.
+/// A watch that has sent nothing for this long sends an empty line.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What one watch sends next.
+/// The next action of one watch.
 pub enum WatchStep {
-    /// These updates, each a line of JSON that ends with a line feed; with none, an empty line when one is
-    /// due.
+    /// Sends these updates, each a line of JSON that ends with a line feed. Without updates, sends an empty
+    /// line if nothing was sent for a second.
     Send(Vec<String>),
-    /// Nothing at all, not even the head of the response if it has not been sent.
+    /// Sends nothing: no empty line either, nor the head of the response if it was not sent before.
     StaySilent,
     /// Closes the connection.
     Close,
 }
 
-/// Serves watches on loopback until the process ends, and returns the address. `new_watch` is called once for
-/// each request that arrives, and what it returns is polled for that watch's next step.
+/// Serves watches on loopback until the process ends, and returns the address. Calls `new_watch` once for
+/// each request, and polls the returned function for the next step of that watch.
 ///
 /// # Panics
 /// If the listener can't be opened.
@@ -42,10 +42,10 @@
     address
 }
 
-/// One version of the worker list in discovery's format: all entries if `whole`, or only those that have
-/// changed.
-pub fn worker_list(version: u64, whole: bool, entries: &[String]) -> String {
-    format!(r#"{{"seq":{version},"whole":{whole},"hosts":[{}]}}"#, entries.join(","))
+/// One version of the worker list in discovery's format: all `entries` if `is_full`, otherwise only the
+/// changed ones.
+pub fn worker_list(version: u64, is_full: bool, entries: &[String]) -> String {
+    format!(r#"{{"seq":{version},"whole":{is_full},"hosts":[{}]}}"#, entries.join(","))
 }
 
 fn serve_watch<Watch: FnMut() -> WatchStep>(mut stream: TcpStream, new_watch: impl Fn() -> Watch) {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Reads up to the blank line that ends a request head; false if the connection ends before it.
+/// Reads up to the blank line that ends a request head. Returns false if the connection ends before it.
 fn skip_request_head(stream: &mut TcpStream) -> bool {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
--- a/crates/test-support/src/fake_disk.rs
+++ b/crates/test-support/src/fake_disk.rs
@@ -1,25 +1,27 @@
-//! A disk in memory that fills up, fails, hangs or loses what was written.
+//! A simulated disk, kept in memory, that fills up, fails, hangs or loses writes.
 
 use sorrelhaven_body_store::{Disk, DiskFile};
 use std::io;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 
-/// Linux error numbers, which `io::Error` takes as they are.
+/// Linux error numbers, as `io::Error::from_raw_os_error` takes them.
 const EIO: i32 = 5;
 const ENOSPC: i32 = 28;
 
-/// How a [`FakeDisk`] behaves.
+/// The size and the faults of a [`FakeDisk`].
 #[derive(Clone, Debug, Default)]
 pub struct DiskFaults {
-    /// Its size in bytes; a write beyond it is cut short there, as a real disk may do.
+    /// The size of the disk in bytes. A write beyond it stores what fits and fails with ENOSPC, as on a real
+    /// disk.
     pub capacity: u64,
     /// Every write fails with EIO.
     pub writes_fail: bool,
     /// Every read fails with EIO.
     pub reads_fail: bool,
-    /// Every write blocks until this is unset.
+    /// Every write blocks until this is set to false.
     pub writes_hang: bool,
-    /// Writes after this many report success and are lost: zeros are read back.
+    /// After this many writes each further write reports success but stores nothing: new parts of the file
+    /// read as zeros.
     pub writes_lost_after: Option<u64>,
 }
 
@@ -33,18 +35,18 @@
 
 struct Shared {
     state: Mutex<DiskState>,
-    /// Signals that the faults have changed.
+    /// Notified when the faults change.
     faults_changed: Condvar,
 }
 
-/// A disk in memory; clones are the same disk.
+/// A simulated disk; clones share one state.
 #[derive(Clone)]
 pub struct FakeDisk {
     shared: Arc<Shared>,
 }
 
 impl FakeDisk {
-    /// A disk of `capacity` bytes that works.
+    /// Creates an empty disk of `capacity` bytes without faults.
     pub fn new(capacity: u64) -> FakeDisk {
         let faults = DiskFaults { capacity, ..DiskFaults::default() };
         let state = Mutex::new(DiskState { faults, ..DiskState::default() });
@@ -55,23 +57,23 @@
         self.shared.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes how the disk behaves from now on; writes that hang go on if they no longer have to.
+    /// Changes the faults. Blocked writes continue if `writes_hang` is no longer set.
     pub fn update_faults(&self, change: impl FnOnce(&mut DiskFaults)) {
         change(&mut self.state().faults);
         self.shared.faults_changed.notify_all();
     }
 
-    /// The bytes that its files hold.
+    /// The number of bytes in all files.
     pub fn used_bytes(&self) -> u64 {
         self.state().used_bytes
     }
 
-    /// The number of its files.
+    /// The number of files that exist.
     pub fn file_count(&self) -> usize {
         self.state().files
     }
 
-    /// The number of writes that were begun.
+    /// The number of writes that have begun, including blocked and failed ones.
     pub fn write_count(&self) -> u64 {
         self.state().writes
     }
@@ -89,7 +91,7 @@
     }
 }
 
-/// A file of a [`FakeDisk`]; dropping it frees its space.
+/// A file of a [`FakeDisk`], deleted on drop.
 struct FakeFile {
     disk: FakeDisk,
     content: Mutex<Vec<u8>>,
@@ -100,7 +102,8 @@
         self.content.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a write and waits while the disk hangs; returns the disk's state and the number of the write.
+    /// Counts a write and blocks while writes hang. Returns the state of the disk and the number of the
+    /// write.
     fn begin_write(&self) -> (MutexGuard<'_, DiskState>, u64) {
         let mut state = self.disk.state();
         state.writes += 1;
@@ -122,13 +125,13 @@
         let growth = (start + bytes.len()).saturating_sub(content.len()) as u64;
         let granted = state.faults.capacity.saturating_sub(state.used_bytes).min(growth);
         state.used_bytes += granted;
-        let fitting = bytes.len() - (growth - granted) as usize;
-        let end = start + fitting;
+        let written_length = bytes.len() - (growth - granted) as usize;
+        let end = start + written_length;
         if content.len() < end {
             content.resize(end, 0);
         }
         if state.faults.writes_lost_after.is_none_or(|after| write_number <= after) {
-            content[start..end].copy_from_slice(&bytes[..fitting]);
+            content[start..end].copy_from_slice(&bytes[..written_length]);
         }
         if granted < growth { Err(io::Error::from_raw_os_error(ENOSPC)) } else { Ok(()) }
     }
@@ -139,8 +142,8 @@
         }
         let content = self.content();
         let start = offset as usize;
-        let found = content.get(start..start + bytes.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
-        bytes.copy_from_slice(found);
+        let stored = content.get(start..start + bytes.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
+        bytes.copy_from_slice(stored);
         Ok(())
     }
 }
--- a/crates/test-support/src/fake_workers.rs
+++ b/crates/test-support/src/fake_workers.rs
@@ -1,4 +1,5 @@
-//! Fake workers, the executors of the platform's protocol: they follow a script and record what they ran.
+//! Fake workers (executors in the platform's protocol) that follow a script and record the requests that they
+//! executed.
 
 mod behavior;
 mod connection;
@@ -14,26 +15,26 @@
 use std::thread;
 use std::time::Duration;
 
-/// A request whose body a worker received in full, and which it ran, unless it rejected it.
+/// One execution of a request: a worker received the whole body and ran the job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExecutedRequest {
-    /// The request's id.
+    /// The id of the executed request.
     pub id: String,
-    /// The number of the worker.
+    /// The number of the worker that ran the job.
     pub worker: usize,
-    /// The length of the body in bytes.
+    /// The length of the received body, in bytes.
     pub body_length: usize,
-    /// The checksum of the body, by [`checksum`].
+    /// The [`checksum`] of the received body.
     pub body_checksum: u64,
 }
 
 #[derive(Default)]
 struct State {
-    /// The next requests' behaviours, whichever worker they come to.
+    /// The behaviours for the next requests, on any worker.
     script: VecDeque<WorkerBehavior>,
-    /// What all workers do beyond the script.
+    /// The behaviour of workers without one of their own, once the script has ended.
     default_behavior: Option<WorkerBehavior>,
-    /// What single workers do beyond the script, by number.
+    /// The behaviour of single workers once the script has ended, by worker number.
     worker_behaviors: HashMap<usize, WorkerBehavior>,
     executed: Vec<ExecutedRequest>,
     received_requests: usize,
@@ -41,18 +42,18 @@
     released: bool,
 }
 
-/// Workers, numbered from 0, that share one script and one record. They serve until the process ends; clones
-/// are the same workers.
+/// Workers, numbered from 0, that share one script and one list of executed requests. They serve until the
+/// process ends; clones share the same workers.
 #[derive(Clone)]
 pub struct FakeWorkers {
     state: Arc<Mutex<State>>,
     release: Arc<Condvar>,
-    /// The address of each worker, by number.
+    /// The address of each worker, by worker number.
     pub addresses: Vec<SocketAddr>,
 }
 
 impl FakeWorkers {
-    /// Starts `count` workers on loopback.
+    /// Starts `count` workers on loopback; without a script each behaves as [`WorkerBehavior::Done`].
     ///
     /// # Panics
     /// If a listener can't be opened.
@@ -78,17 +79,18 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets what is done with the next requests, one behaviour for each head that arrives at any worker.
+    /// Replaces the script: the next requests get these behaviours, one each, in the order in which their
+    /// heads arrive at any worker.
     pub fn script(&self, behaviors: &[WorkerBehavior]) {
         self.state().script = behaviors.iter().copied().collect();
     }
 
-    /// Sets what is done with requests beyond the script, in place of [`WorkerBehavior::Done`].
+    /// Sets the behaviour once the script has ended, initially [`WorkerBehavior::Done`].
     pub fn set_default_behavior(&self, behavior: WorkerBehavior) {
         self.state().default_behavior = Some(behavior);
     }
 
-    /// Sets what one worker does with requests beyond the script; with `None` it does what all do.
+    /// Sets the behaviour of one worker once the script has ended; `None` restores that of all workers.
     pub fn set_worker_behavior(&self, worker: usize, behavior: Option<WorkerBehavior>) {
         let mut state = self.state();
         match behavior {
@@ -97,16 +99,17 @@
         };
     }
 
-    /// Counts a request that has come to `worker` and takes its behaviour from the script.
+    /// Counts a request that arrived at `worker` and returns the behaviour for it.
     fn next_behavior(&self, worker: usize) -> WorkerBehavior {
         let mut state = self.state();
         state.received_requests += 1;
-        let of_worker = state.worker_behaviors.get(&worker).copied();
-        let unscripted = of_worker.or(state.default_behavior).unwrap_or(WorkerBehavior::Done);
+        let worker_behavior = state.worker_behaviors.get(&worker).copied();
+        let unscripted = worker_behavior.or(state.default_behavior).unwrap_or(WorkerBehavior::Done);
         state.script.pop_front().unwrap_or(unscripted)
     }
 
-    /// Lets [`WorkerBehavior::PausedUntilReleased`] end, for the requests that wait and for all that follow.
+    /// Ends the pause of [`WorkerBehavior::PausedUntilReleased`], for waiting requests and for all later
+    /// ones.
     pub fn release(&self) {
         self.state().released = true;
         self.release.notify_all();
@@ -117,22 +120,22 @@
         drop(released.unwrap_or_else(PoisonError::into_inner));
     }
 
-    /// All requests that the workers have run, the first run first.
+    /// All executions, in the order in which they began.
     pub fn executed_requests(&self) -> Vec<ExecutedRequest> {
         self.state().executed.clone()
     }
 
-    /// The runs of the request with this id.
+    /// The executions of the request with this id, in the order in which they began.
     pub fn executions_of(&self, id: &str) -> Vec<ExecutedRequest> {
-        self.state().executed.iter().filter(|run| run.id == id).cloned().collect()
+        self.state().executed.iter().filter(|executed| executed.id == id).cloned().collect()
     }
 
-    /// The number of requests whose head has arrived.
+    /// The number of requests whose head arrived at any worker.
     pub fn received_requests(&self) -> usize {
         self.state().received_requests
     }
 
-    /// The number of requests whose connection ended before their body was complete.
+    /// The number of requests whose connection ended before the whole body arrived.
     pub fn incomplete_requests(&self) -> usize {
         self.state().incomplete_requests
     }
@@ -145,7 +148,7 @@
     bytes.iter().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(PRIME))
 }
 
-/// Pseudo-random bytes that follow from `seed` (xorshift).
+/// Generates `length` pseudo-random bytes from `seed` (xorshift): equal seeds give equal bytes.
 pub fn sample_bytes(length: usize, seed: u64) -> Vec<u8> {
     let mut state = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     let mut next_byte = || {
@@ -157,13 +160,13 @@
     (0..length).map(|_| next_byte()).collect()
 }
 
-/// Closes a connection with a reset in place of an orderly end.
+/// Closes a connection with a TCP reset (RST) instead of an orderly end (FIN).
 pub fn reset_connection(stream: TcpStream) {
     reset_on_close(&stream);
     drop(stream);
 }
 
-/// Has the connection be reset when its last descriptor is closed.
+/// Makes the system reset the connection when its last descriptor is closed.
 fn reset_on_close(stream: &TcpStream) {
     let _ = rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO));
 }
--- a/crates/test-support/src/fake_workers/behavior.rs
+++ b/crates/test-support/src/fake_workers/behavior.rs
@@ -1,42 +1,42 @@
-//! What a fake worker does with a request.
+//! The behaviours of a fake worker.
 
-/// What a fake worker does with one request. The names follow the engine's `AttemptEnd` where the behaviour
-/// leads to one of its variants.
+/// What a fake worker does with one request. A behaviour that makes an attempt end with a certain variant of
+/// the engine's `AttemptEnd` is named after that variant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerBehavior {
-    /// Runs the job and answers with its result, the length and checksum of the body.
+    /// Runs the job and returns its result: the length and checksum of the body.
     Done,
-    /// Runs the job for this many milliseconds, then as `Done`.
+    /// As `Done`, but the job runs for this many milliseconds.
     DoneAfterMillis(u64),
-    /// Runs the job, reports its start, and ends it as `Done` once [`FakeWorkers::release`] is called.
+    /// Runs the job, reports its start, and continues as `Done` once [`FakeWorkers::release`] is called.
     ///
     /// [`FakeWorkers::release`]: crate::FakeWorkers::release
     PausedUntilReleased,
     /// Runs the job and reports that it failed.
     Failed,
-    /// Answers 503 with `Not-Started: 1` without running the job.
+    /// Reads the body and responds 503 with `Not-Started: 1`, without running the job.
     Rejected,
     /// Runs the job and reports that it was killed.
     Killed,
-    /// Answers 503 with `Not-Started: 1` after the head, and closes the connection without reading the body.
+    /// Responds 503 with `Not-Started: 1` after the head, and closes the connection without reading the body.
     RejectedBeforeBody,
-    /// Answers 400 without running the job.
+    /// Reads the body and responds 400, without running the job.
     InvalidRequest,
-    /// Runs the job, reports its start, and ends the answer there.
+    /// Runs the job, reports its start, and ends the response without a result.
     Truncated,
-    /// Runs the job and answers with a line that is not of the protocol.
+    /// Runs the job and responds with a line that the protocol does not define.
     Malformed,
-    /// Runs the job and answers for another request id.
+    /// Runs the job and returns a result with the id of another request.
     WrongRequestId,
-    /// Runs the job and answers with a line that is longer than the protocol allows.
+    /// Runs the job and responds with a line longer than the protocol allows.
     ResponseTooLarge,
-    /// Reads the head and nothing more, until the other side closes the connection.
+    /// Reads only the head, and waits until the other side closes the connection.
     StopsReading,
-    /// Resets the connection in the middle of the body.
+    /// Reads a part of the body and resets the connection.
     ResetDuringBody,
-    /// Runs the job and resets the connection without an answer.
+    /// Runs the job and resets the connection without a response.
     ResetAfterBody,
-    /// Runs the job and sends nothing, until the other side closes the connection.
+    /// Runs the job and sends nothing until the other side closes the connection.
     Silent,
     /// Runs the job, sends nothing for this many milliseconds, and resets the connection.
     SilentThenReset(u64),
--- a/crates/test-support/src/fake_workers/connection.rs
+++ b/crates/test-support/src/fake_workers/connection.rs
@@ -11,12 +11,13 @@
 
 const NOT_STARTED_RESPONSE: &[u8] = b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
 const BAD_REQUEST_RESPONSE: &[u8] = b"HTTP/1.1 400 What\r\nContent-Length: 0\r\n\r\n";
-/// Longer than the protocol allows a line of an answer to be.
+/// Exceeds the longest response line that the protocol allows.
 const TOO_LONG_LINE_BYTES: usize = 300_000;
-/// How often a worker that has stopped reading looks whether the other side has closed the connection.
+/// Interval at which a worker that has stopped reading checks whether the other side has closed the
+/// connection.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// One connection to the worker with number `worker`.
+/// A connection to the worker with the number `worker`.
 pub(super) struct WorkerConnection<'a> {
     pub(super) workers: &'a FakeWorkers,
     pub(super) worker: usize,
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Serves one request; breaks if the connection ends with it.
+    /// Serves one request. Breaks if the connection is to be closed.
     fn serve_request(
         &self,
         head: &RequestHead,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Does what ends the connection before the body has been read.
+    /// Performs the behaviours that end the connection before the body is read; breaks after one.
     fn act_before_body(
         &self,
         behavior: WorkerBehavior,
@@ -79,7 +80,7 @@
                 let _ = (&self.stream).write_all(NOT_STARTED_RESPONSE);
             }
             WorkerBehavior::StopsReading => {
-                // Unread bytes hide the end of the stream from `peek`: it shows as an event of the socket.
+                // While bytes are unread, `peek` does not report the end of the stream: `poll` does.
                 while self.stream.peek(&mut [0]).is_ok_and(|length| length > 0)
                     && !peer_has_closed(&self.stream)
                 {
@@ -91,7 +92,7 @@
         ControlFlow::Break(())
     }
 
-    /// Does what ends the connection after the body has been read, without an answer.
+    /// Performs the behaviours that end the connection without a response; breaks after one.
     fn act_before_response(
         &self,
         behavior: WorkerBehavior,
@@ -147,7 +148,7 @@
         self.send_status(id, &result)
     }
 
-    /// Sends one line about the request, with these fields.
+    /// Sends one response line for the request with these JSON fields.
     fn send_status(&self, id: &str, fields: &str) -> io::Result<()> {
         let line = format!("{{\"id\":\"{id}\",\"from\":\"s\",{fields}}}\n");
         (&self.stream).write_all(chunk(&line).as_bytes())
@@ -162,7 +163,7 @@
     }
 }
 
-/// Whether the other side has closed its end of the connection, even if some of what it sent is unread.
+/// Whether the other side has closed its end of the connection, even if bytes that it sent are still unread.
 fn peer_has_closed(stream: &TcpStream) -> bool {
     let mut events = [rustix::event::PollFd::new(stream, rustix::event::PollFlags::RDHUP)];
     let no_wait = rustix::time::Timespec { tv_sec: 0, tv_nsec: 0 };
--- a/crates/test-support/src/fake_workers/request_head.rs
+++ b/crates/test-support/src/fake_workers/request_head.rs
@@ -1,8 +1,8 @@
-//! Reads requests as far as a fake worker needs them.
+//! Parses the parts of a request that a fake worker needs.
 
 use std::io::{self, BufRead};
 
-/// The parts of a request's head that a fake worker needs.
+/// The headers of a request that a fake worker needs.
 pub(super) struct RequestHead {
     pub(super) id: String,
     /// `None` for a chunked body.
@@ -10,7 +10,7 @@
 }
 
 impl RequestHead {
-    /// Reads one head; `None` if the connection ends before its blank line.
+    /// Reads one head. Returns `None` if the connection ends before the blank line.
     pub(super) fn read(reader: &mut impl BufRead) -> Option<RequestHead> {
         let mut head = RequestHead { id: String::new(), body_length: None };
         let mut line = String::new();
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Reads the body that follows this head; an error if it is incomplete.
+    /// Reads the body that follows this head. Fails if the body is incomplete.
     pub(super) fn read_body(&self, reader: &mut impl BufRead) -> io::Result<Vec<u8>> {
         let Some(length) = self.body_length else {
             return read_chunked_body(reader);
--- a/crates/test-support/src/fault_proxy.rs
+++ b/crates/test-support/src/fault_proxy.rs
@@ -1,8 +1,8 @@
-//! A UDP proxy between processes: it loses, delays, duplicates, reorders and blocks datagrams.
+//! A UDP proxy between processes that loses, delays, duplicates, reorders and blocks datagrams.
 //!
-//! Every process reaches each other process at a proxy address of its own, so that each direction of each
-//! pair can be disturbed by itself. What happens to the datagrams of a direction follows from the seed and
-//! their sequence alone.
+//! By default the proxy has one address for each ordered pair of processes, from the sender to the receiver,
+//! and each such direction has its own faults. The seed and the sequence of datagrams in a direction alone
+//! determine which of them are lost, duplicated or delayed, and by how much.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -12,42 +12,44 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How long a thread waits before it checks whether the proxy was dropped.
+/// Interval at which each thread checks whether the proxy was dropped.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// More datagrams than these in flight are lost, so that a storm ends.
+/// Maximum number of datagrams in flight. Further ones are dropped, so that a flood of datagrams can end.
 const MAX_IN_FLIGHT: usize = 10_000;
-/// The largest UDP datagram fits.
+/// Holds the largest UDP datagram.
 const RECEIVE_BUFFER_BYTES: usize = 1 << 16;
 
-/// What happens to the datagrams of one direction. By default all are forwarded at once.
+/// The faults of one direction. By default all datagrams are forwarded at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DatagramFaults {
-    /// No datagram is forwarded.
+    /// Whether all datagrams are dropped: those that arrive, and those whose delivery time comes.
     pub blocked: bool,
-    /// The fraction that is lost, 0 to 1.
+    /// The fraction of datagrams that is lost, 0 to 1.
     pub loss: f64,
-    /// The fraction that is forwarded twice, 0 to 1.
+    /// The fraction of datagrams that is forwarded twice, 0 to 1.
     pub duplication: f64,
-    /// The least delay.
+    /// The minimum delay of each datagram.
     pub delay: Duration,
-    /// The greatest additional delay, drawn evenly: datagrams sent close together overtake each other.
+    /// The maximum additional delay, drawn uniformly from zero: datagrams sent within this time of each other
+    /// may be reordered.
     pub jitter: Duration,
 }
 
-/// What one direction has carried since the start.
+/// Numbers of datagrams and bytes in one direction since the proxy was started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProxyTraffic {
     /// Datagrams received from the sender.
     pub received: u64,
-    /// Copies sent on to the receiver.
+    /// Copies of datagrams that were sent to the receiver.
     pub forwarded: u64,
-    /// Datagrams lost on arrival, and copies lost at delivery: blocked by then, or without a receiver.
+    /// Datagrams dropped on arrival, and copies dropped on delivery because the direction was blocked by then
+    /// or the receiver did not listen.
     pub lost: u64,
     /// Bytes received from the sender.
     pub received_bytes: u64,
 }
 
-/// One direction of a pair of processes.
+/// The state of one direction: the datagrams from one process to another.
 struct Direction {
     faults: DatagramFaults,
     traffic: ProxyTraffic,
@@ -55,8 +57,8 @@
 }
 
 impl Direction {
-    /// The delay of each copy of the next datagram; empty if it is lost. The number of draws is always the
-    /// same, so that switching on one fault does not change what another does later.
+    /// Draws the delay of each copy of the next datagram; empty if the datagram is lost. Each datagram takes
+    /// the same number of draws, so that enabling one fault does not change the later draws for another.
     fn draw_copy_delays(&mut self) -> Vec<Duration> {
         let lost = self.rng.f64() < self.faults.loss;
         let duplicated = self.rng.f64() < self.faults.duplication;
@@ -69,13 +71,13 @@
 
 /// A datagram between its arrival and its delivery.
 #[derive(Clone)]
-struct InFlight {
+struct Datagram {
     from: usize,
     to: usize,
     payload: Vec<u8>,
 }
 
-/// Sorts datagrams in flight by delivery time, and those of equal times by arrival.
+/// Orders datagrams in flight by delivery time, and then by arrival.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct DeliveryKey {
     deliver_at: Instant,
@@ -83,21 +85,21 @@
 }
 
 struct State {
-    /// Where each process listens, once it is known.
+    /// The address at which each process listens, once it is registered.
     listeners: Vec<Option<SocketAddr>>,
     /// The direction from process `i` to process `j` has the index `i * process_count + j`.
     directions: Vec<Direction>,
-    in_flight: BTreeMap<DeliveryKey, InFlight>,
+    in_flight: BTreeMap<DeliveryKey, Datagram>,
     last_sequence: u64,
 }
 
 struct Shared {
     state: Mutex<State>,
-    /// Signals a new datagram in flight, or the end.
+    /// Notified when a datagram is put in flight, and when the proxy is dropped.
     changed: Condvar,
     stopped: AtomicBool,
-    /// The socket at which process `i` reaches process `j` has the index `i * process_count + j`, or `j` if
-    /// each process has one address for all others.
+    /// The socket at which process `i` reaches process `j` has the index `i * process_count + j`, or `j` with
+    /// [`Addressing::PerProcess`].
     sockets: Vec<UdpSocket>,
     process_count: usize,
     addressing: Addressing,
@@ -106,9 +108,9 @@
 /// How many addresses the proxy gives to each process.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Addressing {
-    /// One for each sender.
+    /// One for each sender, so that the address identifies the sender.
     PerPair,
-    /// One for all senders, which are identified by their source addresses.
+    /// One for all senders. The source address identifies the sender.
     PerProcess,
 }
 
@@ -128,7 +130,7 @@
         }
     }
 
-    /// The pairs of processes whose sockets have to be read.
+    /// The pairs (sender, receiver) whose sockets are to be read, each socket once.
     fn receiving_pairs(&self) -> Vec<(usize, usize)> {
         let count = self.process_count;
         let all = (0..count * count).map(|index| (index / count, index % count));
@@ -139,15 +141,15 @@
     }
 }
 
-/// A proxy between processes numbered from 0; it ends when dropped.
+/// A UDP proxy between processes, numbered from 0. It ends when dropped.
 pub struct FaultProxy {
     shared: Arc<Shared>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl FaultProxy {
-    /// Starts a proxy between `process_count` processes, on loopback ports that the system chooses, with an
-    /// address for each pair of processes. Equal seeds disturb alike.
+    /// Starts a proxy between `process_count` processes, with one loopback address for each ordered pair of
+    /// processes, on ports that the operating system chooses. Equal seeds give equal draws.
     ///
     /// # Errors
     /// Those of the socket calls.
@@ -155,9 +157,9 @@
         FaultProxy::start(process_count, seed, Addressing::PerPair)
     }
 
-    /// The same with one address for each process, which processes may pass on to each other. Senders are
-    /// identified by their source address, so each has to send from where it listens, and be registered with
-    /// [`FaultProxy::register_listener`] first.
+    /// As [`FaultProxy::new`], but with one address for each process, which other processes may tell each
+    /// other. The source address identifies the sender: each process must be registered with
+    /// [`FaultProxy::register_listener`] before it sends, and send from the address at which it listens.
     ///
     /// # Errors
     /// Those of the socket calls.
@@ -204,13 +206,14 @@
         self.shared.socket(from, to).local_addr()
     }
 
-    /// Sets where a process listens, for the first time or after a restart; what is sent to it before is
-    /// lost.
+    /// Sets the address at which a process listens, for the first time or after a restart. Datagrams to a
+    /// process without an address are dropped.
     pub fn register_listener(&self, process: usize, address: SocketAddr) {
         self.shared.state().listeners[process] = Some(address);
     }
 
-    /// Sets the faults of one direction. Datagrams in flight still arrive, unless the direction is blocked.
+    /// Sets the faults of one direction. Datagrams in flight keep their delivery time, and are dropped only
+    /// if the direction is blocked at that time.
     pub fn set_faults(&self, from: usize, to: usize, faults: DatagramFaults) {
         let index = self.shared.direction_index(from, to);
         self.shared.state().directions[index].faults = faults;
@@ -223,7 +226,8 @@
         }
     }
 
-    /// Blocks all directions between the processes in `side` and the others, and unblocks all others.
+    /// Blocks each direction between a process in `side` and one outside it, and unblocks all other
+    /// directions.
     pub fn partition(&self, side: &[usize]) {
         let count = self.shared.process_count;
         for (index, direction) in self.shared.state().directions.iter_mut().enumerate() {
@@ -233,7 +237,7 @@
         }
     }
 
-    /// What one direction has carried.
+    /// The traffic of one direction since the proxy was started.
     pub fn traffic(&self, from: usize, to: usize) -> ProxyTraffic {
         let index = self.shared.direction_index(from, to);
         self.shared.state().directions[index].traffic
@@ -245,7 +249,7 @@
         self.shared.stopped.store(true, Ordering::Release);
         self.shared.changed.notify_all();
         for thread in self.threads.drain(..) {
-            // A thread that panicked has already failed its test by what did not arrive.
+            // The panic of a thread needs no report here: its datagrams do not arrive, which fails the test.
             let _ = thread.join();
         }
     }
@@ -268,7 +272,8 @@
     threads
 }
 
-/// Receives what `from` sends to `to` until the proxy is dropped.
+/// Receives datagrams from `from` to `to` until the proxy is dropped. With [`Addressing::PerProcess`],
+/// receives those from all processes to `to`.
 fn receive_datagrams(shared: &Shared, from: usize, to: usize) {
     let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
     while !shared.stopped.load(Ordering::Acquire) {
@@ -282,15 +287,15 @@
             Addressing::PerProcess => state.listeners.iter().position(|address| *address == Some(source)),
         };
         let Some(sender) = sender else { continue };
-        let datagram = InFlight { from: sender, to, payload: buffer[..length].to_vec() };
+        let datagram = Datagram { from: sender, to, payload: buffer[..length].to_vec() };
         state.accept(shared.direction_index(sender, to), received_at, &datagram);
         shared.changed.notify_one();
     }
 }
 
 impl State {
-    /// Counts a datagram of the direction with this index, and puts its copies in flight.
-    fn accept(&mut self, direction: usize, received_at: Instant, datagram: &InFlight) {
+    /// Counts a datagram in the direction with this index, and puts its copies in flight.
+    fn accept(&mut self, direction: usize, received_at: Instant, datagram: &Datagram) {
         let direction = &mut self.directions[direction];
         direction.traffic.received += 1;
         direction.traffic.received_bytes += datagram.payload.len() as u64;
@@ -306,7 +311,7 @@
     }
 }
 
-/// Delivers each datagram when it is due, from the address at which the receiver knows the sender.
+/// Delivers each datagram at its delivery time, from the address at which the receiver reaches the sender.
 fn deliver_datagrams(shared: &Shared) {
     let mut state = shared.state();
     while !shared.stopped.load(Ordering::Acquire) {
@@ -323,12 +328,12 @@
     }
 }
 
-/// Sends one datagram on, or counts it as lost.
-fn deliver(shared: &Shared, state: &mut State, datagram: &InFlight) {
+/// Sends one datagram to its receiver, or counts it as lost.
+fn deliver(shared: &Shared, state: &mut State, datagram: &Datagram) {
     let receiver = state.listeners[datagram.to];
     let direction = &mut state.directions[shared.direction_index(datagram.from, datagram.to)];
     let receiver = receiver.filter(|_| !direction.faults.blocked);
-    // A receiver that has ended can make this fail: its datagram is lost, as it would be without a proxy.
+    // Sending may fail if the receiver has ended: the datagram is lost, as it would be without a proxy.
     let sent =
         receiver.map(|address| shared.socket(datagram.to, datagram.from).send_to(&datagram.payload, address));
     if matches!(sent, Some(Ok(_))) {
--- a/crates/test-support/src/fault_shim.rs
+++ b/crates/test-support/src/fault_shim.rs
@@ -5,21 +5,21 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-/// The file, in the scratch directory, to which the shim writes its counts.
+/// Name of the file in the scratch directory to which the shim writes its counts.
 const COUNTS_FILE: &str = "faults";
 
-/// The faults that the shim injects into a program.
+/// The faults that the shim injects into a program, in the terms of its environment variables.
 #[derive(Clone, Debug, Default)]
 pub struct FaultPlan {
-    /// Failing system calls: `call:error:one_in[:from_ms:to_ms]` items, separated by `;`.
+    /// `FAULT_PLAN`, the failing system calls: `call:error:one_in[:from_ms:to_ms]` items, separated by `;`.
     pub calls: String,
-    /// Steps of the wall clock: `at_ms:step_ms` items, separated by `;`.
+    /// `FAULT_CLOCK`, the steps of the wall clock: `at_ms:step_ms` items, separated by `;`.
     pub clock: String,
-    /// The seed of the draws.
+    /// `FAULT_SEED`, the seed that determines which calls fail.
     pub seed: u64,
 }
 
-/// The shared library, which Cargo builds beside the tests.
+/// The path of the shim, which Cargo builds into the directory of the test binaries.
 fn library_path() -> PathBuf {
     let test = std::env::current_exe().expect("the path of this test is known");
     let library = test.parent().expect("the test is in a directory").join("libsorrelhaven_fault_shim.so");
@@ -28,20 +28,21 @@
 }
 
 impl FaultPlan {
-    /// A plan of failing system calls.
+    /// A plan in which these system calls fail, drawn with seed 1.
     pub fn failing_calls(calls: &str) -> FaultPlan {
         FaultPlan { calls: calls.to_string(), seed: 1, ..FaultPlan::default() }
     }
 
-    /// A wall clock that is off by `step_ms` milliseconds from the start.
+    /// A plan in which the wall clock is off by `step_ms` milliseconds from the start of the process.
     pub fn with_clock_offset(step_ms: i64) -> FaultPlan {
         FaultPlan { clock: format!("0:{step_ms}"), ..FaultPlan::default() }
     }
 
-    /// Preloads the shim into the program that `command` starts; its counts go to a file in `scratch`.
+    /// Preloads the shim into the program that `command` starts. The shim writes its counts to a file in
+    /// `scratch`.
     ///
     /// # Panics
-    /// If the shim's library has not been built.
+    /// If the shim has not been built.
     pub fn preload(&self, command: &mut Command, scratch: &ScratchDir) {
         command.env("LD_PRELOAD", library_path()).env("FAULT_COUNTS", scratch.path(COUNTS_FILE));
         command.env("FAULT_PLAN", &self.calls).env("FAULT_CLOCK", &self.clock);
@@ -49,10 +50,11 @@
     }
 }
 
-/// How often each fault was injected into a program that has ended, by `call:error`.
+/// How often each fault was injected into a program that has ended. The key is `call error`, as in the counts
+/// file.
 ///
 /// # Panics
-/// If the program has left no counts, as when it was killed.
+/// If the program has written no counts, because it was killed or has not ended.
 pub fn injected_faults(scratch: &ScratchDir) -> BTreeMap<String, u64> {
     let text =
         std::fs::read_to_string(scratch.path(COUNTS_FILE)).expect("the program has written its counts");
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,7 +1,7 @@
 //! Scripted peers, fault injection and a checker of the delivery rules, shared by the tests of all packages.
 //!
-//! Nothing in the product depends on this crate. All peers bind to loopback addresses only, on ports that the
-//! system chooses. Helpers panic where a test could not go on; a panic names what was missing.
+//! The product does not depend on this crate. All sockets are bound to loopback addresses, on ports that the
+//! operating system chooses. A helper panics if its test can't continue, with a message that names the cause.
 
 mod cases;
 mod checker;
--- a/crates/test-support/src/listener.rs
+++ b/crates/test-support/src/listener.rs
@@ -1,11 +1,11 @@
-//! Listeners on loopback.
+//! TCP listeners on loopback.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 
-/// A listener on a loopback port that the system chooses, and its address.
+/// Opens a TCP listener on a loopback port that the operating system chooses. Returns it and its address.
 ///
 /// # Panics
-/// If the system has no port or descriptor left.
+/// If no port or file descriptor is free.
 pub fn open_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port is free");
     let address = listener.local_addr().expect("the listener has an address");
--- a/crates/test-support/src/node_config.rs
+++ b/crates/test-support/src/node_config.rs
@@ -2,7 +2,8 @@
 
 use std::net::SocketAddr;
 
-/// The file of a node with one known worker, `s-1` at `worker`, and one class, `fee`, with this `effect`.
+/// The configuration of a node with one known worker, `s-1` at `worker`, and one class, `fee`, with this
+/// `effect`.
 pub fn single_worker_config(worker: SocketAddr, effect: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f",
@@ -13,8 +14,8 @@
     )
 }
 
-/// The file of a node with these known workers, `s-0` and up, and three classes: `renewal-check`
-/// (idempotent), `licence-issue` (deduplicated by key) and `fee-charge` (at most once).
+/// The configuration of a node with these known workers, named `s-0`, `s-1` and so on, and three classes:
+/// `renewal-check` (idempotent), `licence-issue` (deduplicated by key) and `fee-charge` (at most once).
 pub fn workers_config(workers: &[SocketAddr]) -> String {
     let host = |(number, dial): (usize, &SocketAddr)| {
         format!(r#"{{"host":"s-{number}","dial":"{dial}","health":"in_service"}}"#)
--- a/crates/test-support/src/program.rs
+++ b/crates/test-support/src/program.rs
@@ -1,4 +1,4 @@
-//! The program itself, started as an operator starts it.
+//! The program under test, `sorrelhaven`, run as a process.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
@@ -8,11 +8,11 @@
 use std::thread;
 use std::time::Duration;
 
-/// A program that does not end within this time after SIGTERM is killed; far beyond what it may take.
+/// A program that has not ended this long after SIGTERM is killed: far longer than a shutdown may take.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(30);
-/// An admin call without an answer fails after this time; far beyond what it may take.
-const ADMIN_CALL_TIMEOUT: Duration = Duration::from_secs(20);
-/// The environment variables that the program reads.
+/// Read timeout of a reply to an admin command: far longer than a reply may take.
+const ADMIN_REPLY_TIMEOUT: Duration = Duration::from_secs(20);
+/// The environment variables that the program reads, except `RELAY_CONFIG`, which each start sets.
 const PROGRAM_VARIABLES: [&str; 7] = [
     "RUST_LOG",
     "SORRELHAVEN_OPERATOR",
@@ -23,25 +23,25 @@
     "RELAY_FD",
 ];
 
-/// A running process of the program; it is killed when dropped, however the test ends.
+/// A process of the program. It is killed when dropped, also if the test panics.
 pub struct Program {
-    /// The process.
+    /// The child process, whose standard error is read as the log.
     pub child: Child,
     log: BufReader<ChildStderr>,
     startup_log: Vec<String>,
-    /// The address at which it serves clients.
+    /// The address at which the program accepts clients.
     pub address: String,
-    /// The address of its admin listener; `none` if it has none.
+    /// The address of the admin listener; `none` if there is no such listener.
     pub admin_address: String,
 }
 
 impl Program {
-    /// Starts `command` with the platform's file `config`, and with `operator`'s if there is one, and waits
-    /// until the program logs that it is ready. Of the variables that the program reads it gets only those
-    /// that `command` sets.
+    /// Starts `command` with the platform's configuration file `config` and the operator's file `operator`,
+    /// if any, and waits until the program logs that it is ready. Variables that the program reads are not
+    /// inherited from the test: only those that `command` sets are passed on.
     ///
     /// # Panics
-    /// If the program does not start, or ends before it is ready.
+    /// If the program can't be started, or ends before it is ready.
     pub fn start(mut command: Command, config: &Path, operator: Option<&Path>) -> Program {
         remove_inherited_variables(&mut command);
         command.env("RELAY_CONFIG", config);
@@ -61,7 +61,7 @@
         program
     }
 
-    /// Reads the log up to the line that says that the program is ready, and takes the addresses from it.
+    /// Reads the log up to the ready line, and takes the addresses from that line.
     fn wait_until_ready(&mut self) {
         let ready_line = loop {
             let line = self.wait_for_log_line("");
@@ -90,34 +90,35 @@
         panic!("the log ended without a line that contains {text:?}");
     }
 
-    /// The log lines before the one that said that the program was ready.
+    /// The log lines before the ready line.
     pub fn startup_log(&self) -> &[String] {
         &self.startup_log
     }
 
-    /// The number of files of earlier processes that the program removed at its start.
+    /// The number of body files, left by ended processes, that the program deleted at its start, from its log.
     pub fn leftover_files_deleted(&self) -> u64 {
         let removed = self.startup_log.iter().find_map(|line| line.split("swept=").nth(1));
         removed.and_then(|count| count.trim().parse().ok()).unwrap_or(0)
     }
 
-    /// Sends `command` to the admin listener and returns its answer.
+    /// Sends `command` to the admin listener and returns its reply.
     ///
     /// # Panics
-    /// If no answer comes within 20 s.
+    /// If the connection fails, or nothing of the reply arrives for 20 s.
     pub fn admin_command(&self, command: &str) -> String {
-        let mut stream = TcpStream::connect(&self.admin_address).expect("the admin listener accepts");
-        stream.write_all(format!("{command}\n").as_bytes()).expect("the admin listener reads");
-        stream.set_read_timeout(Some(ADMIN_CALL_TIMEOUT)).expect("the socket takes a time limit");
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).expect("the admin listener answers");
-        answer
+        let mut stream =
+            TcpStream::connect(&self.admin_address).expect("the admin listener accepts the connection");
+        stream.write_all(format!("{command}\n").as_bytes()).expect("the admin listener reads the command");
+        stream.set_read_timeout(Some(ADMIN_REPLY_TIMEOUT)).expect("the socket takes a time limit");
+        let mut reply = String::new();
+        stream.read_to_string(&mut reply).expect("the admin listener sends a reply");
+        reply
     }
 
-    /// The value of a metric of `show-stat`, summed over all its labels.
+    /// The value of a metric in the reply to `show-stat`, summed over all its labels; 0 if there is none.
     ///
     /// # Panics
-    /// If the admin listener does not answer, or the value is not an integer.
+    /// If the admin listener does not reply, or the value is not an integer.
     pub fn metric(&self, name: &str) -> u64 {
         let metrics = self.admin_command("show-stat");
         let value_of = |line: &str| {
@@ -128,7 +129,7 @@
         metrics.lines().filter_map(value_of).sum()
     }
 
-    /// Sends the signal with this short name, such as `TERM`.
+    /// Sends the signal with this name without its prefix, such as `TERM` for SIGTERM.
     ///
     /// # Panics
     /// If the signal can't be sent.
@@ -138,21 +139,22 @@
         assert!(status.success(), "SIG{name} was not sent");
     }
 
-    /// The current value of a counter, from the counters line that SIGUSR1 makes the program log.
+    /// The current value of a counter: sends SIGUSR1, on which the program logs its counters, and reads the
+    /// next line with counters.
     ///
     /// # Panics
-    /// If there is no counter of this name.
+    /// If the log line has no counter of this name, or the log ends before that line.
     pub fn counter(&mut self, name: &str) -> u64 {
         self.signal("USR1");
         let line = self.wait_for_log_line("admitted=");
         let value = log_field(&line, name).and_then(|value| value.parse().ok());
-        value.unwrap_or_else(|| panic!("no counter {name} in {line}"))
+        value.unwrap_or_else(|| panic!("no integer counter {name} in the log line {line}"))
     }
 
-    /// Ends the program with SIGTERM and returns the rest of its log.
+    /// Sends SIGTERM, waits for the end of the program and returns the unread rest of its log.
     ///
     /// # Panics
-    /// If the program does not exit with success.
+    /// If the program exits with an error, or has not ended 30 s after SIGTERM.
     pub fn terminate(mut self) -> String {
         self.signal("TERM");
         let process_id = self.child.id();
@@ -161,7 +163,7 @@
         let mut log = String::new();
         self.log.read_to_string(&mut log).expect("the log can be read");
         drop(ended);
-        watchdog.join().expect("the watchdog ends");
+        watchdog.join().expect("the watchdog thread does not panic");
         assert!(self.child.wait().expect("the program has ended").success(), "{log}");
         log
     }
@@ -174,7 +176,7 @@
     }
 }
 
-/// Removes the variables that the program reads and `command` does not set itself.
+/// Prevents `command` from inheriting variables that the program reads, except those that `command` sets.
 fn remove_inherited_variables(command: &mut Command) {
     let set_by_test: Vec<_> = command.get_envs().map(|(name, _)| name.to_os_string()).collect();
     for name in PROGRAM_VARIABLES {
@@ -184,13 +186,13 @@
     }
 }
 
-/// The value of `name=value` in a log line.
+/// The value of the field `name` in a log line, in which fields are written as `name=value`.
 fn log_field<'line>(line: &'line str, name: &str) -> Option<&'line str> {
     line.split_whitespace().find_map(|field| field.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// Kills the process unless `ended` is closed within [`SHUTDOWN_TIMEOUT`], so that a program that never ends
-/// does not hold up the tests: its log ends with it.
+/// Kills the process unless the sender of `ended` is dropped within [`SHUTDOWN_TIMEOUT`], so that a program
+/// that never ends does not block the tests: its log, which [`Program::terminate`] reads, ends with it.
 fn kill_unless_ended(process_id: u32, ended: &Receiver<()>) {
     if ended.recv_timeout(SHUTDOWN_TIMEOUT) == Err(RecvTimeoutError::Timeout) {
         let _ = Command::new("kill").args(["-s", "KILL", &process_id.to_string()]).status();
--- a/crates/test-support/src/refusing_port.rs
+++ b/crates/test-support/src/refusing_port.rs
@@ -1,20 +1,20 @@
-//! A port that refuses connections.
+//! A TCP port that refuses connections.
 
 use rustix::fd::OwnedFd;
 use rustix::net::{AddressFamily, SocketType, bind, getsockname, socket};
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// A bound port without a listener: connections to it are refused, and no other process can bind it
-/// meanwhile.
+/// A bound TCP port without a listener: connections to it are refused, and no other process can bind it until
+/// this is dropped.
 pub struct RefusingPort {
     _socket: OwnedFd,
-    /// The address that refuses connections.
+    /// The loopback address to which no client can connect.
     pub address: SocketAddr,
 }
 
 impl RefusingPort {
-    /// Binds a loopback port that the system chooses.
+    /// Binds a loopback port that the operating system chooses.
     ///
     /// # Errors
     /// Those of the socket calls.
--- a/crates/test-support/src/stalled_listener.rs
+++ b/crates/test-support/src/stalled_listener.rs
@@ -1,20 +1,21 @@
-//! A listener whose connections are established only once the test allows it.
+//! A TCP listener at which connection attempts wait until the test releases it.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// A connection attempt that takes longer than this shows that the accept queue is full.
+/// The accept queue counts as full once a connection attempt has taken this long.
 const QUEUE_FULL_TIMEOUT: Duration = Duration::from_millis(200);
 /// Length of the accept queue after the release.
 const RELEASED_BACKLOG: i32 = 128;
 
-/// A listener with a full accept queue: whoever connects waits, as on a network that drops the first packet.
+/// A listener with a full accept queue: the system drops the first packet (SYN) of each further connection,
+/// as a lossy network does, so that the client waits.
 pub struct StalledListener {
     listener: TcpListener,
-    /// The connections that fill the accept queue.
+    /// Established connections that fill the accept queue.
     queued: Vec<TcpStream>,
-    /// The address of the listener.
+    /// The address to which clients connect.
     pub address: SocketAddr,
 }
 
@@ -28,16 +29,16 @@
         rustix::net::listen(&listener, 0)?;
         let address = listener.local_addr()?;
         let mut queued = Vec::new();
-        // How many connections the system queues is its own affair: the first that waits shows that it is
-        // full.
+        // The queue length depends on the system: the first connection attempt that times out shows that the
+        // queue is full.
         while let Ok(stream) = TcpStream::connect_timeout(&address, QUEUE_FULL_TIMEOUT) {
             queued.push(stream);
         }
         Ok(StalledListener { listener, queued, address })
     }
 
-    /// Empties the accept queue, so that waiting connections are established when the system next retransmits
-    /// their first packet, within about a second.
+    /// Empties the accept queue, so that a waiting connection is established when the client's system
+    /// retransmits its first packet, within about a second.
     ///
     /// # Errors
     /// Those of the socket calls.
--- a/crates/test-support/tests/fault_proxy.rs
+++ b/crates/test-support/tests/fault_proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy disturbs datagrams as set, and equally with equal seeds.
+//! The proxy applies the configured faults, and equal seeds give equal losses and duplicates.
 
 use sorrelhaven_test_support::{DatagramFaults, FaultProxy};
 use std::net::UdpSocket;
@@ -15,8 +15,8 @@
     (proxy, endpoints)
 }
 
-/// Sends the numbers up to `count` from one endpoint and returns those that arrive at the other, as they
-/// arrive.
+/// Sends the numbers below `count` from one endpoint and returns those that arrive at the other, in the order
+/// of arrival.
 fn send(proxy: &FaultProxy, endpoints: &[UdpSocket; 2], from: usize, count: u8) -> Vec<u8> {
     let to = proxy.address(from, 1 - from).expect("the socket has an address");
     (0..count).for_each(|n| _ = endpoints[from].send_to(&[n], to).expect("the datagram is sent"));
@@ -26,7 +26,7 @@
         assert_eq!(
             (length, sender),
             (1, proxy.address(1 - from, from).expect("the socket has an address")),
-            "the receiver sees the address of its sender"
+            "the source address is the one at which the receiver reaches the sender"
         );
         Some(buffer[0])
     })
@@ -66,8 +66,12 @@
     assert_eq!(first, again);
     assert_ne!(first, other);
     let once: std::collections::BTreeSet<u8> = first.iter().copied().collect();
-    assert!((120..160).contains(&once.len()), "{} of 200 arrived", once.len());
-    assert!((10..50).contains(&(first.len() - once.len())), "{} arrived twice", first.len() - once.len());
+    assert!((120..160).contains(&once.len()), "{} of 200 datagrams arrived", once.len());
+    assert!(
+        (10..50).contains(&(first.len() - once.len())),
+        "{} datagrams arrived twice",
+        first.len() - once.len()
+    );
 }
 
 #[test]
@@ -80,7 +84,7 @@
     };
     proxy.set_all_faults(faults);
     let mut arrived = send(&proxy, &endpoints, 0, 100);
-    assert!(!arrived.is_sorted(), "none overtook another");
+    assert!(!arrived.is_sorted(), "no datagram overtook another");
     arrived.sort_unstable();
     assert_eq!(arrived, (0..100).collect::<Vec<u8>>());
 }
