--- a/crates/frontend-http1/src/accept.rs
+++ b/crates/frontend-http1/src/accept.rs
@@ -1,4 +1,4 @@
-//! The accept loop, which evicts connections without a request in progress when file descriptors run out.
+//! The accept loop. Evicts (closes) connections without a request in progress when file descriptors run out.
 
 use crate::connection::serve_connection;
 use crate::frontend::Frontend;
@@ -13,20 +13,22 @@
 use std::time::{Duration, Instant};
 use tracing::warn;
 
-/// The longest time that a node which shuts down spends on accepting what waits in its own accept queue.
+/// The longest time that a process spends at shutdown on accepting the connections in its own accept queue.
 const QUEUE_DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Who accepts from the listener's queue, which decides what happens to it when this process stops accepting.
+/// Which processes accept from the listener's accept queue. Decides whether this process empties the queue
+/// when it stops accepting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptQueue {
-    /// Only this process: connections that wait in the queue would be reset, so they are accepted.
+    /// Only this process. It empties the queue, because the kernel resets connections that are still in the
+    /// queue when the listener is closed.
     Own,
-    /// Another process as well, which accepts the connections that wait.
+    /// Another process as well, which accepts the connections that are still in the queue.
     Shared,
 }
 
-/// Accepts downstream connections until `stop` completes and then, from an [own](AcceptQueue::Own) queue,
-/// those that still wait in it.
+/// Accepts downstream connections until `stop` completes. Then empties the accept queue if it is this
+/// process's [own](AcceptQueue::Own), for at most 500 ms.
 pub async fn accept(
     frontend: Rc<Frontend>,
     listener: Async<TcpListener>,
@@ -48,7 +50,7 @@
         if accept_one(frontend, listener, permit).await.is_break() {
             let _ = listener.readable().await;
         }
-        // A flood of new connections must not starve those that are open.
+        // Without this, a flood of new connections would starve the open ones.
         yield_now().await;
     }
 }
@@ -62,7 +64,8 @@
     }
 }
 
-/// Accepts one connection, or waits until a failed call may be retried. `Break` where the queue is empty.
+/// Accepts one connection; after a failed call, waits until it may be retried. Returns `Break` if the accept
+/// queue is empty.
 async fn accept_one(
     frontend: &Rc<Frontend>,
     listener: &Async<TcpListener>,
@@ -81,28 +84,28 @@
     }
 }
 
-/// Waits until a failed `accept` may be retried. `Break` where the queue is empty.
+/// Waits until a failed `accept` may be retried. Returns `Break` if it failed because the queue is empty.
 async fn handle_accept_error(frontend: &Frontend, error: &io::Error) -> ControlFlow<()> {
     let failure = classify(SocketCall::Accept, error);
     if failure == SocketFailure::NotReady {
         return ControlFlow::Break(());
     }
     frontend.counters.accepts_failed.increment();
-    // Consecutive failures are logged once.
+    // Logs only the first of consecutive failures.
     if !frontend.accept_failing.replace(true) {
         warn!(%error, "accept failed, retrying");
     }
     match failure {
-        // The failure concerns the one connection, not the listener.
+        // The error concerns a single connection, not the listener: the next call can follow at once.
         SocketFailure::NotReady | SocketFailure::Interrupted | SocketFailure::Connection => {}
-        // The machine's shortage, not this process's: closing connections would not help.
+        // The machine lacks a resource, so closing connections of this process would not help.
         SocketFailure::Shortage => shortage_pause().await,
         SocketFailure::DescriptorLimit => frontend.connections.evict_one().await,
     }
     ControlFlow::Continue(())
 }
 
-/// A descriptor for one more downstream connection. Evicts connections until one is available.
+/// Acquires the descriptor for one more downstream connection. Evicts connections until one is available.
 async fn acquire_descriptor(frontend: &Frontend) -> DescriptorPermit {
     loop {
         match try_acquire_descriptor(frontend) {
@@ -113,13 +116,13 @@
 }
 
 fn try_acquire_descriptor(frontend: &Frontend) -> Option<DescriptorPermit> {
-    if frontend.connections.open() >= frontend.max_connections() {
+    if frontend.connections.open_count() >= frontend.max_connections() {
         return None;
     }
     frontend.connection_pool().acquire_descriptor()
 }
 
-/// Starts the task that serves an accepted connection.
+/// Spawns the task that serves an accepted connection and releases its descriptor permit at the end.
 fn spawn_connection(frontend: &Rc<Frontend>, stream: TcpStream, permit: DescriptorPermit) {
     frontend.counters.downstream_connections.increment();
     frontend.connections.record_opened();
@@ -129,7 +132,7 @@
             Ok(mut connection) => serve_connection(&shared, &mut connection).await,
             Err(error) => {
                 shared.counters.accepts_failed.increment();
-                warn!(%error, "accepted connection could not be registered");
+                warn!(%error, "accepted connection could not be registered with the event loop");
             }
         }
         drop(permit);
--- a/crates/frontend-http1/src/body_reader.rs
+++ b/crates/frontend-http1/src/body_reader.rs
@@ -6,44 +6,44 @@
 use sorrelhaven_wire::{BodyDecoder, Connection, WireError, timeout_at};
 use std::time::{Duration, Instant};
 
-/// A body that is not stored is streamed to a worker once this much of it has arrived. Guards against clients
-/// that announce a large body and send little of it: each would occupy a worker that waits for the rest.
+/// The bytes of a body that must have arrived before it is streamed to a worker, if it is not stored. Guards
+/// against clients that declare a large body and send little of it: each would occupy a worker that waits for
+/// the rest.
 const MIN_STREAMED_BYTES: u64 = BLOCK_BYTES as u64 / 2;
 
-/// A body that is being read.
+/// Reads one body from its connection and passes it to the body store.
 pub struct BodyReader {
-    /// How the rest of the body is framed.
-    pub framing: BodyDecoder,
-    /// Receives the body.
+    /// Decodes the rest of the body, by its declared length or in the chunked coding.
+    pub body_decoder: BodyDecoder,
+    /// Passes the body to the body store.
     pub writer: BodyWriter,
-    /// When the body's first byte could arrive. Moved back by the time for which the node itself delays the
-    /// client.
+    /// The time from which the upload deadline counts: when reading the request started, plus the time for
+    /// which the node itself has delayed the client.
     pub read_started_at: Instant,
-    /// When the client's timeout expires.
+    /// The deadline of the request's answer, after which the body is not needed.
     pub client_deadline: Instant,
 }
 
-/// How far a body has been read.
+/// How reading a body, up to its end or until it can be streamed, has ended.
 pub enum BodyProgress {
     /// The body has been read to its end.
     Complete,
-    /// The body is not stored: the rest is to be streamed to a worker as it arrives.
-    NotStored(BodyReader),
-    /// Reading has ended before the end of the body.
-    Ended(BodyEnd),
+    /// The body is not stored, and enough of it has arrived: the rest is to be streamed to a worker.
+    ReadyToStream(BodyReader),
+    /// Reading has stopped before the end of the body, for this reason.
+    Incomplete(BodyEnd),
 }
 
-/// The result of transferring one chunk.
+/// Whether a body continues after a transferred chunk.
 enum Transfer {
-    /// More of the body follows.
     More,
-    /// The body is complete.
     Complete,
 }
 
 impl BodyReader {
-    /// Reads the body until it is complete, or until it is not stored any longer and can be streamed.
-    pub async fn read_while_stored(
+    /// Reads the body until it is complete, or until it can be streamed because it is not stored and
+    /// [`MIN_STREAMED_BYTES`] of it have arrived.
+    pub async fn read_until_streamable(
         mut self,
         frontend: &Frontend,
         connection: &mut Connection,
@@ -56,13 +56,14 @@
                     self.finish(connection).await;
                     return BodyProgress::Complete;
                 }
-                Err(end) => return BodyProgress::Ended(self.writer.end(end)),
+                Err(end) => return BodyProgress::Incomplete(self.writer.end(end)),
             }
         }
-        BodyProgress::NotStored(self)
+        BodyProgress::ReadyToStream(self)
     }
 
-    /// Reads the rest of a body that is not stored, at the pace at which it is streamed to the worker.
+    /// Reads the rest of a body that is not stored, no faster than it is sent to the worker. Returns how the
+    /// upload ended.
     pub async fn stream_rest(mut self, frontend: &Frontend, connection: &mut Connection) -> BodyEnd {
         let mut chunk = Vec::new();
         loop {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Ends a body whose client has disconnected.
+    /// Ends the upload because the client has disconnected.
     pub fn client_disconnected(self) {
         self.writer.end(BodyEnd::ClientDisconnected);
     }
@@ -92,7 +93,8 @@
         self.writer.finish().await;
     }
 
-    /// Moves the next chunk from the connection to the writer, with `chunk` as buffer.
+    /// Reads the next chunk from the connection and passes it to the writer. `chunk` is the buffer, which is
+    /// reused from call to call.
     async fn transfer_chunk(
         &mut self,
         frontend: &Frontend,
@@ -112,7 +114,7 @@
         Ok(Transfer::More)
     }
 
-    /// Reads the next chunk; false at the end of the body.
+    /// Reads the next chunk; returns false at the end of the body.
     async fn read_chunk(
         &mut self,
         frontend: &Frontend,
@@ -123,7 +125,7 @@
         let upload_deadline =
             bodies.upload_deadline(self.read_started_at, REQUEST_READ_TIMEOUT, self.writer.received_bytes());
         let deadline = upload_deadline.min(self.client_deadline);
-        match timeout_at(deadline, connection.read_body_chunk(&mut self.framing, chunk)).await {
+        match timeout_at(deadline, connection.read_body_chunk(&mut self.body_decoder, chunk)).await {
             None => Err(BodyEnd::TooSlow),
             Some(Ok(more)) => Ok(more),
             Some(Err(WireError::BodyTooLarge)) => Err(BodyEnd::TooLarge),
@@ -131,10 +133,11 @@
         }
     }
 
-    /// Passes a block to the writer, which may wait for room.
+    /// Passes a block to the writer, which may wait for the disk or for the worker to which the body is
+    /// streamed.
     async fn write_block(&mut self, connection: &Connection, block: &[u8]) -> Result<(), BodyEnd> {
         let waiting_since = Instant::now();
-        // Nothing is read from the connection meanwhile, so a read cannot report that the client has
+        // Nothing is read from the connection during this wait, so no read reports that the client has
         // disconnected.
         let disconnected = async {
             connection.peer_closed().await;
@@ -145,7 +148,8 @@
         Ok(())
     }
 
-    /// A delay that the node itself caused does not count as slowness of the client.
+    /// Moves the upload deadline by a `delay` that the node itself caused: it must not count against the
+    /// client.
     fn extend_upload_deadline(&mut self, delay: Duration) {
         self.read_started_at += delay;
     }
--- a/crates/frontend-http1/src/connection.rs
+++ b/crates/frontend-http1/src/connection.rs
@@ -1,4 +1,4 @@
-//! One downstream connection, from its accept to its end.
+//! Serves one downstream connection, from its accept to its close.
 
 use crate::exchange::{Exchange, serve_request};
 use crate::frontend::{Frontend, REQUEST_READ_TIMEOUT};
@@ -9,39 +9,39 @@
 use std::time::{Duration, Instant};
 use tracing::debug;
 
-/// The time in which a client must have received its response.
+/// The time within which a response must have been written to the client's connection.
 const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a connection that has carried a job may be idle.
+/// How long a connection on which a job has been submitted may be idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// How long a connection's input is drained before it is closed, so that the client receives the response and
-/// not a reset.
+/// How long the input of a connection is drained after the last response. Closing a socket that has unread
+/// input resets the connection, and the client may then lose the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// The most that is drained from such a connection.
+/// The most input that is drained after the last response.
 const MAX_LINGER_BYTES: usize = 4 * MAX_BODY_BYTES;
 
-/// Serves requests on a downstream connection, one after the other, until either side ends it. Until the
-/// connection has carried a job, [`REQUEST_READ_TIMEOUT`] counts from its accept, and it is the first to be
-/// evicted.
+/// Serves requests on a downstream connection, one after the other, until the client or the node closes it.
+/// Until a job has been submitted on the connection, [`REQUEST_READ_TIMEOUT`] counts from its accept, and the
+/// connection is evicted before those that have submitted a job.
 pub async fn serve_connection(frontend: &Frontend, connection: &mut Connection) {
     let accepted_at = Instant::now();
-    let mut has_carried_job = false;
+    let mut has_submitted_job = false;
     loop {
-        let unused_deadline = (!has_carried_job).then_some(accepted_at + REQUEST_READ_TIMEOUT);
+        let unused_deadline = (!has_submitted_job).then_some(accepted_at + REQUEST_READ_TIMEOUT);
         if !wait_for_request(frontend, connection, unused_deadline).await {
             return;
         }
-        let read_started_at = if has_carried_job { Instant::now() } else { accepted_at };
+        let read_started_at = if has_submitted_job { Instant::now() } else { accepted_at };
         let Some(exchange) = serve_request(frontend, connection, read_started_at).await else { return };
-        has_carried_job |= exchange.carried_job;
+        has_submitted_job |= exchange.submitted_job;
         if send_response(frontend, connection, exchange).await.is_err() {
             return;
         }
-        // A client that sends without pause must not starve the others.
+        // Without this, a client that sends requests without a pause would starve the other clients.
         yield_now().await;
     }
 }
 
-/// The connection cannot carry another request.
+/// The connection must be closed: no other request can be read from it.
 struct ConnectionEnded;
 
 async fn send_response(
@@ -50,7 +50,7 @@
     exchange: Exchange,
 ) -> Result<(), ConnectionEnded> {
     let Exchange { mut response, reusable, .. } = exchange;
-    record_rejection(frontend, &response);
+    record_client_error(frontend, &response);
     response.close |= !reusable || connection.has_discarded_input() || frontend.is_draining();
     let bytes = response.to_bytes();
     let write_deadline = Instant::now() + RESPONSE_WRITE_TIMEOUT;
@@ -65,31 +65,32 @@
     Ok(())
 }
 
-fn record_rejection(frontend: &Frontend, response: &Response) {
+fn record_client_error(frontend: &Frontend, response: &Response) {
     if response.status / 100 == 4 {
         frontend.counters.malformed_requests.increment();
         let body = String::from_utf8_lossy(&response.body);
-        debug!(response.status, %body, "request rejected by the protocol");
+        debug!(response.status, %body, "responding with a 4xx status");
     }
 }
 
-/// What ends the wait for a request.
-enum Wake {
-    /// The first bytes of a request have arrived.
+/// The event that ends the wait for the next request on a connection.
+enum IdleEvent {
+    /// Input has arrived, the beginning of a request.
     Input,
     /// The client has closed the connection.
     PeerClosed,
-    /// The connection is evicted for lack of descriptors.
+    /// The connection is to be closed to release its file descriptor.
     Evicted,
-    /// The node closes idle connections.
+    /// The node closes all idle connections, in a drain or a shutdown.
     CloseIdle,
-    /// The connection has been idle for too long.
+    /// The connection has been idle for [`IDLE_TIMEOUT`], or has reached its `unused_deadline`.
     TimedOut,
 }
 
-/// Waits for the first byte of a request; false where the connection is to be closed instead.
-/// `unused_deadline` is the end of the wait on a connection that has not carried a job yet. A connection with
-/// unread input is never closed: input that arrived since the last read is looked for once more.
+/// Waits for the first byte of a request; returns false if the connection is to be closed instead.
+/// `unused_deadline` ends the wait on a connection on which no job has been submitted yet; `None` on all
+/// others. The node does not close a connection with unread input, so the socket is read once more before a
+/// close.
 async fn wait_for_request(
     frontend: &Frontend,
     connection: &mut Connection,
@@ -101,40 +102,41 @@
     let connections = &frontend.connections;
     let eviction =
         if unused_deadline.is_some() { &connections.evict_unused } else { &connections.evict_idle };
-    match next_wake(frontend, connection, eviction, unused_deadline).await {
-        Wake::Input => true,
-        Wake::PeerClosed => false,
-        Wake::Evicted if connection.has_input() => {
-            // Another connection is evicted in its place.
+    match next_idle_event(frontend, connection, eviction, unused_deadline).await {
+        IdleEvent::Input => true,
+        IdleEvent::PeerClosed => false,
+        IdleEvent::Evicted if connection.has_input() => {
+            // The notification is passed on, so that another connection is evicted instead of this one.
             eviction.notify_additional(1);
             true
         }
-        Wake::Evicted => {
+        IdleEvent::Evicted => {
             frontend.counters.evicted_connections.increment();
             false
         }
-        Wake::CloseIdle | Wake::TimedOut => connection.has_input(),
+        IdleEvent::CloseIdle | IdleEvent::TimedOut => connection.has_input(),
     }
 }
 
-async fn next_wake(
+async fn next_idle_event(
     frontend: &Frontend,
     connection: &mut Connection,
     eviction: &Event,
     unused_deadline: Option<Instant>,
-) -> Wake {
+) -> IdleEvent {
     let close_idle = frontend.connections.close_idle.listen();
     let close = async {
         if !frontend.lifecycle.read(|lifecycle| lifecycle.closes_idle_immediately(Instant::now())) {
             close_idle.await;
         }
-        Wake::CloseIdle
+        IdleEvent::CloseIdle
     };
     let evicted = async {
         eviction.listen().await;
-        Wake::Evicted
+        IdleEvent::Evicted
     };
-    let input = async { if connection.fill().await.is_ok() { Wake::Input } else { Wake::PeerClosed } };
+    let input =
+        async { if connection.fill().await.is_ok() { IdleEvent::Input } else { IdleEvent::PeerClosed } };
     let idle_deadline = unused_deadline.unwrap_or_else(|| Instant::now() + IDLE_TIMEOUT);
-    timeout_at(idle_deadline, or(input, or(evicted, close))).await.unwrap_or(Wake::TimedOut)
+    timeout_at(idle_deadline, or(input, or(evicted, close))).await.unwrap_or(IdleEvent::TimedOut)
 }
--- a/crates/frontend-http1/src/downstream.rs
+++ b/crates/frontend-http1/src/downstream.rs
@@ -1,31 +1,31 @@
-//! The number of open downstream connections, and the notifications that close those without a request in
-//! progress.
+//! Counts the open downstream connections, and notifies those without a request in progress to close.
 
 use event_listener::Event;
 use sorrelhaven_wire::timeout_at;
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// The longest wait for an evicted connection to close before another one is evicted.
+/// How long to wait for an evicted connection to close before the next one is evicted.
 const EVICTION_TIMEOUT: Duration = Duration::from_millis(10);
 
-/// The state that all downstream connections of a front end share.
+/// The count of a front end's downstream connections, and the events that close some of them.
 #[derive(Default)]
 pub struct DownstreamConnections {
     open: Cell<usize>,
-    /// Each notification closes the oldest connection that has not carried a job yet.
+    /// Each notification closes one unused connection, on which no job has been submitted yet: the oldest.
     pub evict_unused: Event,
-    /// Each notification closes one connection that has carried a job, the one that has been idle the
-    /// longest.
+    /// Each notification closes one connection on which a job has been submitted: the one that has been idle
+    /// for the longest time.
     pub evict_idle: Event,
-    /// Closes all connections that are idle: the node drains or shuts down.
+    /// Closes all idle connections, because the node drains or shuts down.
     pub close_idle: Event,
+    /// Notified at each connection that has closed.
     closed: Event,
 }
 
 impl DownstreamConnections {
-    /// How many connections are open.
-    pub fn open(&self) -> usize {
+    /// The number of open connections.
+    pub fn open_count(&self) -> usize {
         self.open.get()
     }
 
@@ -34,15 +34,15 @@
         self.open.set(self.open.get() + 1);
     }
 
-    /// Records that a connection has ended.
+    /// Records that a connection has closed, which ends the wait of [`DownstreamConnections::evict_one`].
     pub fn record_closed(&self) {
         self.open.set(self.open.get() - 1);
         self.closed.notify(1);
     }
 
-    /// Closes one connection without a request in progress and waits until one has closed, for at most
-    /// [`EVICTION_TIMEOUT`]. Connections that have never carried a job are closed first: clients that send
-    /// nothing must not displace those that do.
+    /// Closes one connection without a request in progress. Waits until any connection has closed, but no
+    /// longer than [`EVICTION_TIMEOUT`]. Unused connections are closed first: clients that send nothing must
+    /// not displace those that send jobs.
     pub async fn evict_one(&self) {
         let closed = self.closed.listen();
         if self.evict_unused.notify_additional(1) == 0 {
@@ -51,10 +51,10 @@
         timeout_at(Instant::now() + EVICTION_TIMEOUT, closed).await;
     }
 
-    /// Closes as many connections without a request in progress as are open beyond `max_open`.
+    /// Closes connections without a request in progress: as many as are open in excess of `max_open`.
     pub fn evict_excess(&self, max_open: usize) {
-        let excess = self.open().saturating_sub(max_open);
-        let unused = self.evict_unused.notify_additional(excess);
-        self.evict_idle.notify_additional(excess - unused);
+        let excess = self.open_count().saturating_sub(max_open);
+        let evicted_unused = self.evict_unused.notify_additional(excess);
+        self.evict_idle.notify_additional(excess - evicted_unused);
     }
 }
--- a/crates/frontend-http1/src/exchange.rs
+++ b/crates/frontend-http1/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request on a downstream connection and its response.
+//! One exchange on a downstream connection: reads a request and determines the response to it.
 
 use crate::frontend::Frontend;
 use crate::job_exchange::IncomingJob;
@@ -7,29 +7,29 @@
 use sorrelhaven_wire::{BodyDecoder, Connection, MAX_BODY_BYTES, WireError};
 use std::time::Instant;
 
-/// The interim response to a client that waits before it sends its body.
+/// The interim response that tells a client which sent `Expect: 100-continue` to send its body.
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// The outcome of one request.
+/// The response to one request, and whether its connection can be used for another one.
 pub struct Exchange {
     /// The response to be sent.
     pub response: Response,
-    /// The connection can carry another request: this one was read to its end, and the client keeps the
-    /// connection open.
+    /// Whether the connection can be used for another request: this one was read to its end, and the client
+    /// keeps the connection open.
     pub reusable: bool,
-    /// The request was passed to the engine as a job.
-    pub carried_job: bool,
+    /// Whether the request was submitted to the engine as a job.
+    pub submitted_job: bool,
 }
 
 impl Exchange {
-    /// The outcome of a request that the front end answers itself, on a connection that cannot be used again.
+    /// An exchange without a job, after which the connection is closed.
     pub fn closing(response: Response) -> Exchange {
-        Exchange { response, reusable: false, carried_job: false }
+        Exchange { response, reusable: false, submitted_job: false }
     }
 }
 
-/// Reads one request, whose first byte could arrive at `read_started_at`, and obtains its response. `None`
-/// where the client has disconnected.
+/// Reads one request and determines the response to it. The read timeout counts from `read_started_at`.
+/// Returns `None` if the connection is to be closed without a response, as after the client has disconnected.
 pub async fn serve_request(
     frontend: &Frontend,
     connection: &mut Connection,
@@ -37,27 +37,28 @@
 ) -> Option<Exchange> {
     let parsed =
         frontend.within_read_timeout(read_started_at, ParsedRequest::read(frontend, connection)).await;
-    let ParsedRequest { draft, body, expects_continue, keeps_alive } = match parsed {
+    let ParsedRequest { draft, body_decoder, expects_continue, keeps_alive } = match parsed {
         None => return Some(Exchange::closing(Response::request_timeout())),
         Some(Err(error)) => return Response::from_wire_error(error).map(Exchange::closing),
         Some(Ok(request)) => request,
     };
     match draft {
         Ok(draft) => {
-            let job = IncomingJob { draft, framing: body, expects_continue, read_started_at };
+            let job = IncomingJob { draft, body_decoder, expects_continue, read_started_at };
             let exchange = job.serve(frontend, connection).await?;
             Some(Exchange { reusable: keeps_alive && exchange.reusable, ..exchange })
         }
         Err(response) => {
-            let discarded = discard_body(connection, body, expects_continue);
+            let discarded = discard_body(connection, body_decoder, expects_continue);
             let discarded = frontend.within_read_timeout(read_started_at, discarded).await;
-            answer_without_job(response, discarded, keeps_alive)
+            respond_without_job(response, discarded, keeps_alive)
         }
     }
 }
 
-/// The outcome of a request that the front end answers itself, by how reading past its body ended.
-fn answer_without_job(
+/// The exchange for a request that is no job. `discarded` is the result of reading past the request's body,
+/// `None` after a timeout; `response` is sent only if that succeeded.
+fn respond_without_job(
     response: Response,
     discarded: Option<Result<(), WireError>>,
     keeps_alive: bool,
@@ -65,21 +66,22 @@
     match discarded {
         None => Some(Exchange::closing(Response::request_timeout())),
         Some(Err(error)) => Response::from_wire_error(error).map(Exchange::closing),
-        Some(Ok(())) => Some(Exchange { response, reusable: keeps_alive, carried_job: false }),
+        Some(Ok(())) => Some(Exchange { response, reusable: keeps_alive, submitted_job: false }),
     }
 }
 
-/// Reads past the body of a request that the front end answers itself.
+/// Reads and discards the body of a request that is no job, so that the connection can be used for the next
+/// request.
 async fn discard_body(
     connection: &mut Connection,
-    body: BodyDecoder,
+    body_decoder: BodyDecoder,
     expects_continue: bool,
 ) -> Result<(), WireError> {
-    if matches!(body, BodyDecoder::Length(length) if length > MAX_BODY_BYTES) {
+    if matches!(body_decoder, BodyDecoder::Length(length) if length > MAX_BODY_BYTES) {
         return Err(WireError::BodyTooLarge);
     }
     if expects_continue {
         connection.write(CONTINUE).await?;
     }
-    connection.read_body(body).await.map(drop)
+    connection.read_body(body_decoder).await.map(drop)
 }
--- a/crates/frontend-http1/src/frontend.rs
+++ b/crates/frontend-http1/src/frontend.rs
@@ -1,4 +1,4 @@
-//! The state that all downstream connections share.
+//! The front end as a whole: its settings, its counters and the deadlines for reading requests.
 
 use crate::counters::Counters;
 use crate::downstream::DownstreamConnections;
@@ -11,33 +11,34 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The time in which a request must be received, from its first byte, or from the accept for a connection's
-/// first request. A long body has, in addition, the time that its length takes at the slowest permitted rate.
-/// Guards against connections that send nothing or an incomplete request: they must be closed within 3 s.
+/// The time within which a request must be received. Counts from the request's first byte or, until a job has
+/// been submitted on the connection, from the accept. A job's body extends it by the time that the received
+/// bytes take at the configured minimum upload rate. Guards against connections that send nothing or an
+/// incomplete request: they must be closed within 3 s.
 pub(crate) const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2_200);
 
 /// The HTTP/1.1 front end of one node.
 pub struct Frontend {
-    /// Executes the jobs.
+    /// The engine that executes the jobs.
     pub(crate) engine: Rc<Engine>,
-    /// The request classes, as the settings list them.
+    /// The request classes, in the order of the settings.
     pub(crate) classes: Vec<RequestClass>,
-    /// The tenants; empty where requests name none.
+    /// The names of the tenants, in the order of the settings; empty if requests name no tenant.
     pub(crate) tenants: Vec<String>,
-    /// The counters.
+    /// Counts connections and invalid requests.
     pub counters: Counters,
-    /// The open downstream connections.
+    /// Counts the open downstream connections, and notifies those without a request in progress to close.
     pub(crate) connections: DownstreamConnections,
-    /// Whether the last `accept` call failed.
+    /// Whether the last `accept` call failed, so that consecutive failures are logged once.
     pub(crate) accept_failing: Cell<bool>,
-    /// The node's lifecycle.
+    /// The phase of the node (starting, serving, drained, stopping), with notification of changes.
     pub(crate) lifecycle: Rc<LifecycleHandle>,
-    /// The longest time that a client of any class waits for its answer.
+    /// The longest deadline of any request class.
     longest_client_timeout: Duration,
 }
 
 impl Frontend {
-    /// A front end that passes its jobs to `engine` and reports the readiness of `lifecycle`.
+    /// Creates a front end that submits jobs to `engine` and takes its readiness from `lifecycle`.
     pub fn new(engine: Rc<Engine>, config: &Config, lifecycle: Rc<LifecycleHandle>) -> Rc<Frontend> {
         let longest_deadline = config.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
         Rc::new(Frontend {
@@ -52,8 +53,8 @@
         })
     }
 
-    /// Waits until the point in time that `deadline` computes from the lifecycle has passed. It is computed
-    /// again at each change of the lifecycle; `None` waits for the next change.
+    /// Waits until the deadline that `deadline` derives from the lifecycle has passed. The deadline is
+    /// derived again at each change of the lifecycle; `None` means that there is none until the next change.
     pub async fn lifecycle_deadline_passed(&self, deadline: impl Fn(&Lifecycle) -> Option<Instant>) {
         loop {
             let changed = self.lifecycle.changed();
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Closes idle connections whenever the lifecycle requires it. Never returns.
+    /// Closes idle connections once the deadline for that passes in a drain or a shutdown. Never returns.
     pub async fn close_idle_connections(&self) {
         loop {
             self.lifecycle_deadline_passed(Lifecycle::idle_close_at).await;
@@ -77,8 +78,8 @@
         }
     }
 
-    /// Runs `work`, which reads a request whose first byte could arrive at `read_started_at`. `None` where
-    /// that takes longer than [`REQUEST_READ_TIMEOUT`] or than the lifecycle allows.
+    /// Runs `work`, which reads a request, for at most [`REQUEST_READ_TIMEOUT`] from `read_started_at` on.
+    /// Returns `None` on a timeout, or when the read deadline of a drain or shutdown passes.
     pub(crate) async fn within_read_timeout<T>(
         &self,
         read_started_at: Instant,
@@ -91,7 +92,7 @@
         .await
     }
 
-    /// Waits until a draining node can no longer wait for a request whose first byte could arrive at
+    /// Waits until the read deadline of a drain or shutdown passes for a request whose reading started at
     /// `read_started_at`. The deadline does not apply to a request that starts after it.
     pub(crate) async fn drain_deadline_passed(&self, read_started_at: Instant) {
         self.lifecycle_deadline_passed(|lifecycle| {
@@ -101,33 +102,35 @@
         .await;
     }
 
-    /// When a request that was completely received at `received_at` must be answered whatever its client
-    /// allows; `None` without such a deadline.
+    /// When a node that shuts down must have answered a request that was completely received at
+    /// `received_at`, even if the client's own timeout is later; `None` if there is no such deadline.
     pub(crate) fn answer_deadline(&self, received_at: Instant) -> Option<Instant> {
         self.lifecycle.read(|lifecycle| lifecycle.answer_deadline(received_at, self.longest_client_timeout))
     }
 
-    /// Closes as many connections without a request in progress as are open beyond the descriptor limit.
+    /// Closes connections without a request in progress: as many as are open in excess of the limit that the
+    /// file descriptors set.
     pub fn evict_excess_connections(&self) {
         self.connections.evict_excess(self.max_connections());
     }
 
-    /// How many downstream connections are open.
+    /// The number of open downstream connections.
     pub fn open_connection_count(&self) -> usize {
-        self.connections.open()
+        self.connections.open_count()
     }
 
-    /// How many downstream connections the descriptor limit permits.
+    /// The most downstream connections that the limit of file descriptors permits.
     pub(crate) fn max_connections(&self) -> usize {
         self.connection_pool().descriptors.max_downstream_connections()
     }
 
-    /// Whether each response closes its connection.
+    /// Whether the node drains or shuts down, so that each response closes its connection.
     pub(crate) fn is_draining(&self) -> bool {
         self.lifecycle.read(Lifecycle::is_draining)
     }
 
-    /// The pool of upstream connections, which shares the descriptor limit.
+    /// The pool of upstream connections, whose file descriptors count against the same limit as those of the
+    /// downstream connections.
     pub(crate) fn connection_pool(&self) -> &ConnectionPool {
         &self.engine.upstreams.pool
     }
--- a/crates/frontend-http1/src/job_exchange.rs
+++ b/crates/frontend-http1/src/job_exchange.rs
@@ -1,5 +1,5 @@
-//! One job on a downstream connection: its body is read, the job is passed to the engine, and its answer is
-//! awaited.
+//! Serves one job on a downstream connection: reads its body, submits the job to the engine and waits for the
+//! answer.
 
 use crate::body_reader::{BodyProgress, BodyReader};
 use crate::exchange::{CONTINUE, Exchange};
@@ -14,43 +14,42 @@
 
 /// A job whose body has not been read yet.
 pub struct IncomingJob {
-    /// The job without its body.
+    /// The fields of the job that the request's head determines.
     pub draft: RequestDraft,
-    /// How the body is framed.
-    pub framing: BodyDecoder,
-    /// The client waits for `100 Continue` before it sends the body.
+    /// Decodes the body, by its declared length or in the chunked coding.
+    pub body_decoder: BodyDecoder,
+    /// Whether the client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
-    /// When the request's first byte could arrive.
+    /// The time from which the request's read timeout counts.
     pub read_started_at: Instant,
 }
 
-/// A body that was received, or that was received so far and is to be streamed.
+/// A body that has been received completely, or far enough that its rest can be streamed to a worker.
 struct ReceivedBody {
     body: RequestBody,
-    /// Reads the rest of a body that is streamed.
-    unread: Option<BodyReader>,
+    /// Reads the rest of a body that is to be streamed; `None` for a complete body.
+    rest: Option<BodyReader>,
 }
 
 /// Why a body could not be received.
 enum ReceiveError {
-    /// The client has closed its connection, and no response can be sent.
+    /// The client has disconnected, so no response can be sent.
     ClientDisconnected,
-    /// Reading has ended before the end of the body.
+    /// Reading has stopped before the end of the body.
     Incomplete {
-        /// The body as far as it was received.
+        /// The part of the body that was received.
         body: RequestBody,
-        /// Why reading has ended.
+        /// Why reading has stopped.
         end: BodyEnd,
     },
 }
 
-/// The client has closed its connection.
 struct ClientDisconnected;
 
 impl IncomingJob {
-    /// Reads the body, passes the job to the engine and waits for its answer. `None` where the client has
-    /// disconnected or gets no response. A body that is not stored is streamed: the job is passed on before
-    /// all of it has arrived.
+    /// Reads the body, submits the job to the engine and waits for its answer. A job whose body is not stored
+    /// is submitted before all of the body has arrived, and the rest is streamed to the worker. Returns
+    /// `None` if the client has disconnected, or if the connection is to be closed without a response.
     pub async fn serve(self, frontend: &Frontend, connection: &mut Connection) -> Option<Exchange> {
         let clock = &frontend.engine.dispatcher_loop.clock;
         let client_deadline = clock.instant(self.draft.deadline);
@@ -58,14 +57,14 @@
             Ok(received) => received,
             Err(ReceiveError::ClientDisconnected) => return None,
             Err(ReceiveError::Incomplete { body, end }) => {
-                return answer_incomplete(frontend, connection, self.draft, body, end).await;
+                return respond_to_incomplete_body(frontend, connection, self.draft, body, end).await;
             }
         };
-        let ReceivedBody { body, unread } = received;
+        let ReceivedBody { body, rest } = received;
         let permit = match acquire_body_permit(frontend, connection, &body, client_deadline).await {
             Ok(permit) => permit,
             Err(ClientDisconnected) => {
-                if let Some(reader) = unread {
+                if let Some(reader) = rest {
                     reader.client_disconnected();
                 }
                 return None;
@@ -77,67 +76,68 @@
         }
         let job = draft.into_job(body.clone(), true, permit, connection.peer_close_detector());
         let Ok(request) = frontend.engine.submit(job) else {
-            return Some(duplicate_request(unread.is_none()));
+            return Some(duplicate_request(rest.is_none()));
         };
-        await_answer(frontend, connection, request, &body, unread).await
+        await_answer(frontend, connection, request, &body, rest).await
     }
 
-    /// Reads the body until it is complete or is to be streamed.
+    /// Reads the body until it is complete, or until its rest can be streamed.
     async fn receive_body(
         &self,
         frontend: &Frontend,
         connection: &mut Connection,
         client_deadline: Instant,
     ) -> Result<ReceivedBody, ReceiveError> {
-        let budget_index = self.draft.budget_index(frontend);
+        let budget_group = self.draft.budget_group(frontend);
         let writer = frontend
             .engine
             .bodies
-            .begin_upload(budget_index, declared_length(self.framing))
+            .begin_upload(budget_group, declared_length(self.body_decoder))
             .map_err(|(end, body)| ReceiveError::Incomplete { body, end })?;
         let body = writer.body();
         if self.expects_continue && connection.write(CONTINUE).await.is_err() {
             return Err(ReceiveError::ClientDisconnected);
         }
         let read_started_at = self.read_started_at;
-        let reader = BodyReader { framing: self.framing, writer, read_started_at, client_deadline };
+        let reader = BodyReader { body_decoder: self.body_decoder, writer, read_started_at, client_deadline };
         match read_until_drain_deadline(frontend, connection, reader).await {
-            BodyProgress::Complete => Ok(ReceivedBody { body, unread: None }),
-            BodyProgress::NotStored(reader) => Ok(ReceivedBody { body, unread: Some(reader) }),
-            BodyProgress::Ended(end) => Err(ReceiveError::Incomplete { body, end }),
+            BodyProgress::Complete => Ok(ReceivedBody { body, rest: None }),
+            BodyProgress::ReadyToStream(reader) => Ok(ReceivedBody { body, rest: Some(reader) }),
+            BodyProgress::Incomplete(end) => Err(ReceiveError::Incomplete { body, end }),
         }
     }
 }
 
-/// The length that the client declares; `None` for a chunked body.
-fn declared_length(framing: BodyDecoder) -> Option<u64> {
-    match framing {
+/// The length in bytes that the client declares; `None` for a body in the chunked coding.
+fn declared_length(body_decoder: BodyDecoder) -> Option<u64> {
+    match body_decoder {
         BodyDecoder::Length(length) => Some(length as u64),
         _ => None,
     }
 }
 
-/// The outcome of a request whose id another open request has.
+/// The exchange for a request whose id is that of another request in progress.
 fn duplicate_request(reusable: bool) -> Exchange {
-    Exchange { response: Response::new(409), reusable, carried_job: false }
+    Exchange { response: Response::new(409), reusable, submitted_job: false }
 }
 
-/// Reads the body for as long as the lifecycle allows.
+/// Reads the body until the read deadline of a drain or shutdown at the latest.
 async fn read_until_drain_deadline(
     frontend: &Frontend,
     connection: &mut Connection,
     reader: BodyReader,
 ) -> BodyProgress {
     let read_started_at = reader.read_started_at;
-    or(reader.read_while_stored(frontend, connection), async {
+    or(reader.read_until_streamable(frontend, connection), async {
         frontend.drain_deadline_passed(read_started_at).await;
-        BodyProgress::Ended(BodyEnd::TooSlow)
+        BodyProgress::Incomplete(BodyEnd::TooSlow)
     })
     .await
 }
 
-/// Waits until few enough long bodies are being sent to workers; a short body needs no permit. Without a
-/// permit by `client_deadline` the job proceeds all the same: the decision module rejects it as overdue.
+/// Waits for the permit to send a long body to a worker; a body of at most [`BLOCK_BYTES`] needs none.
+/// Without a permit by `client_deadline` the job is submitted all the same, and the dispatcher rejects it as
+/// overdue.
 async fn acquire_body_permit(
     frontend: &Frontend,
     connection: &mut Connection,
@@ -155,38 +155,39 @@
     or(acquired, disconnected).await
 }
 
-/// Waits for the answer while the unread rest of the body is streamed.
+/// Waits for the answer and meanwhile streams the `rest` of the body.
 async fn await_answer(
     frontend: &Frontend,
     connection: &mut Connection,
     request: RequestHandle,
     body: &RequestBody,
-    unread: Option<BodyReader>,
+    rest: Option<BodyReader>,
 ) -> Option<Exchange> {
     let answer = async { Ok(request.answer().await) };
-    let interrupted = async { Err(stream_until_disconnected(frontend, connection, unread).await) };
+    let interrupted = async { Err(stream_until_disconnected(frontend, connection, rest).await) };
     match or(answer, interrupted).await {
         Ok(answer) => {
-            // After an early answer the rest of the body cannot be distinguished from the next request.
+            // If the answer came before the end of the body, the rest of the body is still to arrive and
+            // could be taken for the next request.
             let reusable = body.end().is_some_and(BodyEnd::is_complete);
-            Some(Exchange { response: Response::from_answer(answer), reusable, carried_job: true })
+            Some(Exchange { response: Response::from_answer(answer), reusable, submitted_job: true })
         }
         Err(end) => {
             request.client_disconnected();
             let response = Response::from_body_end(end)?;
-            Some(Exchange { response, reusable: false, carried_job: true })
+            Some(Exchange { response, reusable: false, submitted_job: true })
         }
     }
 }
 
-/// Streams the unread rest of the body, then waits for the client to disconnect. Returns why no answer is
-/// awaited any longer.
+/// Streams the `rest` of the body, then waits for the client to disconnect. Returns why the wait for the
+/// answer ends: how the body failed, or that the client has disconnected.
 async fn stream_until_disconnected(
     frontend: &Frontend,
     connection: &mut Connection,
-    unread: Option<BodyReader>,
+    rest: Option<BodyReader>,
 ) -> BodyEnd {
-    if let Some(reader) = unread {
+    if let Some(reader) = rest {
         let end = reader.stream_rest(frontend, connection).await;
         if !end.is_complete() {
             return end;
@@ -196,9 +197,9 @@
     BodyEnd::ClientDisconnected
 }
 
-/// The outcome of a job whose body was not received completely. One that could not be stored is passed to the
-/// decision module, which rejects it.
-async fn answer_incomplete(
+/// The exchange for a job whose body was not received completely. If the body could not be stored, the job is
+/// submitted for the dispatcher to reject it.
+async fn respond_to_incomplete_body(
     frontend: &Frontend,
     connection: &Connection,
     draft: RequestDraft,
@@ -213,10 +214,10 @@
         return Some(duplicate_request(false));
     };
     let response = Response::from_answer(request.answer().await);
-    Some(Exchange { response, reusable: false, carried_job: true })
+    Some(Exchange { response, reusable: false, submitted_job: true })
 }
 
-/// Whether the body could not be stored and such bodies are rejected.
+/// Whether the body could not be stored and the settings reject such requests.
 fn is_storage_failure(end: BodyEnd) -> bool {
     match end {
         BodyEnd::DiskFull | BodyEnd::DiskFailed | BodyEnd::DiskSlow | BodyEnd::BudgetExhausted => true,
--- a/crates/frontend-http1/src/lib.rs
+++ b/crates/frontend-http1/src/lib.rs
@@ -1,8 +1,9 @@
 //! The HTTP/1.1 front end: accepts client connections and answers `POST /api` and `GET /health/ready`.
 //!
-//! A downstream connection carries requests one after the other. Each valid request becomes a `Job` for the
-//! engine, and its single `Answer` becomes status 200, 503 or 502. Everything else is answered by the front
-//! end itself (400, 404, 405, 408, 409, 413, 431).
+//! A downstream connection is one accepted from a client; its requests are served one after the other. Each
+//! valid `POST /api` request becomes a `Job` for the engine, and its `Answer` becomes status 200 (served),
+//! 503 (rejected) or 502 (failed). The front end responds to all other requests itself: with 200 or 503 to a
+//! readiness check, and with 400, 404, 405, 408, 409, 413 or 431 to a request that is no valid job.
 //!
 //! ```no_run
 //! use sorrelhaven_config::Config;
--- a/crates/frontend-http1/src/listen.rs
+++ b/crates/frontend-http1/src/listen.rs
@@ -6,16 +6,16 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-/// How long opening the listener is retried while the machine lacks resources.
+/// How long opening the listener is retried while the machine lacks memory or buffers.
 const LISTEN_RETRY_TIMEOUT: Duration = Duration::from_secs(3);
 /// The pause between two attempts to listen.
 const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(10);
-/// Length of the accept queue. The kernel drops connections beyond it, and a client whose SYN is dropped
-/// retransmits it a second later: a burst of hundreds must not delay clients that long.
+/// Length of the accept queue. The kernel drops connections in excess of it, and a client whose SYN is
+/// dropped retransmits it a second later. This length spares a burst of hundreds of clients that delay.
 const ACCEPT_QUEUE_LENGTH: i32 = 1024;
 
-/// Listens on `address`. A lack of memory or buffers is retried for a few seconds: a transient
-/// shortage must not prevent a start.
+/// Listens on `address`. Retries for up to 3 s if the machine lacks memory or buffers: a transient shortage
+/// must not prevent the node's start. Blocks the thread meanwhile.
 ///
 /// # Errors
 /// The error of the last `bind` or `listen` call.
@@ -28,7 +28,7 @@
         };
         match retry_decision(SocketCall::Listen, &error, retry_until) {
             RetryDecision::Immediately => {}
-            // Blocks the thread: no task runs yet.
+            // Blocking the thread delays nothing: at start-up no task runs yet.
             RetryDecision::AfterPause => std::thread::sleep(LISTEN_RETRY_INTERVAL),
             RetryDecision::GiveUp => return Err(error),
         }
--- a/crates/frontend-http1/src/parsed_request.rs
+++ b/crates/frontend-http1/src/parsed_request.rs
@@ -1,4 +1,4 @@
-//! Reads a request's head and validates it against the protocol.
+//! Reads and validates the head of a request.
 
 use crate::frontend::Frontend;
 use crate::request_draft::RequestDraft;
@@ -8,27 +8,25 @@
 use sorrelhaven_lifecycle::Lifecycle;
 use sorrelhaven_wire::{BodyDecoder, Connection, Head, StartLine, WireError};
 
-/// Subtracted from the client's timeout for the network's round trip: the answer must arrive before the
-/// client gives up.
+/// The part of the client's timeout that is left for the network round trip, so that the answer reaches the
+/// client before the timeout expires.
 const ROUND_TRIP_ALLOWANCE_MICROS: Micros = 3_000;
-/// The longest timeout that a client can ask for; longer ones are shortened to it.
+/// The longest client timeout that is accepted, one hour. A longer one counts as this.
 const MAX_TIMEOUT_MICROS: f64 = 3_600e6;
-/// Slots that a job occupies where the request does not say.
+/// The number of slots that a job occupies on a worker if its request does not state one.
 const DEFAULT_SLOTS: f64 = 1.0;
-/// The path of the readiness check.
 const READINESS_PATH: &str = "/health/ready";
-/// The path of jobs.
 const JOB_PATH: &str = "/api";
 
 /// A request whose head has been read.
 pub struct ParsedRequest {
-    /// The job to be, or the response to everything that is no valid job.
+    /// The draft of a valid job, or the response to any other request.
     pub draft: Result<RequestDraft, Response>,
-    /// How the body is framed.
-    pub body: BodyDecoder,
-    /// The client waits for `100 Continue` before it sends the body.
+    /// Decodes the body, by its declared length or in the chunked coding.
+    pub body_decoder: BodyDecoder,
+    /// Whether the client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
-    /// The client keeps the connection open for another request.
+    /// Whether the client keeps the connection open for another request.
     pub keeps_alive: bool,
 }
 
@@ -36,24 +34,25 @@
     /// Reads the head of the next request on the connection.
     ///
     /// # Errors
-    /// The head could not be read, or does not say unambiguously how the body is framed.
+    /// The head could not be read, or its headers that state the length of the body are invalid or ambiguous.
     pub async fn read(frontend: &Frontend, connection: &mut Connection) -> Result<ParsedRequest, WireError> {
         let head = connection.read_head(Head::parse_request).await?;
         let received_at = frontend.engine.dispatcher_loop.clock.now();
-        let body = head.body_decoder()?;
-        let has_body = body != BodyDecoder::Length(0);
+        let body_decoder = head.body_decoder()?;
+        let has_body = body_decoder != BodyDecoder::Length(0);
         let expects_continue =
             has_body && head.get("Expect").is_some_and(|value| value.eq_ignore_ascii_case("100-continue"));
         Ok(ParsedRequest {
             draft: route(frontend, &head, received_at),
-            body,
+            body_decoder,
             expects_continue,
             keeps_alive: head.keeps_alive(),
         })
     }
 }
 
-/// Selects what answers a request by its path and method.
+/// Routes a request by its path and method: returns the draft of a valid job, or the response to any other
+/// request.
 fn route(frontend: &Frontend, head: &Head, received_at: Micros) -> Result<RequestDraft, Response> {
     let StartLine::Request { method, target } = &head.start_line else {
         return Err(Response::protocol_error(400, "not a request"));
@@ -76,14 +75,14 @@
     Response::new(if is_ready { 200 } else { 503 })
 }
 
-/// The headers of a job, which are validated one by one.
+/// Validates the headers of a job one by one.
 struct JobHeaders<'a> {
     frontend: &'a Frontend,
     head: &'a Head,
 }
 
 impl JobHeaders<'_> {
-    /// The draft, or the response that names the first header at fault.
+    /// The draft of the job, or the response that names the first missing or invalid header.
     fn draft(&self, method: &str, target: &str, received_at: Micros) -> Result<RequestDraft, Response> {
         let id = self.required("Request-Id")?.into();
         let class = self.class()?;
@@ -109,8 +108,8 @@
         })
     }
 
-    /// The value of a header that must be present exactly once and be printable ASCII without spaces: it is
-    /// forwarded, and the worker might use another one of two values.
+    /// The value of a header that must be present exactly once and be printable ASCII without spaces. Two
+    /// values are invalid because the header may be forwarded, and the worker might read the other one.
     fn required(&self, name: &str) -> Result<&str, Response> {
         match self.head.get_unique(name) {
             Some(value) if !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_graphic()) => {
@@ -149,7 +148,7 @@
         parse_slots(info).ok_or_else(|| invalid_header("Request-Info"))
     }
 
-    /// The headers that travel on to the worker.
+    /// The headers that are forwarded to the worker.
     fn forwarded(&self) -> Vec<(&'static str, String)> {
         let names = ["Idempotency-Key", "Content-Type"];
         let present = |name| self.head.get(name).map(|value| (name, value.to_string()));
--- a/crates/frontend-http1/src/request_draft.rs
+++ b/crates/frontend-http1/src/request_draft.rs
@@ -1,4 +1,4 @@
-//! A valid request whose body has not been read yet.
+//! The draft of a job: a request whose head is valid and whose body has not been read yet.
 
 use crate::frontend::Frontend;
 use sorrelhaven_body_store::RequestBody;
@@ -7,45 +7,45 @@
 use sorrelhaven_wire::PeerCloseDetector;
 use std::rc::Rc;
 
-/// A job without its body.
+/// The fields of a job that the head of its request determines.
 pub struct RequestDraft {
-    /// Index of the request's class in the settings.
+    /// The index of the request's class in the settings.
     pub class: usize,
-    /// Index of the request's tenant; 0 where the site has none.
+    /// The index of the request's tenant in the settings; 0 if they list no tenants.
     pub tenant: usize,
-    /// When the answer must be on its way to the client.
+    /// When the answer must be sent, so that it reaches the client before the client's timeout expires.
     pub deadline: Micros,
-    /// The client's estimate of the work.
+    /// The client's estimate of the job's running time.
     pub work_hint: Option<Micros>,
-    /// The slots that the job occupies on a worker.
+    /// The number of slots that the job occupies on a worker.
     pub slots: f64,
-    /// The client marks the request as a retry.
+    /// Whether the client marks the request as a retry.
     pub is_retry: bool,
-    /// Hash of the client's affinity key; 0 without one.
+    /// The hash of the request's affinity key; 0 without one.
     pub affinity_key: u64,
-    /// The request id.
+    /// The value of `Request-Id`, by which duplicates of a request in progress are recognized.
     pub id: Rc<str>,
-    /// The method.
+    /// The HTTP method.
     pub method: String,
-    /// Path and query.
+    /// The request target: path and query.
     pub target: String,
-    /// Headers that are forwarded to the worker.
+    /// The names and values of the headers that are forwarded to the worker.
     pub headers: Vec<(&'static str, String)>,
 }
 
 impl RequestDraft {
-    /// Index of the request's class and tenant among those that share the body budgets.
-    pub fn budget_index(&self, frontend: &Frontend) -> usize {
+    /// The budget group of the request in the body store: the number of its pair of class and tenant.
+    pub fn budget_group(&self, frontend: &Frontend) -> usize {
         self.class * frontend.tenants.len().max(1) + self.tenant
     }
 
-    /// Brings the deadline forward to `limit` where that is earlier.
+    /// Lowers the deadline to `limit` if that is earlier.
     pub fn limit_deadline(&mut self, limit: Micros) {
         self.deadline = self.deadline.min(limit);
     }
 
-    /// The job with its body, which may be incomplete. `body_sendable` is false where the body could not be
-    /// stored and the job is to be rejected.
+    /// The job with `body`, which may still be arriving. `body_sendable` is false if the body could not be
+    /// stored, so that the dispatcher must reject the job.
     pub fn into_job(
         self,
         body: RequestBody,
--- a/crates/frontend-http1/src/response.rs
+++ b/crates/frontend-http1/src/response.rs
@@ -1,50 +1,50 @@
-//! HTTP/1.1 responses and their mapping from the engine's answers and from errors.
+//! HTTP/1.1 responses to clients, and which response an answer of the engine or an error becomes.
 
 use sorrelhaven_body_store::BodyEnd;
 use sorrelhaven_dispatcher::Micros;
 use sorrelhaven_engine::Answer;
 use sorrelhaven_wire::WireError;
 
-/// Microseconds in a second, the unit of the `Retry-After` header.
+/// Microseconds in a second. The `Retry-After` header is in seconds.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A response to a client.
+/// The final response to a client's request.
 pub struct Response {
-    /// The status code.
+    /// The HTTP status code.
     pub status: u16,
-    /// When the client may retry, from now on.
+    /// The value of the `Retry-After` header: the delay after which the client may retry.
     pub retry_after: Option<Micros>,
-    /// The value of the `Allow` header.
+    /// The value of the `Allow` header, the method that the path supports; only with status 405.
     pub allow: Option<&'static str>,
-    /// The body.
+    /// The body: a worker's result, or a line of text on what is wrong with the request.
     pub body: Vec<u8>,
-    /// The connection is closed after this response.
+    /// Whether the connection is closed after this response.
     pub close: bool,
 }
 
 impl Response {
-    /// A response without a body.
+    /// A response without a body and without optional headers.
     pub fn new(status: u16) -> Response {
         Response { status, retry_after: None, allow: None, body: Vec::new(), close: false }
     }
 
-    /// A response to a method that the path does not support.
+    /// The response to a request with a method other than `allow`, the only one that its path supports.
     pub fn method_not_allowed(allow: &'static str) -> Response {
         Response { allow: Some(allow), ..Response::new(405) }
     }
 
-    /// A response to an invalid request. Closes the connection, because the framing of what follows on it
-    /// cannot be trusted.
+    /// The response to an invalid request, with `text` as its body. Closes the connection, because the end of
+    /// the request, where the next one would begin, is uncertain.
     pub fn protocol_error(status: u16, text: &str) -> Response {
         Response { body: format!("{text}\n").into_bytes(), close: true, ..Response::new(status) }
     }
 
-    /// The response to a request that was not received in time.
+    /// The response to a request that was not received within the read timeout.
     pub fn request_timeout() -> Response {
         Response::protocol_error(408, "the request came too slowly")
     }
 
-    /// The response to a request that could not be read; `None` where the client is no longer there.
+    /// The response to a request that could not be read; `None` if the connection is closed or has failed.
     pub fn from_wire_error(error: WireError) -> Option<Response> {
         match error {
             WireError::Closed | WireError::Broken => None,
@@ -54,9 +54,9 @@
         }
     }
 
-    /// The response of the front end itself to a body that was not received completely; `None` where the
-    /// connection is closed without one. Storage failures are answered by the decision module instead, which
-    /// rejects the job.
+    /// The response to a request whose body was not received completely; `None` if the connection is closed
+    /// without a response. For a body that could not be stored it is `None` too: the dispatcher rejects that
+    /// job.
     pub fn from_body_end(end: BodyEnd) -> Option<Response> {
         match end {
             BodyEnd::TooLarge => Some(Response::body_too_large()),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The response to a job; status 500 where the engine has no answer.
+    /// The response that carries the answer to a job; status 500 if the request's task ended without one.
     pub fn from_answer(answer: Option<Answer>) -> Response {
         match answer {
             None => Response::new(500),
@@ -75,7 +75,7 @@
             Some(Answer::Rejected { retry_after }) => {
                 Response { retry_after: Some(retry_after).filter(|&delay| delay > 0), ..Response::new(503) }
             }
-            // Not 503 or 429: those signal that a retry is harmless, and this job may have run.
+            // Not 503 or 429, because those statuses signal that a retry is harmless. This job may have run.
             Some(Answer::Failed) => Response::new(502),
         }
     }
@@ -84,7 +84,7 @@
         Response::protocol_error(413, "the body is too large")
     }
 
-    /// The response as it is sent.
+    /// The response in the format of HTTP/1.1: status line, headers and body.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut head = format!("HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
         if let Some(delay) = self.retry_after {
--- a/crates/frontend-http1/tests/downstream_connection.rs
+++ b/crates/frontend-http1/tests/downstream_connection.rs
@@ -1,4 +1,5 @@
-//! Compares a downstream connection with a model: a sequence of messages, and the status that answers each.
+//! Sends sequences of valid and invalid requests on a downstream connection. The statuses of the responses,
+//! and the request after which the connection closes, must be those of a model.
 
 use async_io::Async;
 use futures_lite::future::or;
@@ -14,22 +15,22 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// The beginning of a job's head, without its timeout.
+/// The beginning of a job's head, up to its `Request-Timeout`.
 const JOB_HEAD: &str = "POST /api HTTP/1.1\r\nRequest-Id: r\r\nRequest-Class: fee\r\n";
 
-/// A message of a client, and what the model expects of it.
+/// A message of a client, and what the model expects after it.
 struct Message {
     text: String,
-    /// The status that answers it.
+    /// The status of the response.
     status: u16,
-    /// The connection stays open after it.
+    /// Whether the connection stays open after the response.
     stays_open: bool,
 }
 
-/// How many kinds of messages there are.
+/// The number of kinds of messages.
 const KINDS: usize = 17;
-/// How many of them are drawn more often, so that sequences grow long: the first ones, which keep the
-/// connection open.
+/// The number of kinds that are drawn more often: the first ones, which keep the connection open, so that
+/// more messages of a sequence get a response.
 const FREQUENT_KINDS: usize = 4;
 /// The kind of a valid message that closes the connection.
 const CLOSING_KIND: usize = 4;
@@ -40,7 +41,7 @@
         Message { text: text.into(), status, stays_open: true }
     }
 
-    /// A message whose answer closes the connection.
+    /// A message whose response closes the connection.
     fn closing(text: impl Into<String>, status: u16) -> Message {
         Message { text: text.into(), status, stays_open: false }
     }
@@ -73,7 +74,7 @@
         13 => Message::closing(format!("{JOB_HEAD}X: {}\r\n\r\n", "x".repeat(20_000)), 431),
         14 => Message::closing(format!("{JOB_HEAD}{}\r\n", "X: y\r\n".repeat(80)), 431),
         15 => Message::closing(format!("{JOB_HEAD}Content-Length: 70000\r\n\r\n{}", "x".repeat(70_000)), 413),
-        // A timeout of 0 has expired at once, and the decision module rejects a request that has expired.
+        // A timeout of 0 expires at once, and the dispatcher rejects a request whose timeout has expired.
         _ => Message::open(format!("{JOB_HEAD}Request-Timeout: 0m\r\n\r\n"), 503),
     }
 }
@@ -84,22 +85,24 @@
     while let Ok(Some(parsed)) = Head::parse_response(received) {
         let ParsedHead { head, length: head_length } = parsed;
         let StartLine::Response { status } = head.start_line else { break };
-        let length: usize =
-            head.get("Content-Length").and_then(|length| length.parse().ok()).expect("a length");
+        let length: usize = head
+            .get("Content-Length")
+            .and_then(|length| length.parse().ok())
+            .expect("a valid Content-Length");
         received = &received[head_length + length..];
         found.push(status);
     }
-    assert!(received.is_empty(), "an incomplete response");
+    assert!(received.is_empty(), "the received bytes end with an incomplete or malformed response");
     found
 }
 
-/// Sends `text` in pieces of `piece_bytes` and returns all that is received until the node closes the
-/// connection.
-fn converse(address: SocketAddr, text: &str, piece_bytes: usize) -> Vec<u8> {
-    let mut stream = TcpStream::connect(address).expect("the node listens");
-    stream.set_nodelay(true).expect("a socket");
+/// Sends `text` in pieces of `piece_bytes`, or of 10 000 bytes if it is longer than that. Returns all bytes
+/// that are received until the node closes the connection.
+fn send_and_receive(address: SocketAddr, text: &str, piece_bytes: usize) -> Vec<u8> {
+    let mut stream = TcpStream::connect(address).expect("the node accepts the connection");
+    stream.set_nodelay(true).expect("TCP_NODELAY can be set");
     let piece_bytes = if text.len() > 10_000 { 10_000 } else { piece_bytes };
-    // The node may close the connection before everything is written.
+    // Writing fails if the node closes the connection before it has received the whole text.
     let _ = text.as_bytes().chunks(piece_bytes).try_for_each(|piece| stream.write_all(piece));
     let mut received = Vec::new();
     let _ = stream.read_to_end(&mut received);
@@ -107,27 +110,28 @@
     received
 }
 
-/// Serves one client of a node that is ready, and returns what the client received.
+/// Starts a front end that is ready, serves one client that sends `text`, and returns the bytes that the
+/// client received.
 fn serve_one_client(text: String, piece_bytes: usize) -> std::io::Result<Vec<u8>> {
-    let config = single_worker_config("127.0.0.1:1".parse().expect("an address"), "at_most_once");
-    let config = Config::parse(&config, |_| None).expect("a configuration");
+    let config = single_worker_config("127.0.0.1:1".parse().expect("a valid address"), "at_most_once");
+    let config = Config::parse(&config, |_| None).expect("the configuration is valid");
     let engine = Engine::new(&config, None);
     let lifecycle = Rc::<LifecycleHandle>::default();
     lifecycle.startup_completed(Instant::now());
     let frontend = Frontend::new(engine.clone(), &config, lifecycle);
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
-    let client = std::thread::spawn(move || converse(address, &text, piece_bytes));
+    let client = std::thread::spawn(move || send_and_receive(address, &text, piece_bytes));
     let (client_ended, stop) = async_channel::bounded::<()>(1);
     let waiter = std::thread::spawn(move || {
-        let received = client.join().expect("the client ends");
+        let received = client.join().expect("the client's thread does not panic");
         drop(client_ended);
         received
     });
     let listener = Async::new(listener)?;
     let serve = accept(frontend, listener, AcceptQueue::Own, async { _ = stop.recv().await });
     async_io::block_on(or(serve, async { match engine.tasks.run().await {} }));
-    Ok(waiter.join().expect("the client's answers"))
+    Ok(waiter.join().expect("the thread that waits for the client does not panic"))
 }
 
 #[test]
