--- a/crates/admin/src/caller.rs
+++ b/crates/admin/src/caller.rs
@@ -1,4 +1,4 @@
-//! One caller, from its accept to its end.
+//! Serves one connection of the admin listener, from its accept to its close.
 
 use crate::command::{AdminCommand, CommandError, CommandReader};
 use crate::service::AdminService;
@@ -7,17 +7,19 @@
 use std::time::{Duration, Instant};
 use tracing::debug;
 
-/// The time in which a command must have been received, from the accept.
+/// The time within which a command must have been received, counted from the accept.
 const COMMAND_READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// The time in which a caller must have received its reply.
+/// The time within which the reply must have been written to the connection.
 const REPLY_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a caller's input is drained after the reply, so that it receives the reply and not a reset.
+/// How long the connection's input is drained after the reply. Closing a socket that has unread input resets
+/// the connection, and the client may then lose the reply.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// The most that is drained.
+/// The most input that is drained after the reply.
 const MAX_LINGER_BYTES: usize = 64 * 1024;
 
-/// Reads one command from `stream`, executes it and sends the reply.
-pub async fn serve_caller(service: &AdminService, stream: TcpStream) {
+/// Reads one command from `stream`, executes it and sends the reply. Closes the connection without a reply if
+/// the client has closed it before it sent anything, or if it fails.
+pub async fn serve_connection(service: &AdminService, stream: TcpStream) {
     let Ok(mut connection) = Connection::accepted(stream).await else { return };
     let read_deadline = Instant::now() + COMMAND_READ_TIMEOUT;
     let command = match timeout_at(read_deadline, read_command(&mut connection)).await {
@@ -34,7 +36,8 @@
     }
 }
 
-/// The caller's command; `None` where it has disconnected without one.
+/// Reads the command, or why the line is not a command. Returns `None` if the client has closed the
+/// connection before it sent anything, or if the connection failed.
 async fn read_command(connection: &mut Connection) -> Option<Result<AdminCommand, CommandError>> {
     let mut reader = CommandReader::default();
     loop {
--- a/crates/admin/src/command.rs
+++ b/crates/admin/src/command.rs
@@ -1,9 +1,9 @@
-//! Reads a command from a line that may arrive in several pieces.
+//! Parses a line, which may arrive in several pieces, as a command.
 
 use sorrelhaven_lifecycle::Command;
 use std::fmt;
 
-/// The most that a line may hold, without its end.
+/// The longest permitted line, in bytes without the line end.
 pub const MAX_LINE_BYTES: usize = 256;
 
 /// A command from an operator.
@@ -11,20 +11,20 @@
 pub enum AdminCommand {
     /// A command to the node's lifecycle: `ready`, `drain` or `resume`.
     Lifecycle(Command),
-    /// Show the metrics: `show-stat`.
+    /// Show the node's metrics: `show-stat`.
     ShowStat,
-    /// Show the nodes that this one knows: `members`.
+    /// Show the members of the cluster, as this node knows them: `members`.
     Members,
 }
 
-/// Why a line is not a command.
+/// Why no command could be read. The texts are part of the reply to the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandError {
-    /// It holds more than [`MAX_LINE_BYTES`].
+    /// The line is longer than [`MAX_LINE_BYTES`].
     TooLong,
-    /// The command is not known.
+    /// The line, which is quoted here, is not a known command.
     Unknown(String),
-    /// Its end did not arrive in time.
+    /// The line was incomplete at the read timeout.
     ReadTimeout,
 }
 
@@ -42,18 +42,19 @@
 
 impl std::error::Error for CommandError {}
 
-/// Collects the pieces of one line.
+/// Collects the pieces of one line and parses it at its end.
 #[derive(Default)]
 pub struct CommandReader {
     line: Vec<u8>,
 }
 
 impl CommandReader {
-    /// Adds a piece; the command once the line has ended. What follows the line's end is ignored.
+    /// Adds a piece of the line. Returns the command, or why the line is not a command, as soon as the line
+    /// has ended or is too long; `None` before. Bytes after the line end are ignored.
     pub fn push(&mut self, piece: &[u8]) -> Option<Result<AdminCommand, CommandError>> {
         let end = piece.iter().position(|&byte| byte == b'\n');
         let piece = &piece[..end.unwrap_or(piece.len())];
-        // One byte more, for a carriage return before the line feed.
+        // Permits one byte more, for a carriage return before the line feed.
         if self.line.len() + piece.len() > MAX_LINE_BYTES + 1 {
             return Some(Err(CommandError::TooLong));
         }
@@ -61,7 +62,7 @@
         end.map(|_| self.parse())
     }
 
-    /// The command of a caller that has closed its sending side; `None` where it sent nothing.
+    /// Parses a line that ends because the client has closed its sending side; `None` if it has sent nothing.
     pub fn finish(&self) -> Option<Result<AdminCommand, CommandError>> {
         if self.line.is_empty() {
             return None;
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,8 +1,9 @@
-//! The admin listener: each connection carries one command on one line and gets its reply.
+//! The admin listener, where operators and their tools connect. A client sends one command on one line per
+//! connection and gets the reply.
 //!
-//! The modules `command` (reads lines into commands), `metrics` (formats metrics as text) and `eviction`
-//! (decides which caller makes room) do no I/O. `service` executes commands, `server` accepts callers and
-//! `caller` talks to one.
+//! The modules `command` (parses lines as commands), `metrics` (formats metrics as text) and `eviction`
+//! (computes when a connection is closed to make room for a new one) do no I/O. `service` executes commands,
+//! `server` accepts connections and `caller` serves one connection.
 
 mod caller;
 mod command;
--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -1,29 +1,29 @@
-//! Metrics in the Prometheus text format, followed by a line `EOT`.
+//! The metrics that `show-stat` shows: in the Prometheus text format, followed by a line `EOT`.
 
 use std::fmt::{self, Write};
 
-/// The last line of each reply that has several lines.
+/// The last line of the replies to `show-stat` and `members`, which have any number of lines.
 pub(crate) const END_OF_TEXT: &str = "EOT\n";
 
-/// The metrics of one request class.
+/// The number of answered requests of one request class since the node started, by answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClassMetrics {
-    /// The class's name.
+    /// The name of the class in the settings.
     pub class: String,
-    /// Requests served; shown as `passed`.
+    /// Requests answered with a worker's result; shown as `passed`.
     pub served: u64,
     /// Requests rejected; shown as `dropped`.
     pub rejected: u64,
-    /// Requests failed; shown as `bad_gateway`.
+    /// Requests that failed; shown as `bad_gateway`.
     pub failed: u64,
 }
 
-/// How a metric's value changes.
+/// The type of a metric in the Prometheus text format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MetricKind {
-    /// It never decreases.
+    /// The value never decreases while the node runs.
     Counter,
-    /// It may increase and decrease.
+    /// The value can increase and decrease.
     Gauge,
 }
 
@@ -39,57 +39,57 @@
 /// One metric without labels.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Metric {
-    /// Its name, without the prefix that all metrics have.
+    /// The name, without the prefix `node_` that all metrics have.
     pub name: &'static str,
-    /// Its kind.
+    /// Whether the value can decrease.
     pub kind: MetricKind,
-    /// Its value.
+    /// The value at the time of the `show-stat` command.
     pub value: u64,
 }
 
 impl Metric {
-    /// A counter.
+    /// A metric whose value never decreases.
     pub fn counter(name: &'static str, value: u64) -> Metric {
         Metric { name, kind: MetricKind::Counter, value }
     }
 
-    /// A gauge.
+    /// A metric whose value can increase and decrease.
     pub fn gauge(name: &'static str, value: u64) -> Metric {
         Metric { name, kind: MetricKind::Gauge, value }
     }
 }
 
-/// All metrics at one moment.
+/// The values of all metrics of a node at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Metrics {
-    /// By class, as the settings list them.
+    /// The metrics of each request class, in the order of the settings.
     pub classes: Vec<ClassMetrics>,
-    /// Attempts that were completely written to workers; shown as `upstream_tries`.
+    /// Attempts whose request was written to its worker up to the last byte; shown as `upstream_tries`.
     pub attempts_written: u64,
     /// Requests admitted and not yet concluded.
     pub in_progress: u64,
-    /// Workers in discovery's list; shown as `known_executors`.
+    /// Workers in the worker list; shown as `known_executors`.
     pub known_workers: u64,
-    /// Those of them that get no requests at present; shown as `skipped_executors`.
+    /// Workers in the worker list that get no new work at present; shown as `skipped_executors`.
     pub unavailable_workers: u64,
-    /// Violations of each invariant, by its name.
+    /// The number of violations that were found at run time, for each invariant by name.
     pub invariant_violations: Vec<(&'static str, u64)>,
-    /// The longest step of the event loop, in microseconds.
+    /// The longest step of the event loop (one poll of one task), in microseconds.
     pub longest_step_us: u64,
-    /// The longest delay of a timer, in microseconds.
+    /// The longest time by which a dispatcher timer fired late, in microseconds.
     pub longest_timer_lag_us: u64,
     /// Steps of the event loop longer than 50 ms.
     pub long_steps: u64,
-    /// Answers given after their request's deadline.
+    /// Requests answered after their deadline.
     pub answered_late: u64,
-    /// Of the membership protocol; empty where it is off.
+    /// The metrics of the membership protocol; empty if it is off.
     pub membership: Vec<Metric>,
 }
 
-/// A metric of each class: the name under which it is shown, and its value.
+/// A metric that each request class has: the name under which it is shown, and where its value is read.
 type ClassMetric = (&'static str, fn(&ClassMetrics) -> u64);
 
-/// The metrics of each class, as they are displayed.
+/// The metrics of each request class, in the order in which they are shown.
 const CLASS_METRICS: [ClassMetric; 3] = [
     ("passed", |class| class.served),
     ("dropped", |class| class.rejected),
@@ -97,7 +97,7 @@
 ];
 
 impl Metrics {
-    /// The metrics as text, with `EOT` at the end.
+    /// The metrics in the Prometheus text format, with the line `EOT` at the end.
     pub fn text(&self) -> String {
         let mut text = String::new();
         self.write_classes(&mut text);
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The metrics of the node, as they are displayed.
+    /// The metrics of the node as a whole, in the order in which they are shown.
     fn node_metrics(&self) -> [Metric; 8] {
         [
             Metric::counter("upstream_tries", self.attempts_written),
@@ -144,7 +144,7 @@
     }
 }
 
-/// A label's value, escaped for the text format.
+/// Escapes a label's value for the Prometheus text format.
 fn escaped(value: &str) -> String {
     value.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -1,6 +1,6 @@
-//! Accepts callers on the admin listener.
+//! Accepts connections on the admin listener.
 
-use crate::caller::serve_caller;
+use crate::caller::serve_connection;
 use crate::eviction::next_eviction_at;
 use crate::service::AdminService;
 use async_executor::Task;
@@ -15,7 +15,7 @@
 use std::time::Instant;
 use tracing::warn;
 
-/// Listens for callers on `address`.
+/// Opens the admin listener on `address`.
 ///
 /// # Errors
 /// The address cannot be bound.
@@ -23,10 +23,10 @@
     Async::<TcpListener>::bind(address)
 }
 
-/// Serves callers. Never returns. Must run as an urgent task: each command takes only a moment, and its reply
-/// is due within 1 s.
+/// Accepts and serves connections. Never returns. Must run as an urgent task: the reply to a command is due
+/// within 1 s, and executing one takes so little time that requests are not delayed.
 pub async fn serve(service: Rc<AdminService>, tasks: Rc<Tasks>, listener: Async<TcpListener>) {
-    let mut callers = Callers::default();
+    let mut connections = AdminConnections::default();
     loop {
         let stream = match listener.get_ref().accept() {
             Ok((stream, _)) => stream,
@@ -35,50 +35,51 @@
                 continue;
             }
         };
-        callers.make_room().await;
+        connections.make_room().await;
         let service = service.clone();
-        let task = tasks.spawn_urgent_cancellable(async move { serve_caller(&service, stream).await });
-        callers.connected.push_back(Caller { accepted_at: Instant::now(), task });
-        // A caller whose command has arrived is answered before the next one is accepted.
+        let task = tasks.spawn_urgent_cancellable(async move { serve_connection(&service, stream).await });
+        connections.open.push_back(AdminConnection { accepted_at: Instant::now(), task });
+        // Lets a client whose command has arrived get its reply before the next connection is accepted.
         yield_now().await;
     }
 }
 
-/// A connected caller. Dropping its task disconnects it.
-struct Caller {
+/// An open connection and the task that serves it. Dropping the task closes the connection.
+struct AdminConnection {
     accepted_at: Instant,
     task: Task<()>,
 }
 
-/// The connected callers, the oldest first.
+/// The open connections, the oldest first.
 #[derive(Default)]
-struct Callers {
-    connected: VecDeque<Caller>,
+struct AdminConnections {
+    open: VecDeque<AdminConnection>,
 }
 
-impl Callers {
-    /// Waits until there is room for one more caller, and disconnects the oldest where none ends by itself.
+impl AdminConnections {
+    /// Waits until there is room for one more connection. Closes the oldest one if none has ended by the time
+    /// of its eviction.
     async fn make_room(&mut self) {
         self.remove_finished();
         while let Some(evict_at) = self.next_eviction_at() {
             Timer::at(evict_at).await;
             self.remove_finished();
             if self.next_eviction_at().is_some() {
-                self.connected.pop_front();
+                self.open.pop_front();
             }
         }
     }
 
     fn remove_finished(&mut self) {
-        self.connected.retain(|caller| !caller.task.is_finished());
+        self.open.retain(|connection| !connection.task.is_finished());
     }
 
     fn next_eviction_at(&self) -> Option<Instant> {
-        next_eviction_at(self.connected.iter().map(|caller| caller.accepted_at))
+        next_eviction_at(self.open.iter().map(|connection| connection.accepted_at))
     }
 }
 
-/// Waits until `accept` may be called again after it failed with `error`.
+/// Waits until `accept` may be called again after a call failed with `error`.
 async fn wait_for_accept_retry(error: &io::Error, listener: &Async<TcpListener>) {
     match classify(SocketCall::Accept, error) {
         SocketFailure::NotReady => {
@@ -86,7 +87,7 @@
         }
         SocketFailure::Interrupted | SocketFailure::Connection => yield_now().await,
         SocketFailure::DescriptorLimit | SocketFailure::Shortage => {
-            warn!(%error, "admin accept failed");
+            warn!(%error, "accept on the admin listener failed, retrying");
             shortage_pause().await;
         }
     }
--- a/crates/admin/src/service.rs
+++ b/crates/admin/src/service.rs
@@ -1,4 +1,4 @@
-//! Executes the operators' commands.
+//! Executes the commands of the operators.
 
 use crate::command::{AdminCommand, CommandError};
 use crate::metrics::{ClassMetrics, END_OF_TEXT, Metric, Metrics};
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Executes commands on one node.
+/// Executes admin commands on one node.
 pub struct AdminService {
     engine: Rc<Engine>,
     lifecycle: Rc<LifecycleHandle>,
@@ -17,8 +17,8 @@
 }
 
 impl AdminService {
-    /// A service that shows the counters of `engine`, controls `lifecycle`, and shows the other nodes where
-    /// `membership` is on.
+    /// Creates a service that shows the counters of `engine`, controls `lifecycle`, and shows the members of
+    /// the cluster if `membership` is on.
     pub fn new(
         engine: Rc<Engine>,
         lifecycle: Rc<LifecycleHandle>,
@@ -27,7 +27,7 @@
         AdminService { engine, lifecycle, membership }
     }
 
-    /// Executes a command that arrived at `now`, and returns the reply in complete lines.
+    /// Executes a command that arrived at `now`, and returns the reply: one or more complete lines.
     pub fn execute(&self, command: Result<AdminCommand, CommandError>, now: Instant) -> String {
         match command {
             Ok(AdminCommand::Lifecycle(command)) => match self.lifecycle.execute(command, now) {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The metrics at this moment.
+    /// The current values of all metrics.
     pub fn metrics(&self) -> Metrics {
         let counters = &self.engine.counters;
         let workers = self.engine.dispatcher_loop.worker_counts();
@@ -90,7 +90,8 @@
         ]
     }
 
-    /// This node and the others, a line each: name, incarnation, address, state.
+    /// The reply to `members`: a line for this node and each other member, with name, incarnation, address
+    /// and state.
     fn members(&self) -> String {
         let Some(membership) = &self.membership else { return "FAILURE membership is off\n".to_string() };
         let mut members = membership.borrow().table();
--- a/crates/admin/tests/commands.rs
+++ b/crates/admin/tests/commands.rs
@@ -1,11 +1,11 @@
-//! Reading commands from lines in pieces of any size, and lines that are no command.
+//! Parses commands that arrive in pieces of any size, and lines that are no command.
 
 use proptest::prelude::*;
 use sorrelhaven_admin::{AdminCommand, CommandError, CommandReader, MAX_LINE_BYTES};
 use sorrelhaven_lifecycle::Command;
 use sorrelhaven_test_support::check_cases;
 
-/// Feeds a text to a reader in pieces of this size, and returns its command.
+/// Passes `text` to a reader in pieces of `piece_bytes`, and returns the command that it reads.
 fn feed(text: &[u8], piece_bytes: usize) -> Option<Result<AdminCommand, CommandError>> {
     let mut reader = CommandReader::default();
     let command = text.chunks(piece_bytes).find_map(|piece| reader.push(piece));
@@ -46,14 +46,17 @@
 #[test]
 fn an_endless_line_is_rejected_at_its_bound_and_an_unknown_command_is_quoted_on_one_line() {
     let mut reader = CommandReader::default();
-    let pushed = (1..).find(|_| reader.push(b"a").is_some()).expect("it is rejected");
+    let pushed = (1..).find(|_| reader.push(b"a").is_some()).expect("the endless line is rejected");
     assert_eq!(pushed, MAX_LINE_BYTES + 2);
-    let unknown = feed(b"Ready\n", 9).expect("a line").expect_err("no command");
+    let unknown = feed(b"Ready\n", 9).expect("the line has ended").expect_err("\"Ready\" is not a command");
     assert!(
         unknown.to_string().contains("\"Ready\"; there are ready, show-stat, drain, resume"),
         "{unknown}"
     );
-    let control_bytes = feed(b"a\x00\xff\x1b\rb\n", 9).expect("a line").expect_err("no command").to_string();
+    let control_bytes = feed(b"a\x00\xff\x1b\rb\n", 9)
+        .expect("the line has ended")
+        .expect_err("a line of control characters is not a command")
+        .to_string();
     assert!(control_bytes.chars().all(|character| !character.is_control()), "{control_bytes}");
-    assert_eq!(feed(b"", 1), None, "a caller that disconnects without a command gets no reply");
+    assert_eq!(feed(b"", 1), None, "a client that disconnects without a command gets no reply");
 }
--- a/crates/admin/tests/metrics_consistency.rs
+++ b/crates/admin/tests/metrics_consistency.rs
@@ -1,5 +1,5 @@
-//! The metrics while requests are in progress: they are consistent after each step of the event loop, and at
-//! the end they match what clients received and workers ran.
+//! The metrics while requests are in progress: they must add up after each step of the event loop, and at the
+//! end they must match what clients received and workers executed.
 
 use futures_lite::future::{or, yield_now};
 use proptest::prelude::*;
@@ -14,12 +14,12 @@
 
 const CLASSES: usize = 3;
 
-/// One request and what happens to it.
+/// One request, how its worker behaves, and when its client disconnects.
 #[derive(Clone, Copy, Debug)]
 struct Case {
     class: usize,
     behavior: WorkerBehavior,
-    /// Its client disconnects after this many steps of the event loop.
+    /// The client disconnects after this many steps of the event loop; `None` if it waits for the answer.
     disconnects_after: Option<u8>,
     /// The client's timeout, in microseconds.
     timeout: i64,
@@ -56,13 +56,13 @@
 }
 
 fn job(engine: &Rc<Engine>, number: usize, case: Case) -> Job {
-    let mut writer = engine.bodies.begin_upload(0, Some(4)).ok().expect("a body that is accepted");
+    let mut writer = engine.bodies.begin_upload(0, Some(4)).ok().expect("the upload is accepted");
     let body = writer.body();
     let stored = async {
         writer.push(b"body").await?;
         Ok::<BodyEnd, BodyEnd>(writer.finish().await)
     };
-    futures_lite::future::block_on(stored).expect("it is stored");
+    futures_lite::future::block_on(stored).expect("the body is stored");
     let (id, method, target) = (format!("q-{number}").into(), "POST".to_string(), "/api".to_string());
     let headers = vec![("Idempotency-Key", format!("k-{number}"))];
     Job {
@@ -79,7 +79,8 @@
     }
 }
 
-/// Whether the counters are consistent: by class, with what is in progress, and with the metrics shown.
+/// Whether each admitted request counts either as in progress or under exactly one end, in the counters and
+/// in the metrics, and no more workers are unavailable than known.
 fn is_consistent(engine: &Engine, service: &AdminService) -> bool {
     let counters = &engine.counters;
     let concluded = |class: &ClassCounters| {
@@ -98,22 +99,21 @@
         && metrics.unavailable_workers <= metrics.known_workers
 }
 
-/// What a client received.
+/// The answer that a client received, or that it disconnected before the answer.
 #[derive(Clone, Copy)]
 enum Received {
     Served,
     Rejected,
     Failed,
-    /// Nothing: it disconnected before.
     Disconnected,
 }
 
-/// How many clients received what, by [`Received`].
+/// The number of clients for each [`Received`], which is the index.
 type ReceivedCounts = [u64; 4];
 
-/// Sends one request as its case says, and returns what its client received.
+/// Submits the request of `case` and returns what its client received.
 async fn run_case(engine: &Rc<Engine>, number: usize, case: Case) -> Received {
-    let request = engine.submit(job(engine, number, case)).expect("its id is unique");
+    let request = engine.submit(job(engine, number, case)).expect("the request's id is unique");
     let disconnected = async {
         match case.disconnects_after {
             Some(steps) => {
@@ -144,7 +144,7 @@
         let workers = FakeWorkers::new(2);
         workers.script(&cases.iter().map(|case| case.behavior).collect::<Vec<_>>());
         let text = workers_config(&workers.addresses);
-        let engine = Engine::new(&Config::parse(&text, |_| None).expect("a configuration"), None);
+        let engine = Engine::new(&Config::parse(&text, |_| None).expect("the configuration is valid"), None);
         let service = AdminService::new(engine.clone(), Rc::<LifecycleHandle>::default(), None);
         let timers = engine.clone();
         engine.tasks.spawn_urgent(async move { timers.dispatcher_loop.run_timers().await });
@@ -169,22 +169,22 @@
             consistent
         };
         let consistent = async_io::block_on(or(watch, async { match engine.tasks.run().await {} }));
-        prop_assert!(consistent, "the metrics did not add up");
+        prop_assert!(consistent, "the metrics did not add up after a step of the event loop");
         let metrics = service.metrics();
         let sum = |count: fn(&ClassMetrics) -> u64| metrics.classes.iter().map(count).sum::<u64>();
         let [served, rejected, failed, disconnected] = received.get();
         let counted = [sum(|class| class.served), sum(|class| class.rejected), sum(|class| class.failed)];
-        // A client that disconnects in the step in which its answer arrives counts as answered and as
-        // disconnected.
+        // If a client disconnects in the same step in which its answer arrives, the metrics count the request
+        // as answered, and the test counts the client as disconnected.
         let both = counted.iter().sum::<u64>() - (served + rejected + failed);
         prop_assert!(
             both <= disconnected && engine.counters.total(|class| &class.client_gone) == disconnected - both
         );
         prop_assert!(counted[0] >= served && counted[1] >= rejected && counted[2] >= failed);
         prop_assert_eq!(metrics.in_progress, 0);
-        // Each run was written completely, and so was each attempt that a worker rejected.
+        // Each request that a worker executed was written to it completely, and so was each that it rejected.
         prop_assert!(metrics.attempts_written >= workers.executed_requests().len() as u64);
         Ok(())
     });
-    assert!(steps.get() > 1_000, "{} scrapes", steps.get());
+    assert!(steps.get() > 1_000, "the metrics were checked after only {} steps", steps.get());
 }
--- a/crates/admin/tests/metrics_text.rs
+++ b/crates/admin/tests/metrics_text.rs
@@ -1,9 +1,9 @@
-//! Metrics in the text format.
+//! The text of the metrics that `show-stat` shows.
 
 use sorrelhaven_admin::{ClassMetrics, Metric, Metrics};
 
-/// The names are those of the documentation, each class is shown from the start, and a label cannot break its
-/// line.
+/// Guards against metrics under undocumented names, classes that are missing until their first request, and
+/// class names whose quotes, backslashes or line ends break the format.
 #[test]
 fn metrics_are_written_under_their_documented_names() {
     let class = |name: &str, served, rejected, failed| ClassMetrics {
@@ -47,5 +47,5 @@
     assert!(text.ends_with("\nEOT\n"), "{text}");
     let is_other = |line: &&str| !line.starts_with("# TYPE node_") && !line.starts_with("node_");
     let others = text.lines().filter(is_other).count();
-    assert_eq!(others, 1, "only EOT is neither a metric nor its type: {text}");
+    assert_eq!(others, 1, "a line other than EOT is neither a metric nor its type: {text}");
 }
