--- a/crates/admin/src/command.rs
+++ b/crates/admin/src/command.rs
@@ -13,7 +13,7 @@
     Lifecycle(Command),
     /// Show the node's metrics: `show-stat`.
     ShowStat,
-    /// Show the members of the cluster, as this node knows them: `members`.
+    /// Show the membership table of this node: `members`.
     Members,
 }
 
--- a/crates/admin/tests/metrics_consistency.rs
+++ b/crates/admin/tests/metrics_consistency.rs
@@ -80,7 +80,7 @@
 }
 
 /// Whether each admitted request counts either as in progress or under exactly one end, in the counters and
-/// in the metrics, and no more workers are unavailable than known.
+/// in the metrics, and the number of unavailable workers does not exceed that of known workers.
 fn is_consistent(engine: &Engine, service: &AdminService) -> bool {
     let counters = &engine.counters;
     let concluded = |class: &ClassCounters| {
--- a/crates/frontend-http1/src/job_exchange.rs
+++ b/crates/frontend-http1/src/job_exchange.rs
@@ -136,7 +136,7 @@
 }
 
 /// Waits for the permit to send a long body to a worker; a body of at most [`BLOCK_BYTES`] needs none.
-/// Without a permit by `client_deadline` the job is submitted all the same, and the dispatcher rejects it as
+/// Without a permit by `client_deadline` the job is submitted anyway, and the dispatcher rejects it as
 /// overdue.
 async fn acquire_body_permit(
     frontend: &Frontend,
