--- a/crates/config/src/hosts.rs
+++ b/crates/config/src/hosts.rs
@@ -21,7 +21,8 @@
 
 /// One worker of a [`DiscoveryList`].
 #[derive(Clone, Debug, Deserialize)]
-#[serde(rename = "DiscoveryHost")]
+// Keeps the text of errors about a value of another type, which names the type.
+#[serde(expecting = "struct DiscoveryHost")]
 pub struct DiscoveryWorker {
     /// The worker's name, which is the same in the lists of all nodes.
     #[serde(rename = "host")]
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -123,6 +123,19 @@
     assert!(!error_of("{\n\"name\":\n}").contains('\n'), "the error is displayed on one line");
 }
 
+/// Serde takes the type's name in these texts from the source by default, so that renaming a type would change
+/// what `sorrelhaven check` prints.
+#[test]
+fn a_worker_that_is_not_an_object_is_an_error_with_a_fixed_text() {
+    for (worker, found) in [("null", "null"), ("\"s-1\"", "string \"s-1\""), ("7", "integer `7`")] {
+        let text = file(SETTINGS).replace("\"hosts\":[", &format!("\"hosts\":[{worker},"));
+        assert_eq!(
+            error_of(&text),
+            format!("known.hosts[0]: invalid type: {found}, expected struct DiscoveryHost")
+        );
+    }
+}
+
 #[test]
 fn errors_in_the_simulators_settings_name_the_same_keys_below_its_own() {
     let settings = SETTINGS.replace("at_most_once", "often");
--- a/crates/config/tests/operator.rs
+++ b/crates/config/tests/operator.rs
@@ -49,6 +49,22 @@
     assert_eq!(errors(r#"{"xyzzy":1}"#), ["xyzzy: unknown key; known are bodies, membership"]);
 }
 
+/// Serde takes the type's name in these texts from the source by default, so that renaming a type would change
+/// what `sorrelhaven check` prints.
+#[test]
+fn a_value_of_another_type_than_an_object_is_an_error_with_a_fixed_text() {
+    assert_eq!(
+        errors(r#"{"membership":null}"#),
+        ["membership: invalid type: null, expected struct Membership"]
+    );
+    assert_eq!(
+        errors(r#"{"membership":"on"}"#),
+        [r#"membership: invalid type: string "on", expected struct Membership"#]
+    );
+    assert_eq!(errors("7"), ["invalid type: integer `7`, expected struct Operator"]);
+    assert_eq!(errors("null"), ["invalid type: null, expected struct Operator"]);
+}
+
 /// Deserialization stops at the first error, but one run must report them all.
 #[test]
 fn all_errors_are_found_at_once() {
