--- a/crates/engine/src/request_task.rs
+++ b/crates/engine/src/request_task.rs
@@ -282,11 +282,7 @@
             return;
         }
         let attempts = self.attempts.len();
-        warn!(
-            id = %self.client_request_id(),
-            attempts,
-            "request not answered by its deadline; answering with a failure"
-        );
+        warn!(id = %self.client_request_id(), attempts, "request overdue, answered by the deadline guard");
         self.context.counters.answered_by_deadline_guard.increment();
         self.answer(Answer::Failed);
         // Ends the request at the dispatcher too, which must not start further attempts.
