--- a/crates/config/src/membership_settings.rs
+++ b/crates/config/src/membership_settings.rs
@@ -11,7 +11,7 @@
 
 /// The membership of the cluster's nodes, over UDP.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-// `rename` keeps the title in the JSON schema, and `expecting` the text of errors about a value of another type.
+// `rename` keeps the title in the JSON schema, `expecting` the text of errors about a value of another type.
 #[serde(rename = "Membership", expecting = "struct Membership", default, deny_unknown_fields)]
 pub struct MembershipSettings {
     /// The address with a port at which this node listens for others; `null`: membership is off.
--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -14,7 +14,7 @@
 
 /// What the operators of an installation set.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-// `rename` keeps the title in the JSON schema, and `expecting` the text of errors about a value of another type.
+// `rename` keeps the title in the JSON schema, `expecting` the text of errors about a value of another type.
 #[serde(rename = "Operator", expecting = "struct Operator", default, deny_unknown_fields)]
 pub struct OperatorSettings {
     /// Where the bodies of requests are stored so that requests can be retried.
