--- a/crates/test-support/src/program.rs
+++ b/crates/test-support/src/program.rs
@@ -95,7 +95,8 @@
         &self.startup_log
     }
 
-    /// The number of body files, left by ended processes, that the program deleted at its start, from its log.
+    /// The number of body files, left by ended processes, that the program deleted at its start, from its
+    /// log.
     pub fn leftover_files_deleted(&self) -> u64 {
         let removed = self.startup_log.iter().find_map(|line| line.split("swept=").nth(1));
         removed.and_then(|count| count.trim().parse().ok()).unwrap_or(0)
