--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,5 +1,5 @@
-//! Clients of a soak. Most are well-behaved and must get an answer to each request; some disconnect early or
-//! send malformed requests.
+//! The clients of a soak. Most of their requests must get an answer; for some the client disconnects early,
+//! or sends malformed bytes instead.
 
 use crate::node_history::{Incarnation, NodeHistory};
 use fastrand::Rng;
@@ -10,9 +10,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A request is lost if it is answered later than this after its timeout, or never.
+/// A request counts as lost if it has no answer this long after its timeout.
 const ANSWER_GRACE: Duration = Duration::from_millis(500);
-/// For so long after SIGTERM a node accepts connections; a later one may be closed without an answer.
+/// After SIGTERM a node accepts connections for at least this long. A request sent later may find its
+/// connection closed without an answer.
 const ACCEPT_PERIOD_AFTER_SIGTERM: Duration = Duration::from_millis(400);
 const CLASSES: [&str; 3] = ["renewal-check", "licence-issue", "fee-charge"];
 const BODY_LENGTHS: [usize; 5] = [30, 30, 30, 3_000, 65_536];
@@ -20,13 +21,13 @@
 const MALFORMED_REQUESTS: [&[u8]; 3] = [b"POST /api HTTP/1.1\r\nHost:", b"\0\x01\x02 nonsense\r\n\r\n", b""];
 const WORK_HINT_MICROS: u64 = 5_000;
 
-/// What all clients of a soak share.
+/// The records that all clients of a soak share.
 pub struct ClientRecords {
-    /// What was sent and received.
+    /// Records each request sent and each answer received.
     pub checker: DeliveryChecker,
-    /// Requests that were lost, a line each.
+    /// One line for each lost request.
     pub lost: Mutex<Vec<String>>,
-    /// When clients stop.
+    /// The time at which clients stop sending requests.
     pub until: Instant,
 }
 
@@ -38,13 +39,13 @@
 
 /// A client of one node.
 pub struct Client<'a> {
-    /// Its number, which makes its request ids unique.
+    /// The number of the client, unique in the soak and part of its request ids.
     pub number: usize,
-    /// The node.
+    /// The node to which the client connects.
     pub node: &'a NodeHistory,
-    /// What it shares with other clients.
+    /// The records of all clients.
     pub records: &'a ClientRecords,
-    /// Draws its requests.
+    /// Determines the requests, pauses and disconnects of this client.
     pub rng: Rng,
 }
 
@@ -73,17 +74,17 @@
         let mut request = TestRequest::new(&id, CLASSES[rng.usize(0..CLASSES.len())], vec![b'x'; length]);
         request.timeout = Duration::from_millis(TIMEOUTS_MS[rng.usize(0..TIMEOUTS_MS.len())]);
         request.work_hint_micros = Some(WORK_HINT_MICROS);
-        // A fifth of the requests share one affinity key.
-        let affinity = if rng.u8(0..5) == 0 { "popular".to_string() } else { rng.u32(..).to_string() };
-        request.affinity_key = Some(affinity);
+        // On average a fifth of the requests share one affinity key.
+        let affinity_key = if rng.u8(0..5) == 0 { "popular".to_string() } else { rng.u32(..).to_string() };
+        request.affinity_key = Some(affinity_key);
         request
     }
 
-    /// Sends a request and waits for the answer. Returns the connection if it can be used again.
+    /// Sends a request and waits for the answer. Returns the connection if it can be reused.
     fn send(&self, request: &TestRequest, idle_connection: Option<TcpStream>) -> Option<TcpStream> {
         self.records.checker.record_request(request);
         let was_idle = idle_connection.is_some();
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let incarnation = self.node.current();
         let mut stream = match idle_connection {
             Some(stream) => stream,
@@ -92,46 +93,51 @@
         let _ = stream.set_nodelay(true);
         match request.send_on(&mut stream) {
             Ok(response) => {
-                self.check_time(request, &response);
+                self.check_answer_time(request, &response);
                 self.record_answer(request, &response, stream)
             }
-            // What a killed process had read may have run: a request that must not run twice is not sent
-            // again.
+            // A killed process may have sent the request to a worker: it is not resent, as an at-most-once
+            // job must not run twice.
             Err(_) if self.node.was_killed(&incarnation) => None,
-            // The node may close an idle connection while the request is under way to it.
+            // The node may have closed the idle connection before the request arrived.
             Err(error) if was_idle && error.kind() != ErrorKind::WouldBlock => {
-                self.send_again(request, begun)
+                self.resend(request, started_at)
             }
             Err(error) => {
-                let elapsed = begun.elapsed();
-                let line = format!("{} {elapsed:?} on a new connection, {error}", request.id);
-                self.record_failure(&incarnation, begun, line);
+                let elapsed = started_at.elapsed();
+                let line =
+                    format!("{} got no answer on a new connection in {elapsed:?}: {error}", request.id);
+                self.record_failure(&incarnation, started_at, line);
                 None
             }
         }
     }
 
-    /// Sends a request once more on a new connection.
-    fn send_again(&self, request: &TestRequest, begun: Instant) -> Option<TcpStream> {
+    /// Sends a request a second time, on a new connection.
+    fn resend(&self, request: &TestRequest, started_at: Instant) -> Option<TcpStream> {
         let mut stream = TcpStream::connect(self.node.current().address).ok()?;
         let incarnation = self.node.current();
         match request.send_on(&mut stream) {
             Ok(response) => self.record_answer(request, &response, stream),
             Err(error) => {
-                self.record_failure(&incarnation, begun, format!("{} sent again, {error}", request.id));
+                self.record_failure(
+                    &incarnation,
+                    started_at,
+                    format!("{} got no answer when resent: {error}", request.id),
+                );
                 None
             }
         }
     }
 
-    fn check_time(&self, request: &TestRequest, response: &TestResponse) {
+    fn check_answer_time(&self, request: &TestRequest, response: &TestResponse) {
         if response.elapsed > request.timeout + ANSWER_GRACE {
             let TestResponse { status, elapsed, .. } = response;
             self.records.record_lost(format!("{} answered {status} after {elapsed:?}", request.id));
         }
     }
 
-    /// Records an answer. Returns the connection if it stays open.
+    /// Records an answer. Returns the connection if the node keeps it open.
     fn record_answer(
         &self,
         request: &TestRequest,
@@ -142,14 +148,15 @@
         (!response.connection_close).then_some(stream)
     }
 
-    /// Records a request as lost, unless its node may have closed the connection without an answer.
-    fn record_failure(&self, incarnation: &Incarnation, begun: Instant, line: String) {
-        if !self.node.may_close(incarnation, begun, ACCEPT_PERIOD_AFTER_SIGTERM) {
+    /// Records a request as lost, unless the incarnation was allowed to close the connection without an
+    /// answer.
+    fn record_failure(&self, incarnation: &Incarnation, started_at: Instant, line: String) {
+        if !self.node.may_close(incarnation, started_at, ACCEPT_PERIOD_AFTER_SIGTERM) {
             self.records.record_lost(line);
         }
     }
 
-    /// Sends a request and disconnects, in most cases before the answer.
+    /// Sends a request and disconnects without reading the answer, in most cases before it arrives.
     fn send_and_disconnect(&mut self, request: &TestRequest) {
         self.records.checker.record_request(request);
         let Ok(mut stream) = TcpStream::connect(self.node.current().address) else { return };
@@ -158,7 +165,7 @@
         }
     }
 
-    /// Sends half a request, or bytes that are none, and disconnects.
+    /// Sends an incomplete request, bytes that are not HTTP, or nothing, and disconnects.
     fn send_malformed(&mut self) {
         let Ok(mut stream) = TcpStream::connect(self.node.current().address) else { return };
         let bytes = MALFORMED_REQUESTS[self.rng.usize(0..MALFORMED_REQUESTS.len())];
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The discovery of a soak: one worker list of any length, whose watches may be silent or closed.
+//! The discovery service of a soak: serves one worker list, and can stop sending updates or close all
+//! watches.
 
 use sorrelhaven_test_support::{WatchStep, serve_discovery, worker_list};
 use std::net::SocketAddr;
@@ -7,9 +8,9 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Updates of the list in which a release is sent.
-const RELEASE_PARTS: usize = 10;
-/// A drain that would leave fewer workers than this in service does not happen.
+/// The number of updates over which a release is spread.
+const RELEASE_STEPS: usize = 10;
+/// A drain that would leave fewer workers than this in service is skipped.
 const MIN_WORKERS_IN_SERVICE: usize = 2;
 const IN_SERVICE: &str = "in_service";
 const TERMINATING: &str = "terminating";
@@ -19,7 +20,7 @@
     address: SocketAddr,
     health: &'static str,
     started_at_unix_ms: u128,
-    /// The version of the list in which it changed last.
+    /// The version of the list in which this entry last changed.
     changed_in: u64,
 }
 
@@ -27,9 +28,9 @@
     version: u64,
     entries: Vec<Entry>,
     silent_until: Instant,
-    /// How often all watches were closed.
+    /// The number of times that all watches were closed.
     resets: u64,
-    /// Entry `i` is an entry of worker `i % worker_count`.
+    /// Entry `i` belongs to worker `i % worker_count`.
     worker_count: usize,
 }
 
@@ -38,7 +39,7 @@
         self.entries.iter().skip(worker).step_by(self.worker_count)
     }
 
-    /// Sets the state of all entries of one worker.
+    /// Sets health and start time of all entries of one worker, in a new version of the list.
     fn update_worker(&mut self, worker: usize, health: &'static str, started_at_unix_ms: u128) {
         let changed_in = self.next_version();
         for entry in self.entries.iter_mut().skip(worker).step_by(self.worker_count) {
@@ -46,7 +47,8 @@
         }
     }
 
-    /// Drains these entries and adds new ones for the same workers.
+    /// Drains the entries with these indices, and appends a new entry in service for each, in a new version
+    /// of the list.
     fn replace(&mut self, indices: Range<usize>) {
         let changed_in = self.next_version();
         for index in indices {
@@ -64,7 +66,8 @@
         self.version
     }
 
-    /// What has changed after `version`, as an update of the list; the full list after version 0.
+    /// The entries changed after `version`, as an update in the format of discovery; the full list if
+    /// `version` is 0.
     fn update_after(&self, version: u64) -> String {
         let changed = self.entries.iter().enumerate().filter(|(_, entry)| entry.changed_in > version);
         let entries: Vec<String> = changed.map(|(number, entry)| entry.to_json(number)).collect();
@@ -85,16 +88,17 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis()
 }
 
-/// Discovery as all nodes of a soak see it. Clones are the same discovery.
+/// The discovery service of all nodes of a soak. Clones share one state.
 #[derive(Clone)]
 pub struct Discovery {
     state: Arc<Mutex<State>>,
-    /// The address at which nodes poll it.
+    /// The address at which nodes watch the list.
     pub address: SocketAddr,
 }
 
 impl Discovery {
-    /// Starts a discovery with `entry_count` entries for the workers at these addresses, all long in service.
+    /// Starts a service with `entry_count` entries, spread evenly over the workers at these addresses, all in
+    /// service for a long time: their start time is 0.
     pub fn new(worker_addresses: &[SocketAddr], entry_count: usize) -> Discovery {
         let new_entry = |address: &SocketAddr| Entry {
             address: *address,
@@ -118,7 +122,8 @@
         lock(&self.state)
     }
 
-    /// Drains all entries of a worker, if enough workers are in service.
+    /// Drains all entries of a worker, unless fewer than `MIN_WORKERS_IN_SERVICE` workers would remain in
+    /// service.
     pub fn drain(&self, worker: usize) {
         let mut state = self.state();
         let is_in_service =
@@ -128,7 +133,8 @@
         }
     }
 
-    /// Puts all entries of a worker in service, started just now, if any of them drains.
+    /// Puts all entries of a worker back in service, with the current time as start time, if any of them
+    /// drains.
     pub fn restart_worker(&self, worker: usize) {
         let mut state = self.state();
         if state.entries_of(worker).any(|entry| entry.health != IN_SERVICE) {
@@ -136,25 +142,26 @@
         }
     }
 
-    /// Drains half of the entries and adds as many new ones, in steps that take `duration` together.
+    /// Simulates a rolling release: drains the first half of the entries and adds as many new ones, in steps
+    /// spread over `duration`.
     pub fn release(&self, duration: Duration) {
         let discovery = self.clone();
         thread::spawn(move || {
-            let part_length = discovery.state().entries.len() / 2 / RELEASE_PARTS;
-            for part in 0..RELEASE_PARTS {
-                discovery.state().replace(part * part_length..(part + 1) * part_length);
-                thread::sleep(duration / RELEASE_PARTS as u32);
+            let step_length = discovery.state().entries.len() / 2 / RELEASE_STEPS;
+            for step in 0..RELEASE_STEPS {
+                discovery.state().replace(step * step_length..(step + 1) * step_length);
+                thread::sleep(duration / RELEASE_STEPS as u32);
             }
         });
     }
 
-    /// Sends nothing for `duration`.
+    /// Sends nothing on any watch for `duration`.
     pub fn silence(&self, duration: Duration) {
         self.state().silent_until = Instant::now() + duration;
     }
 
-    /// Closes all watches.
-    pub fn reset(&self) {
+    /// Closes all open watches.
+    pub fn close_watches(&self) {
         self.state().resets += 1;
     }
 }
@@ -163,7 +170,7 @@
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A watch that sends the full list first and then each change.
+/// Returns the steps of one watch: the full list first, then an update for each new version.
 fn new_watch(state: Arc<Mutex<State>>) -> impl FnMut() -> WatchStep {
     let resets_at_start = lock(&state).resets;
     let mut sent_version = 0;
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of a soak, and the faults that they meet.
+//! The node processes of a soak, and the injection of faults.
 
 use crate::discovery::Discovery;
 use crate::node_history::{EndCause, NodeHistory};
@@ -13,15 +13,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Descriptors of each node, the fewest that it works with: list entries by the thousand have a connection
-/// each, so that nodes run short of them.
+/// Descriptor limit of each node, the lowest that it accepts. Each of the thousands of list entries may have
+/// a connection, so that nodes run short of descriptors.
 const DESCRIPTOR_LIMIT: usize = 256;
-/// How long a worker runs a job.
+/// The time that a worker takes to run a job.
 const JOB_MILLIS: u64 = 5;
-/// The names of the files, in the scratch directory, to which the fault shim writes its counts, begin so.
+/// Prefix of the files in the scratch directory to which the fault shim writes its counts, one file per
+/// process.
 const FAULT_COUNTS_PREFIX: &str = "faults-";
 
-/// The workers, their proxies and discovery, which outlive the nodes.
+/// The workers, the proxies in front of them, and discovery. They outlive the nodes.
 pub(crate) struct Environment {
     pub(crate) workers: FakeWorkers,
     proxies: Vec<Proxy>,
@@ -38,7 +39,7 @@
         Environment { workers, proxies, discovery }
     }
 
-    /// The configuration file of the node `number` of `node_count`.
+    /// The configuration of node `number` in a fleet of `node_count`.
     fn node_config(&self, number: usize, node_count: usize) -> String {
         let addresses: Vec<SocketAddr> = self.proxies.iter().map(|proxy| proxy.address).collect();
         workers_config(&addresses)
@@ -52,24 +53,25 @@
 /// One node of the fleet.
 struct Node {
     history: Arc<NodeHistory>,
-    /// The process that runs; `None` after the end of the soak.
+    /// The running process; `None` before the first start and after the end of the soak.
     program: Option<Program>,
     config: String,
 }
 
-/// The nodes while the soak runs.
+/// All nodes of a running soak.
 pub(crate) struct Fleet<'a> {
     program: &'a Path,
     plan: &'a Plan,
     scratch: ScratchDir,
     nodes: Vec<Node>,
     verdict: Arc<Mutex<Verdict>>,
-    /// One thread for each process that has got SIGTERM; it panics if the process fails to end.
+    /// One thread for each process that was sent SIGTERM. It panics if the process does not exit with
+    /// success.
     shutdowns: Vec<thread::JoinHandle<()>>,
 }
 
 impl<'a> Fleet<'a> {
-    /// Starts all nodes, with the program at this path.
+    /// Starts all nodes, as processes of the program at this path.
     pub(crate) fn start(program: &'a Path, plan: &'a Plan, environment: &Environment) -> Fleet<'a> {
         let node_count = plan.size.nodes;
         let new_node = |number| Node {
@@ -89,7 +91,7 @@
         fleet
     }
 
-    /// The incarnations of a node.
+    /// The incarnations of the node `number`, shared with its clients.
     pub(crate) fn history(&self, number: usize) -> Arc<NodeHistory> {
         self.nodes[number].history.clone()
     }
@@ -100,10 +102,10 @@
             verdict.processes += 1;
             verdict.processes
         };
-        let system = &self.plan.system_faults[number];
+        let system_faults = &self.plan.system_faults[number];
         let shim = FaultPlan {
-            calls: system.calls.clone(),
-            clock: format!("0:{}", system.clock_offset_ms),
+            calls: system_faults.calls.clone(),
+            clock: format!("0:{}", system_faults.clock_offset_ms),
             seed: self.plan.seed,
         };
         let counts_file = format!("{FAULT_COUNTS_PREFIX}{process_number}");
@@ -118,8 +120,8 @@
         node.program = Some(program);
     }
 
-    /// Ends a node with SIGTERM. A thread waits for its end and checks its last counters, so that the soak
-    /// goes on.
+    /// Sends SIGTERM to a node. A separate thread waits for its end and checks its final counters, so that
+    /// the soak continues meanwhile.
     fn terminate_node(&mut self, number: usize) {
         let node = &mut self.nodes[number];
         node.history.record_end(EndCause::Terminated(Instant::now()));
@@ -141,11 +143,12 @@
     fn kill_node(&mut self, number: usize) {
         let node = &mut self.nodes[number];
         node.history.record_end(EndCause::Killed);
-        // Dropping a program kills it.
+        // Dropping a `Program` kills the process.
         node.program = None;
     }
 
-    /// Makes a fault happen.
+    /// Injects a fault. Blocks while a node is paused or a new process starts; faults of connections, workers
+    /// and discovery end on their own.
     pub(crate) fn inject(&mut self, fault: Fault, environment: &Environment) {
         let Environment { workers, proxies, discovery } = environment;
         match fault {
@@ -168,19 +171,20 @@
                 self.start_node(node);
             }
             Fault::DisturbConnections { worker, fault, millis } => {
-                proxies[worker].disturb(fault, Duration::from_millis(millis));
+                proxies[worker].set_fault(fault, Duration::from_millis(millis));
             }
             Fault::DrainWorker { worker } => discovery.drain(worker),
             Fault::RestartWorker { worker } => discovery.restart_worker(worker),
             Fault::SilenceDiscovery { millis } => discovery.silence(Duration::from_millis(millis)),
-            Fault::ResetDiscovery => discovery.reset(),
+            Fault::ResetDiscovery => discovery.close_watches(),
             Fault::Release { millis } => discovery.release(Duration::from_millis(millis)),
             Fault::HangWorker { worker, millis } => hang_worker(workers, worker, millis),
             Fault::ScriptWorkers(behaviors) => workers.script(&behaviors),
         }
     }
 
-    /// Ends all nodes and returns what their processes add to the verdict.
+    /// Terminates all nodes and returns the verdict on their processes: invariant violations, failed
+    /// shutdowns and numbers of processes and injected faults.
     pub(crate) fn terminate(mut self) -> Verdict {
         (0..self.nodes.len()).for_each(|number| self.terminate_node(number));
         let shutdowns = std::mem::take(&mut self.shutdowns);
@@ -196,7 +200,8 @@
     verdict.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A worker sends nothing for so long to the requests that it accepts, and then resets their connections.
+/// Makes a worker hang for `millis`: requests that arrive meanwhile get no response, and the connection of
+/// each is reset after the same time.
 fn hang_worker(workers: &FakeWorkers, worker: usize, millis: u64) {
     workers.set_worker_behavior(worker, Some(WorkerBehavior::SilentThenReset(millis)));
     let workers = workers.clone();
@@ -206,14 +211,14 @@
     });
 }
 
-/// All faults that the shim injected into processes that ended by themselves.
+/// The number of faults that the shim injected into all processes that were not killed.
 fn count_injected_faults(scratch: &ScratchDir) -> u64 {
     let names = scratch.file_names(".").into_iter().filter(|name| name.starts_with(FAULT_COUNTS_PREFIX));
     let texts = names.map(|name| std::fs::read_to_string(scratch.path(&name)).unwrap_or_default());
     texts.map(|text| sum_counts(&text)).sum()
 }
 
-/// The sum of the counts, the last word of each line.
+/// The sum of the counts in a counts file, which are the last word of each line.
 fn sum_counts(text: &str) -> u64 {
     text.lines().filter_map(|line| line.rsplit(' ').next()?.parse::<u64>().ok()).sum()
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,10 +1,11 @@
-//! The soak: a fleet of real processes of the program on loopback, under faults that overlap in time.
+//! Soak tests: a fleet of real processes of the program on loopback, under faults that overlap in time.
 //!
-//! One seed gives one [`Plan`], which can be printed: which nodes are paused, reloaded, killed or restarted
-//! and when, which workers' connections are delayed, stalled, cut or reset, what discovery does, which system
-//! calls of a node fail, how far its wall clock is off, and how clients and workers behave. [`run`] plays it
-//! and returns a [`Verdict`]: what clients received is compared with what workers ran, and each node's own
-//! count of violated invariants must be 0.
+//! A seed determines a [`Plan`], which can be printed: which nodes are paused, reloaded, killed or restarted
+//! and when; which workers' connections are delayed, stalled or reset, or lose responses; the faults of
+//! discovery and workers; which system calls of a node fail; and the offset of its wall clock. The seed also
+//! determines what the clients send. [`run`] executes a plan and returns a [`Verdict`]: what clients received
+//! is compared with what workers executed, and the number of invariant violations that each node counted must
+//! be 0.
 //!
 //! ```no_run
 //! use sorrelhaven_soak::{Plan, Size, run};
--- a/crates/soak/src/node_history.rs
+++ b/crates/soak/src/node_history.rs
@@ -1,34 +1,34 @@
-//! The processes that serve as one node of the fleet, one after the other.
+//! The successive processes of one node: a restart or a kill starts a new one.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// One process that serves as a node.
+/// One process of a node.
 #[derive(Clone)]
 pub struct Incarnation {
-    /// The address at which it serves clients.
+    /// The address at which the process accepts clients.
     pub address: SocketAddr,
     number: usize,
 }
 
-/// How an incarnation was ended from outside.
+/// How the soak ended an incarnation.
 #[derive(Clone, Copy)]
 pub enum EndCause {
-    /// SIGTERM at this time.
+    /// SIGTERM was sent at this time.
     Terminated(Instant),
-    /// SIGKILL.
+    /// The process was killed with SIGKILL.
     Killed,
 }
 
 #[derive(Default)]
 struct History {
     current: Option<Incarnation>,
-    /// The end of each incarnation, by number; `None` while it runs.
+    /// How each incarnation was ended, by incarnation number; `None` until then.
     ends: Vec<Option<EndCause>>,
 }
 
-/// The incarnations of one node.
+/// The incarnations of one node, shared by the fleet and the clients of the node.
 #[derive(Default)]
 pub struct NodeHistory {
     history: Mutex<History>,
@@ -39,21 +39,22 @@
         self.history.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The incarnation that serves clients now.
+    /// The incarnation that was started last.
     pub fn current(&self) -> Incarnation {
         self.history().current.clone().expect("the node has been started")
     }
 
-    /// Records that a new process serves at `address`.
+    /// Records a new incarnation that accepts clients at `address`.
     pub fn record_start(&self, address: &str) {
         let mut history = self.history();
         let number = history.ends.len();
         history.ends.push(None);
-        let address = address.parse().expect("the program logs its address");
+        let address = address.parse().expect("the address in the ready line is valid");
         history.current = Some(Incarnation { address, number });
     }
 
-    /// Records that the current incarnation is ended.
+    /// Records how the current incarnation is ended. Must be called before the signal is sent, so that no
+    /// client attributes the effects to a running process.
     pub fn record_end(&self, cause: EndCause) {
         let mut history = self.history();
         let number = history.current.as_ref().expect("the node has been started").number;
@@ -64,22 +65,22 @@
         self.history().ends[incarnation.number]
     }
 
-    /// Whether an incarnation was killed.
+    /// Whether the soak ended this incarnation with SIGKILL.
     pub fn was_killed(&self, incarnation: &Incarnation) -> bool {
         matches!(self.end_of(incarnation), Some(EndCause::Killed))
     }
 
-    /// Whether an incarnation may close a connection without an answer to a request that was begun at
-    /// `request_begun`: it was killed, or had got SIGTERM more than `accept_period` before.
+    /// Whether an incarnation may close a connection without an answer to a request whose sending began at
+    /// `request_started_at`: it was killed, or SIGTERM was sent to it more than `accept_period` earlier.
     pub fn may_close(
         &self,
         incarnation: &Incarnation,
-        request_begun: Instant,
+        request_started_at: Instant,
         accept_period: Duration,
     ) -> bool {
         match self.end_of(incarnation) {
             Some(EndCause::Killed) => true,
-            Some(EndCause::Terminated(at)) => request_begun > at + accept_period,
+            Some(EndCause::Terminated(at)) => request_started_at > at + accept_period,
             None => false,
         }
     }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,30 +1,30 @@
-//! What happens in one soak, drawn from a seed.
+//! The plan of one soak, drawn from a seed.
 
 use fastrand::Rng;
 use sorrelhaven_test_support::WorkerBehavior;
 use std::fmt;
 use std::time::Duration;
 
-/// How large a soak is.
+/// The size of a soak.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Processes of the program.
+    /// Number of nodes, each a process of the program.
     pub nodes: usize,
-    /// Fake workers.
+    /// Number of fake workers.
     pub workers: usize,
-    /// Entries of the worker list, each one of these workers.
+    /// Number of entries of the worker list; several entries have the address of the same worker.
     pub list_entries: usize,
-    /// How long clients send requests.
+    /// The time during which clients send requests.
     pub duration: Duration,
-    /// Faults, which overlap.
+    /// Number of faults in the timeline. They come in clusters, so that faults overlap.
     pub faults: usize,
 }
 
 impl Size {
-    /// For continuous integration: a few seconds.
+    /// The size for continuous integration, which takes a few seconds.
     pub const SHORT: Size =
         Size { nodes: 8, workers: 6, list_entries: 3_000, duration: Duration::from_millis(3_000), faults: 6 };
-    /// On demand.
+    /// The size for runs on demand.
     pub const LONG: Size = Size {
         nodes: 10,
         workers: 12,
@@ -34,81 +34,83 @@
     };
 }
 
-/// What happens to the connections of one worker.
+/// A fault of all connections to one worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionFault {
-    /// Bytes take this much longer.
+    /// The proxy waits this long before it forwards what it has read.
     Delay { millis: u64 },
-    /// No byte goes either way, and none is lost.
+    /// No bytes are forwarded in either direction until the fault ends; none are lost.
     Stall,
-    /// Responses are lost; requests arrive.
+    /// Bytes from the worker are discarded; bytes to the worker are forwarded.
     LoseResponses,
-    /// All connections are reset at the beginning, and new ones when they are opened.
+    /// All connections are reset when the fault begins, and new ones as soon as they are opened.
     Reset,
 }
 
 /// One fault of a soak.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A node is stopped with SIGSTOP and goes on after this time.
+    /// A node is stopped with SIGSTOP, and continued after this time.
     PauseNode { node: usize, millis: u64 },
-    /// A node reads its configuration again.
+    /// A node reloads its configuration on SIGHUP.
     ReloadNode { node: usize },
-    /// A node gets SIGTERM, and another process takes its place at once.
+    /// A node gets SIGTERM, and a new process is started at once while the old one shuts down.
     RestartNode { node: usize },
-    /// A node is killed, and another process takes its place.
+    /// A node is killed with SIGKILL, and a new process is started.
     KillNode { node: usize },
-    /// The connections of a worker are disturbed for this time.
+    /// All connections to a worker have this fault for this time.
     DisturbConnections { worker: usize, fault: ConnectionFault, millis: u64 },
-    /// A worker begins to drain.
+    /// All entries of a worker begin to drain, unless too few workers would remain in service.
     DrainWorker { worker: usize },
-    /// A worker that drains is in service again, newly started.
+    /// A draining worker is in service again, as if just started.
     RestartWorker { worker: usize },
-    /// Half of the list is replaced within this time.
+    /// A rolling release: the first half of the list entries drains within this time, replaced by new
+    /// entries.
     Release { millis: u64 },
-    /// A worker accepts requests and sends nothing for this time, then resets the connections.
+    /// A worker sends nothing to requests that arrive within this time, and resets the connection of each
+    /// after the same time.
     HangWorker { worker: usize, millis: u64 },
     /// Discovery sends nothing to any node for this time.
     SilenceDiscovery { millis: u64 },
-    /// Discovery closes all its connections.
+    /// Discovery closes all watches.
     ResetDiscovery,
-    /// The next requests meet these behaviours of workers.
+    /// The next requests that arrive at any worker get these behaviours, one each.
     ScriptWorkers([WorkerBehavior; 6]),
 }
 
-/// A fault and when it begins.
+/// A fault and the time at which it begins.
 #[derive(Clone, Copy, Debug)]
 pub struct TimedFault {
-    /// The time since the beginning of the soak.
+    /// The time since the start of the soak.
     pub at: Duration,
-    /// The fault.
+    /// What is injected at this time.
     pub fault: Fault,
 }
 
-/// What a node's process meets from its operating system.
+/// Faults of the operating system under all processes of one node, injected by the fault shim.
 #[derive(Clone, Debug, Default)]
 pub struct SystemFaults {
-    /// The fault shim's plan of failing calls.
+    /// The failing system calls, in the format of the shim's `FAULT_PLAN`.
     pub calls: String,
-    /// The wall clock is off by so many milliseconds.
+    /// The offset of the wall clock from the real time, in milliseconds.
     pub clock_offset_ms: i64,
 }
 
-/// One soak.
+/// What happens in one soak.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The seed that drew it.
+    /// The seed from which this plan was drawn, and from which clients draw their requests.
     pub seed: u64,
-    /// How large it is.
+    /// The size for which this plan was drawn.
     pub size: Size,
-    /// The faults, by time.
+    /// The faults in the order in which they begin.
     pub timeline: Vec<TimedFault>,
-    /// The system faults of each node.
+    /// The system faults of each node, by node number.
     pub system_faults: Vec<SystemFaults>,
 }
 
-/// Errors that pass, by call. Failures of `epoll_ctl` are not drawn: they are known to stop a node
-/// (docs/incidents, open).
+/// Transient errors of system calls, as items of the shim's `FAULT_PLAN`. Failures of `epoll_ctl` are not
+/// among them: they are known to stop a node (docs/incidents, open).
 const TRANSIENT_ERRORS: [&str; 10] = [
     "recv:EINTR:20",
     "send:EINTR:20",
@@ -137,13 +139,12 @@
     WorkerBehavior::ResetAfterBody,
 ];
 
-/// Faults of one cluster begin within this many milliseconds.
+/// All faults of one cluster begin within this many milliseconds.
 const CLUSTER_SPREAD_MS: u64 = 200;
-/// Faults of one cluster.
 const FAULTS_PER_CLUSTER: usize = 3;
 
 impl Plan {
-    /// The plan of this seed and size. Faults come in clusters, so that two or three overlap.
+    /// Draws the plan of this seed and size. Faults come in clusters, so that two or three overlap.
     pub fn draw(seed: u64, size: Size) -> Plan {
         let mut rng = Rng::with_seed(seed);
         let duration_ms = size.duration.as_millis() as u64;
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy in front of one worker, which delays, stalls, cuts or resets its connections.
+//! A TCP proxy in front of one worker that delays, stalls or resets its connections, or loses its responses.
 
 use crate::plan::ConnectionFault;
 use sorrelhaven_test_support::{open_listener, reset_connection};
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often a connection checks which fault is in force.
+/// Interval at which each direction of a connection checks which fault is in force.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 const BUFFER_BYTES: usize = 16 * 1024;
 
@@ -21,33 +21,33 @@
 #[derive(Default)]
 struct State {
     fault: Option<ActiveFault>,
-    /// How often all connections were reset.
+    /// The number of times that all connections were reset.
     resets: u64,
 }
 
-/// What holds for all connections at one moment.
-struct Conditions {
+/// The fault in force and the number of resets, read at one time.
+struct Snapshot {
     fault: Option<ConnectionFault>,
     resets: u64,
 }
 
-/// The direction of bytes through the proxy.
+/// The direction in which bytes are forwarded.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Direction {
     ToWorker,
     FromWorker,
 }
 
-/// The proxy of one worker; it serves until the process ends. Clones are the same proxy.
+/// The proxy of one worker. It serves until the process ends; clones share one state.
 #[derive(Clone)]
 pub struct Proxy {
     state: Arc<Mutex<State>>,
-    /// The address at which nodes reach the worker.
+    /// The address at which nodes connect to the worker.
     pub address: SocketAddr,
 }
 
 impl Proxy {
-    /// Starts a proxy to `worker`.
+    /// Starts a proxy that forwards connections to `worker`.
     pub fn new(worker: SocketAddr) -> Proxy {
         let (listener, address) = open_listener();
         let proxy = Proxy { state: Arc::default(), address };
@@ -55,7 +55,7 @@
         thread::spawn(move || {
             for client in listener.incoming().flatten() {
                 let Ok(upstream) = TcpStream::connect(worker) else { continue };
-                acceptor.forward(client, &upstream);
+                acceptor.start_forwarding(client, &upstream);
             }
         });
         proxy
@@ -65,23 +65,23 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Disturbs all connections for `duration`, in place of an earlier fault.
-    pub fn disturb(&self, fault: ConnectionFault, duration: Duration) {
+    /// Applies `fault` to all connections for `duration`, in place of any earlier fault.
+    pub fn set_fault(&self, fault: ConnectionFault, duration: Duration) {
         let mut state = self.state();
         state.fault = Some(ActiveFault { fault, until: Instant::now() + duration });
         state.resets += u64::from(fault == ConnectionFault::Reset);
     }
 
-    fn conditions(&self) -> Conditions {
+    fn snapshot(&self) -> Snapshot {
         let state = self.state();
         let active = state.fault.filter(|active| Instant::now() < active.until);
-        Conditions { fault: active.map(|active| active.fault), resets: state.resets }
+        Snapshot { fault: active.map(|active| active.fault), resets: state.resets }
     }
 
-    /// Starts to forward both directions of a new connection.
-    fn forward(&self, client: TcpStream, upstream: &TcpStream) {
-        let conditions = self.conditions();
-        if conditions.fault == Some(ConnectionFault::Reset) {
+    /// Starts forwarding both directions of a new connection, or resets it.
+    fn start_forwarding(&self, client: TcpStream, upstream: &TcpStream) {
+        let snapshot = self.snapshot();
+        if snapshot.fault == Some(ConnectionFault::Reset) {
             return reset_connection(client);
         }
         let pairs = [
@@ -91,24 +91,30 @@
         for (from, to, direction) in pairs {
             let (Ok(from), Ok(to)) = (from, to) else { return };
             let proxy = self.clone();
-            thread::spawn(move || proxy.pump(from, to, direction, conditions.resets));
+            thread::spawn(move || proxy.forward_bytes(from, to, direction, snapshot.resets));
         }
     }
 
-    /// Copies bytes in one direction until either side ends, or all connections are reset: then there have
-    /// been more resets than `resets_at_start`.
-    fn pump(&self, mut from: TcpStream, mut to: TcpStream, direction: Direction, resets_at_start: u64) {
+    /// Forwards bytes in one direction until either side ends, or until all connections are reset: the number
+    /// of resets then differs from `resets_at_start`, the number when this connection was opened.
+    fn forward_bytes(
+        &self,
+        mut from: TcpStream,
+        mut to: TcpStream,
+        direction: Direction,
+        resets_at_start: u64,
+    ) {
         let _ = from.set_read_timeout(Some(POLL_INTERVAL));
         let _ = from.set_nodelay(true);
         let _ = to.set_nodelay(true);
         let mut buffer = [0; BUFFER_BYTES];
         loop {
-            let conditions = self.conditions();
-            if conditions.resets != resets_at_start {
+            let snapshot = self.snapshot();
+            if snapshot.resets != resets_at_start {
                 reset_connection(from);
                 return reset_connection(to);
             }
-            if conditions.fault == Some(ConnectionFault::Stall) {
+            if snapshot.fault == Some(ConnectionFault::Stall) {
                 thread::sleep(POLL_INTERVAL);
                 continue;
             }
@@ -118,7 +124,7 @@
                     return;
                 }
                 Ok(length) => {
-                    if copy_piece(&buffer[..length], &mut to, direction, conditions.fault).is_err() {
+                    if write_piece(&buffer[..length], &mut to, direction, snapshot.fault).is_err() {
                         return reset_connection(from);
                     }
                 }
@@ -129,8 +135,8 @@
     }
 }
 
-/// Writes what has been read, unless the fault loses it.
-fn copy_piece(
+/// Writes bytes that were read, after the delay of the fault, or discards them if the fault loses responses.
+fn write_piece(
     piece: &[u8],
     to: &mut TcpStream,
     direction: Direction,
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! Plays a plan.
+//! Runs the soak that a plan describes.
 
 use crate::client::{Client, ClientRecords};
 use crate::fleet::{Environment, Fleet};
@@ -13,26 +13,27 @@
 
 const CLIENTS_PER_NODE: usize = 3;
 
-/// Plays a plan with the program at this path, and compares what clients received with what workers ran.
+/// Runs the soak `plan` with the program at the path `program`, and compares what clients received with what
+/// workers executed.
 ///
 /// # Panics
 /// If a process of the program can't be started, or a client panics.
 pub fn run(program: &Path, plan: &Plan) -> Verdict {
     let environment = Environment::start(plan.size);
     let mut fleet = Fleet::start(program, plan, &environment);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let records = Arc::new(ClientRecords {
         checker: DeliveryChecker::default(),
         lost: Mutex::default(),
-        until: begun + plan.size.duration,
+        until: started_at + plan.size.duration,
     });
     let clients = spawn_clients(plan, &fleet, &records);
     for timed in &plan.timeline {
-        thread::sleep((begun + timed.at).saturating_duration_since(Instant::now()));
+        thread::sleep((started_at + timed.at).saturating_duration_since(Instant::now()));
         fleet.inject(timed.fault, &environment);
     }
     for client in clients {
-        client.join().expect("the client ends");
+        client.join().expect("the client thread does not panic");
     }
     let mut verdict = fleet.terminate();
     verdict.violations.extend(records.checker.violations(&environment.workers.executed_requests()));
--- a/crates/soak/src/verdict.rs
+++ b/crates/soak/src/verdict.rs
@@ -1,16 +1,18 @@
-//! The outcome of a soak.
+//! The result of a soak.
 
-/// What a soak has shown.
+/// The violations that a soak found, and the load under which it found them.
 #[derive(Debug, Default)]
 pub struct Verdict {
-    /// Each violation of a rule, a line each.
+    /// One line for each violation of a delivery rule, lost request, and node that failed or violated an
+    /// invariant; empty if the soak passed.
     pub violations: Vec<String>,
-    /// Requests that clients sent.
+    /// Number of requests that clients sent.
     pub requested: usize,
-    /// Requests that were served.
+    /// Number of requests that were answered with status 200.
     pub served: usize,
-    /// Processes that were started.
+    /// Number of processes of the program that were started, including those after restarts.
     pub processes: usize,
-    /// Faults that the shim injected into processes that ended by themselves.
+    /// Number of faults that the shim injected into processes that were not killed: a killed process writes
+    /// no counts.
     pub injected_faults: u64,
 }
