--- a/crates/fault-shim/src/calls.rs
+++ b/crates/fault-shim/src/calls.rs
@@ -1,5 +1,5 @@
-//! The intercepted calls. Each draws a fault from the plan, and calls the C library's own function if there
-//! is none.
+//! The intercepted functions. Each draws a fault from the plan, and calls the C library's function unless the
+//! fault is an error.
 
 use crate::plan::Fault;
 use crate::{draw_fault, plan};
@@ -9,10 +9,11 @@
 };
 use std::sync::OnceLock;
 
-/// Descriptors below this are standard input, output and error, which carry the log: their calls never fail.
+/// Descriptors below this are standard input, output and error, which carry the log: transfers on them
+/// never fail.
 const FIRST_DESCRIPTOR: c_int = 3;
 
-/// The address of the C library's own function of this name, looked up once.
+/// The address of the C library's function of this name, looked up once and kept in `slot`.
 fn real_function(slot: &OnceLock<usize>, name: &std::ffi::CStr) -> usize {
     // SAFETY: the name is a C string; the result is an address or null.
     *slot.get_or_init(|| unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) } as usize)
@@ -23,8 +24,9 @@
     unsafe { *libc::__errno_location() = errno };
 }
 
-/// Defines one intercepted call: its C name, its name in plans, its parameters and result, and what is done
-/// with a fault before the C library is called, which may return early.
+/// Defines one intercepted function: its C name, its name in plans, its parameters and result type, and a
+/// block that handles the drawn fault before the C library is called. The block may return early with an
+/// error.
 macro_rules! intercept {
     ($name:ident as $plan:literal ($($arg:ident: $type:ty),*) -> $result:ty) => {
         intercept!($name as $plan ($($arg: $type),*) -> $result, |fault| {
@@ -35,10 +37,10 @@
         });
     };
     ($name:ident as $plan:literal ($($arg:ident: $type:ty),*) -> $result:ty, |$fault:ident| $before:block) => {
-        /// The intercepted call of this name.
+        /// Injects the drawn fault or calls the C library's function of this name.
         ///
         /// # Safety
-        /// As the C library's own.
+        /// As for the C library's function.
         #[unsafe(no_mangle)]
         #[allow(unused_mut)]
         pub unsafe extern "C" fn $name($(mut $arg: $type),*) -> $result {
@@ -48,27 +50,27 @@
             let name = concat!(stringify!($name), "\0");
             let name = std::ffi::CStr::from_bytes_with_nul(name.as_bytes()).unwrap_or(c"");
             let address = real_function(&REAL, name);
-            // SAFETY: the address is that of the C library's function, which has this signature.
+            // SAFETY: this is the address of the C library's function, which has this signature.
             let function: unsafe extern "C" fn($($type),*) -> $result = unsafe { std::mem::transmute(address) };
-            // SAFETY: the caller keeps to the contract of the call.
+            // SAFETY: the caller upholds the contract of the C library's function.
             unsafe { function($($arg),*) }
         }
     };
 }
 
-/// Whether calls on this descriptor may fail: not the log, and not the Unix socket pair through which a
-/// signal handler wakes its own process, on which a call that does not block is never interrupted
-/// (signal(7)).
+/// Whether errors may be injected into transfers on this descriptor. Excluded are the log and Unix sockets: a
+/// signal handler wakes its own process through a Unix socket pair, and a non-blocking call on it is never
+/// interrupted (signal(7)).
 fn is_fault_allowed(fd: c_int) -> bool {
-    // SAFETY: an all-zero address is valid.
+    // SAFETY: an all-zero `sockaddr_storage` is valid.
     let mut address: libc::sockaddr_storage = unsafe { std::mem::zeroed() };
     let mut size = size_of::<libc::sockaddr_storage>() as socklen_t;
-    // SAFETY: the address has room for any family, and its size is passed along.
-    let named = unsafe { libc::getsockname(fd, (&raw mut address).cast(), &mut size) } == 0;
-    fd >= FIRST_DESCRIPTOR && !(named && i32::from(address.ss_family) == libc::AF_UNIX)
+    // SAFETY: the storage has room for an address of any family, and its size is passed.
+    let has_address = unsafe { libc::getsockname(fd, (&raw mut address).cast(), &mut size) } == 0;
+    fd >= FIRST_DESCRIPTOR && !(has_address && i32::from(address.ss_family) == libc::AF_UNIX)
 }
 
-/// Defines an intercepted transfer of bytes, which may fail or transfer at most half of what it could.
+/// Defines an intercepted transfer of bytes, which may fail or transfer at most half of the requested bytes.
 macro_rules! transfer {
     ($name:ident as $plan:literal ($fd:ident, $length:ident; $($arg:ident: $type:ty),*)) => {
         intercept!($name as $plan ($($arg: $type),*) -> ssize_t, |fault| {
@@ -143,9 +145,10 @@
 
 intercept!(connect as "connect" (fd: c_int, address: *const sockaddr, size: socklen_t) -> c_int, |fault| {
     match fault {
-        // An interrupted connect goes on in the background (connect(2)): the caller may wait for it.
+        // An interrupted connect continues in the background (connect(2)), so the real call is made too: the
+        // caller may wait for its completion.
         Some(Fault::Errno(libc::EINTR)) => {
-            // SAFETY: as for the call itself; the raw call leaves its own errno, which is replaced.
+            // SAFETY: as for the intercepted call. The errno of the raw call is replaced below.
             unsafe { libc::syscall(libc::SYS_connect, fd, address, size) };
             set_errno(libc::EINTR);
             return -1;
@@ -155,17 +158,17 @@
     }
 });
 
-/// The wall clock with the plan's steps; other clocks are unchanged.
+/// Reads a clock, and adds the steps of the plan to the wall clock. Other clocks are unchanged.
 ///
 /// # Safety
-/// As the C library's own.
+/// As for the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, to: *mut timespec) -> c_int {
     const NANOS_PER_SECOND: i64 = 1_000_000_000;
-    // SAFETY: the caller passes a valid pointer; the raw call checks it.
+    // SAFETY: the caller passes a valid pointer, which the kernel checks.
     let result = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, to) } as c_int;
     if result == 0 && clock == libc::CLOCK_REALTIME {
-        // SAFETY: the call has just written to this place.
+        // SAFETY: the call succeeded, so the pointer is valid and the time is written.
         let time = unsafe { &mut *to };
         let stepped = time.tv_sec * NANOS_PER_SECOND + time.tv_nsec + plan().clock_offset_nanos();
         time.tv_sec = stepped.div_euclid(NANOS_PER_SECOND);
--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -1,47 +1,48 @@
-//! Which calls fail, how, how often and when. Makes no system calls beyond reading the monotonic clock.
+//! The plan: which calls fail, with which error, how often and when. A draw makes no system call except to
+//! read the monotonic clock.
 
 use std::ops::Range;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Instant;
 
-/// What is injected into a call.
+/// A fault that is injected into one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The call fails with this errno.
     Errno(i32),
-    /// The call transfers at most half of the bytes that it could.
+    /// The call transfers at most half of the requested bytes.
     ShortTransfer,
 }
 
-/// One rule: a call that fails with a probability of 1 / `one_in` within a span of the process's life.
+/// One rule: a call that fails with a probability of 1 / `one_in` within a range of the process's age.
 struct Rule {
     call: String,
-    /// The fault's name in the plan.
+    /// The name of the fault in the plan: an errno name or `SHORT`.
     fault_name: String,
     fault: Fault,
     one_in: u64,
     /// When the rule is in force, in milliseconds since the start of the process.
     active_ms: Range<u64>,
-    /// How often it was applied.
+    /// The number of times that the fault was injected.
     injected: AtomicU64,
 }
 
 /// A step of the wall clock.
 struct ClockStep {
-    /// When it happens, since the start of the process.
+    /// The time of the step, in milliseconds since the start of the process.
     at_ms: u64,
     step_ms: i64,
 }
 
-/// All rules of a process.
+/// All faults of a process.
 pub struct Plan {
     process_start: Instant,
-    /// Draws so far.
+    /// The number of random draws so far.
     draws: AtomicU64,
     seed: u64,
     rules: Vec<Rule>,
     clock_steps: Vec<ClockStep>,
-    /// Set when the counts have been taken: no fault is injected from then on.
+    /// Set when the counts are read: no fault is injected after that.
     stopped: AtomicBool,
 }
 
@@ -77,8 +78,8 @@
 ];
 
 impl Plan {
-    /// Parses the plan from environment variables. An invalid item aborts the process: a test that injects
-    /// nothing proves nothing.
+    /// Parses the plan from environment variables. An invalid item aborts the process, as the test would
+    /// otherwise pass without its faults.
     pub fn from_environment(variable: impl Fn(&str) -> Option<String>) -> Plan {
         let rules = variable("FAULT_PLAN").unwrap_or_default();
         let clock_steps = variable("FAULT_CLOCK").unwrap_or_default();
@@ -96,7 +97,8 @@
         self.process_start.elapsed().as_millis() as u64
     }
 
-    /// The fault for this call, if one of its rules is in force and drawn.
+    /// Draws the fault for the next call with this name: that of the first rule that is in force and whose
+    /// draw succeeds, if any.
     pub fn draw(&self, call: &str) -> Option<Fault> {
         if self.stopped.load(Ordering::Relaxed) || !self.rules.iter().any(|rule| rule.call == call) {
             return None;
@@ -109,23 +111,24 @@
         Some(rule.fault)
     }
 
-    /// The next number of a SplitMix64 sequence, in the order in which threads draw.
+    /// The next number of a SplitMix64 sequence that all threads share.
     fn next_random(&self) -> u64 {
         let number = self.draws.fetch_add(1, Ordering::Relaxed);
         splitmix64_finalize(self.seed ^ number.wrapping_mul(SPLITMIX64_INCREMENT))
     }
 
-    /// The sum of the wall clock's steps so far, in nanoseconds.
+    /// The sum of the clock steps that are due by now, in nanoseconds.
     pub fn clock_offset_nanos(&self) -> i64 {
         if self.clock_steps.is_empty() {
             return 0;
         }
         let age_ms = self.age_ms();
-        let past = self.clock_steps.iter().filter(|step| step.at_ms <= age_ms);
-        past.map(|step| step.step_ms.saturating_mul(NANOS_PER_MILLI)).sum()
+        let due = self.clock_steps.iter().filter(|step| step.at_ms <= age_ms);
+        due.map(|step| step.step_ms.saturating_mul(NANOS_PER_MILLI)).sum()
     }
 
-    /// How often each rule was applied: `call error count`. No fault is injected from here on.
+    /// One line `call error count` for each rule, with the number of faults that it injected. No fault is
+    /// injected after this is called.
     pub fn counts(&self) -> impl Iterator<Item = String> + '_ {
         self.stopped.store(true, Ordering::Relaxed);
         self.rules.iter().map(|rule| {
@@ -135,7 +138,7 @@
     }
 }
 
-/// Parses the non-empty items of a list that is separated by `;`; aborts the process at an invalid one.
+/// Parses the non-empty items of a list separated by `;`. Aborts the process if an item is invalid.
 fn parse_items<Item>(text: &str, parse: impl Fn(&str) -> Option<Item>) -> Vec<Item> {
     let items = text.split(';').filter(|item| !item.is_empty());
     items.map(|item| parse(item).unwrap_or_else(|| abort_at_invalid_item(item))).collect()
@@ -149,12 +152,12 @@
 /// Parses `call:error:one_in[:from_ms:to_ms]`.
 fn parse_rule(item: &str) -> Option<Rule> {
     let fields: Vec<&str> = item.split(':').collect();
-    let [call, fault_name, one_in, span @ ..] = fields.as_slice() else { return None };
+    let [call, fault_name, one_in, range @ ..] = fields.as_slice() else { return None };
     let fault = match *fault_name {
         "SHORT" => Fault::ShortTransfer,
         name => Fault::Errno(ERRNOS.iter().find(|(known, _)| *known == name)?.1),
     };
-    let active_ms = match span {
+    let active_ms = match range {
         [] => 0..u64::MAX,
         [from, to] => from.parse().ok()?..to.parse().ok()?,
         _ => return None,
