--- a/crates/node/benches/bodies.rs
+++ b/crates/node/benches/bodies.rs
@@ -1,11 +1,11 @@
-//! Large bodies through the program, against what the machine does without it. Prints a table.
+//! Requests with large bodies, compared with what the machine achieves without the program. Prints tables.
 //!
 //!     cargo bench -p sorrelhaven --bench bodies
 //!
-//! - throughput of 8 MB bodies by storage step;
-//! - bodies into files against a plain sequential write of the same bytes;
-//! - peak resident memory with 64 clients that send 8 MB at once;
-//! - small jobs' 99th percentile beside such a load and without.
+//! - the throughput of 8 MB bodies that are stored in memory, stored in files, or not stored;
+//! - the rate of storing bodies in files, compared with a plain sequential write of the same bytes;
+//! - the peak resident memory while 64 clients send 8 MB bodies at the same time;
+//! - the 99th percentile of the response times of small jobs, under that load and without it.
 
 use sorrelhaven_body_store::{BodyEnd, BodyStore, Directory};
 use sorrelhaven_config::{BodyFiles, BodyMemory, BodySettings};
@@ -37,7 +37,7 @@
 const FILE_BODIES: usize = 64;
 const FILE_WRITERS: usize = 8;
 
-/// The limits on stored bodies, in MiB.
+/// The operator's limits on stored bodies, in MiB.
 #[derive(Clone, Copy)]
 struct BodyLimits {
     memory_each: usize,
@@ -51,12 +51,12 @@
 
 fn main() {
     let scratch = ScratchDir::new("bench");
-    std::fs::create_dir(scratch.path("spool")).expect("the directory can be created");
-    println!("8 MB bodies, {THROUGHPUT_CLIENTS} clients, {THROUGHPUT_BODIES} bodies each step");
-    println!("{:<28} {:>10}", "step", "MB/s");
-    for (step, limits) in [("memory", IN_MEMORY), ("file", IN_FILES), ("not stored", NOT_STORED)] {
+    std::fs::create_dir(scratch.path("spool")).expect("the spool directory can be created");
+    println!("8 MB bodies, {THROUGHPUT_CLIENTS} clients, {THROUGHPUT_BODIES} bodies per storage tier");
+    println!("{:<28} {:>10}", "tier", "MB/s");
+    for (tier, limits) in [("memory", IN_MEMORY), ("file", IN_FILES), ("not stored", NOT_STORED)] {
         let rate = measure_throughput(&scratch, limits);
-        println!("{step:<28} {rate:>10.0}");
+        println!("{tier:<28} {rate:>10.0}");
     }
     compare_files(&scratch);
     measure_small_jobs(&scratch);
@@ -87,7 +87,7 @@
     request
 }
 
-/// The throughput of large bodies, in MB/s.
+/// The throughput of large bodies through the node, in MB/s.
 fn measure_throughput(scratch: &ScratchDir, limits: BodyLimits) -> f64 {
     let workers = FakeWorkers::new(32);
     let node = start_node(scratch, &workers, limits);
@@ -104,13 +104,13 @@
             served.fetch_add(u64::from(is_served), Ordering::Relaxed);
         }
     };
-    let begun = Instant::now();
+    let started_at = Instant::now();
     thread::scope(|scope| {
         for _ in 0..THROUGHPUT_CLIENTS {
             scope.spawn(send_bodies);
         }
     });
-    let elapsed = begun.elapsed().as_secs_f64();
+    let elapsed = started_at.elapsed().as_secs_f64();
     let served = served.load(Ordering::Relaxed);
     if served < THROUGHPUT_BODIES {
         println!("  ({} of {THROUGHPUT_BODIES} not served)", THROUGHPUT_BODIES - served);
@@ -118,9 +118,11 @@
     served as f64 * BODY_BYTES as f64 / 1e6 / elapsed
 }
 
-/// Rates of writing the same bytes, in MB/s.
+/// The rates of writing the same bytes in two ways, in MB/s.
 struct FileRates {
+    /// A plain sequential write.
     plain: f64,
+    /// Bodies stored in files by the body store.
     stored: f64,
 }
 
@@ -130,8 +132,8 @@
     }
 }
 
-/// Bodies into files, eight at once, against a plain sequential write of the same bytes: the median of three
-/// rounds.
+/// Compares storing bodies in files, eight at the same time, with a plain sequential write of the same bytes,
+/// and prints the median of three rounds.
 fn compare_files(scratch: &ScratchDir) {
     let block = vec![7; BLOCK_BYTES];
     let measure_round = |_| FileRates {
@@ -142,17 +144,17 @@
     rounds.sort_by(|left, right| left.ratio().total_cmp(&right.ratio()));
     let median = &rounds[1];
     println!("\n{:<28} {:>10.0}", "plain sequential write, MB/s", median.plain);
-    println!("{:<28} {:>10.0}", "into bodies' files, MB/s", median.stored);
-    println!("{:<28} {:>10.2}  (target: 0.60)", "the second over the first", median.ratio());
+    println!("{:<28} {:>10.0}", "bodies stored in files, MB/s", median.stored);
+    println!("{:<28} {:>10.2}  (target: 0.60)", "ratio of stored to plain", median.ratio());
 }
 
-/// The rate since `begun` of writing [`FILE_BODIES`] bodies, in MB/s.
-fn file_rate(begun: Instant) -> f64 {
-    (FILE_BODIES * BODY_BYTES) as f64 / 1e6 / begun.elapsed().as_secs_f64()
+/// The rate of writing [`FILE_BODIES`] bodies since `started_at`, in MB/s.
+fn file_rate(started_at: Instant) -> f64 {
+    (FILE_BODIES * BODY_BYTES) as f64 / 1e6 / started_at.elapsed().as_secs_f64()
 }
 
 fn measure_plain_writes(scratch: &ScratchDir, block: &[u8]) -> f64 {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for number in 0..FILE_BODIES {
         let path = scratch.path(&format!("plain-{number}"));
         let mut file = File::create(&path).expect("the file can be created");
@@ -162,7 +164,7 @@
         drop(file);
         std::fs::remove_file(&path).expect("the file exists");
     }
-    file_rate(begun)
+    file_rate(started_at)
 }
 
 fn measure_stored_bodies(scratch: &ScratchDir, block: &[u8]) -> f64 {
@@ -180,7 +182,7 @@
     let directory = Directory::open(&scratch.path("spool"), "bench").expect("the directory can be used");
     let bodies = BodyStore::new(&settings, 1, Some(Arc::new(directory)), || Some(Box::new(())));
     let executor = async_executor::LocalExecutor::new();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     async_io::block_on(executor.run(async {
         let tasks: Vec<_> = (0..FILE_WRITERS)
             .map(|_| {
@@ -205,49 +207,56 @@
             task.await;
         }
     }));
-    file_rate(begun)
+    file_rate(started_at)
 }
 
-/// Small jobs without and beside clients that send large bodies all the time.
+/// Measures small jobs without and with clients that continuously send large bodies.
 fn measure_small_jobs(scratch: &ScratchDir) {
     println!("\nsmall jobs of {SMALL_JOB_MILLIS} ms by {SMALL_JOB_CLIENTS} clients");
-    println!("the load: {LARGE_BODY_CLIENTS} clients that send 8 MB at once, over and over");
-    println!("{:<28} {:>8} {:>8} {:>8} {:>8} {:>12}", "", "served", "not", "p50 ms", "p99 ms", "peak MB");
-    let alone = measure_small_jobs_beside(scratch, "alone", 0, IN_FILES);
-    for (name, limits) in [("beside bodies in files", IN_FILES), ("beside bodies not stored", NOT_STORED)] {
-        let Some(beside) = measure_small_jobs_beside(scratch, name, LARGE_BODY_CLIENTS, limits) else {
+    println!("load: {LARGE_BODY_CLIENTS} clients that continuously send 8 MB bodies");
+    println!(
+        "{:<28} {:>8} {:>8} {:>8} {:>8} {:>12}",
+        "", "served", "unserved", "p50 ms", "p99 ms", "peak MB"
+    );
+    let unloaded = measure_small_jobs_under_load(scratch, "without load", 0, IN_FILES);
+    for (name, limits) in [("load, bodies in files", IN_FILES), ("load, bodies not stored", NOT_STORED)] {
+        let Some(loaded) = measure_small_jobs_under_load(scratch, name, LARGE_BODY_CLIENTS, limits) else {
             continue;
         };
-        let p99_alone_ms = alone.as_ref().map_or(0.0, |alone| alone.p99_ms);
-        let peak_beside_mb = beside.peak_mb - MEMORY_TOTAL_BYTES as f64 / 1e6;
-        println!("  99th percentile {:.2} times that alone (target: 2)", beside.p99_ms / p99_alone_ms);
-        println!("  peak memory {peak_beside_mb:.1} MB beside memory.total_bytes (target: 24)");
+        let p99_unloaded_ms = unloaded.as_ref().map_or(0.0, |figures| figures.p99_ms);
+        let peak_without_bodies_mb = loaded.peak_mb - MEMORY_TOTAL_BYTES as f64 / 1e6;
+        println!(
+            "  99th percentile {:.2} times that without load (target: 2)",
+            loaded.p99_ms / p99_unloaded_ms
+        );
+        println!("  peak memory {peak_without_bodies_mb:.1} MB in excess of memory.total_bytes (target: 24)");
     }
 }
 
-/// What small jobs have measured.
+/// The measurements of small jobs in one row of the table.
 struct SmallJobFigures {
     p99_ms: f64,
     /// The node's peak resident memory.
     peak_mb: f64,
 }
 
-/// The outcomes of small jobs.
+/// The results of the small jobs of one or more clients.
 #[derive(Default)]
 struct SmallJobs {
     response_times_ms: Vec<f64>,
-    not_served: usize,
+    unserved: usize,
 }
 
 impl SmallJobs {
     fn add(&mut self, other: SmallJobs) {
         self.response_times_ms.extend(other.response_times_ms);
-        self.not_served += other.not_served;
+        self.unserved += other.unserved;
     }
 }
 
-/// Prints a row; `None` if no job was served.
-fn measure_small_jobs_beside(
+/// Measures small jobs while `large_body_clients` send large bodies, and prints a row. Returns `None` if no
+/// small job was served.
+fn measure_small_jobs_under_load(
     scratch: &ScratchDir,
     name: &str,
     large_body_clients: usize,
@@ -256,16 +265,17 @@
     let workers = FakeWorkers::new(96);
     workers.set_default_behavior(WorkerBehavior::DoneAfterMillis(SMALL_JOB_MILLIS));
     let node = start_node(scratch, &workers, limits);
-    let SmallJobs { mut response_times_ms, not_served } = send_small_jobs(&node, large_body_clients);
+    let SmallJobs { mut response_times_ms, unserved } = send_small_jobs(&node, large_body_clients);
     if response_times_ms.is_empty() {
-        println!("{name:<28} none served, {not_served} not");
+        println!("{name:<28} none served, {unserved} unserved");
         return None;
     }
     response_times_ms.sort_by(f64::total_cmp);
-    let quantile = |share: f64| response_times_ms[((response_times_ms.len() - 1) as f64 * share) as usize];
+    let quantile =
+        |fraction: f64| response_times_ms[((response_times_ms.len() - 1) as f64 * fraction) as usize];
     let figures = SmallJobFigures { p99_ms: quantile(0.99), peak_mb: peak_memory_mb(node.child.id()) };
     println!(
-        "{name:<28} {:>8} {not_served:>8} {:>8.1} {:>8.1} {:>12.1}",
+        "{name:<28} {:>8} {unserved:>8} {:>8.1} {:>8.1} {:>12.1}",
         response_times_ms.len(),
         quantile(0.5),
         figures.p99_ms,
@@ -296,7 +306,7 @@
             .collect();
         let mut all = SmallJobs::default();
         for client in clients {
-            all.add(client.join().expect("the client ends"));
+            all.add(client.join().expect("the client thread does not panic"));
         }
         all
     })
@@ -311,7 +321,7 @@
             Ok(response) if response.status == 200 => {
                 jobs.response_times_ms.push(response.elapsed.as_secs_f64() * 1e3);
             }
-            _ => jobs.not_served += 1,
+            _ => jobs.unserved += 1,
         }
     }
     stop.store(true, Ordering::Relaxed);
@@ -321,7 +331,10 @@
 /// The peak resident memory of a process, in MB.
 fn peak_memory_mb(process_id: u32) -> f64 {
     let status = std::fs::read_to_string(format!("/proc/{process_id}/status")).expect("the process runs");
-    let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("the status has the peak");
-    let kib: f64 = line.trim().trim_end_matches(" kB").parse().expect("the peak is a number");
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmHWM:"))
+        .expect("the process status has a VmHWM line");
+    let kib: f64 = line.trim().trim_end_matches(" kB").parse().expect("VmHWM is a number");
     kib * 1024.0 / 1e6
 }
--- a/crates/node/benches/scrape.rs
+++ b/crates/node/benches/scrape.rs
@@ -1,5 +1,6 @@
-//! What `show-stat` costs: its time to answer under load, and the service with 10 scrapes a second beside the
-//! same service without, phase by phase in the same run, with 10, 200 and 1,000 workers.
+//! The cost of `show-stat`: its response time under load, and the throughput, response times and processor
+//! time of requests with 10 scrapes per second compared to none. The phases with and without scrapes
+//! alternate in one run. Measured with 10, 200 and 1,000 workers.
 //!
 //!     cargo bench -p sorrelhaven --bench scrape
 
@@ -16,28 +17,28 @@
 const CLIENT_COUNT: usize = 24;
 const SERVER_COUNT: usize = 10;
 const JOB_MILLIS: u64 = 2;
-/// Phases of each kind.
-const ROUNDS: usize = 6;
+/// Number of phases of each kind.
+const PHASES_PER_KIND: usize = 6;
 const PHASE_DURATION: Duration = Duration::from_millis(1_500);
 const SCRAPES_PER_SECOND: u32 = 10;
-/// The kinds of phases, by index.
+/// The kinds of phases, as indices of [`Run::measurements`].
 const WITHOUT_SCRAPES: usize = 0;
 const WITH_SCRAPES: usize = 1;
-/// Between phases nothing is recorded.
+/// The kind between phases, during which nothing is recorded.
 const NO_PHASE: usize = usize::MAX;
 
-/// What the phases of one kind have measured.
+/// The measurements in all phases of one kind.
 #[derive(Default)]
-struct Phase {
+struct PhaseMeasurements {
     response_times: Vec<Duration>,
     cpu_time: Duration,
 }
 
-impl Phase {
-    /// A quantile of the response times, in milliseconds.
-    fn quantile_ms(&mut self, share: f64) -> f64 {
+impl PhaseMeasurements {
+    /// The quantile `fraction` (0 to 1) of the response times, in milliseconds.
+    fn quantile_ms(&mut self, fraction: f64) -> f64 {
         self.response_times.sort_unstable();
-        let index = ((self.response_times.len() - 1) as f64 * share) as usize;
+        let index = ((self.response_times.len() - 1) as f64 * fraction) as usize;
         self.response_times[index].as_secs_f64() * 1e3
     }
 }
@@ -49,21 +50,22 @@
     bytes: usize,
 }
 
-/// What the threads of a run share.
+/// The state that the threads of a run share.
 struct Run {
     node: Program,
     stop: AtomicBool,
-    /// The kind of the phase that goes on.
-    phase: AtomicUsize,
-    phases: Mutex<[Phase; 2]>,
+    /// The kind of the current phase.
+    phase_kind: AtomicUsize,
+    /// The measurements of each kind of phase.
+    measurements: Mutex<[PhaseMeasurements; 2]>,
 }
 
-/// The processor time of a process so far, by its clock ticks of 10 ms.
+/// The processor time that a process has used so far, in steps of one clock tick (10 ms).
 fn process_cpu_time(process_id: u32) -> Duration {
     let stat = std::fs::read_to_string(format!("/proc/{process_id}/stat")).expect("the process runs");
-    let fields = stat.rsplit(')').next().expect("the line names the program");
+    let fields = stat.rsplit(')').next().expect("the stat line has the program name in parentheses");
     let fields: Vec<&str> = fields.split_whitespace().collect();
-    let ticks = |index: usize| fields[index].parse::<u64>().expect("the field is a number");
+    let ticks = |index: usize| fields[index].parse::<u64>().expect("the stat field is a number");
     Duration::from_millis(10 * (ticks(11) + ticks(12)))
 }
 
@@ -79,7 +81,8 @@
 fn measure(worker_count: usize) {
     let servers = FakeWorkers::new(SERVER_COUNT);
     servers.set_default_behavior(WorkerBehavior::DoneAfterMillis(JOB_MILLIS));
-    // Each server stands for many workers: only the list and what the node knows grow with their number.
+    // Many workers of the list share the address of one server: with their number only the list and the
+    // node's records of them grow.
     let addresses: Vec<_> = servers.addresses.iter().copied().cycle().take(worker_count).collect();
     let scratch = ScratchDir::new("scrape");
     let config = scratch.write("node.json", &workers_config(&addresses));
@@ -88,8 +91,8 @@
     let run = Run {
         node: Program::start(command, &config, None),
         stop: AtomicBool::new(false),
-        phase: AtomicUsize::new(NO_PHASE),
-        phases: Mutex::default(),
+        phase_kind: AtomicUsize::new(NO_PHASE),
+        measurements: Mutex::default(),
     };
     let mut scrapes = Vec::new();
     thread::scope(|scope| {
@@ -98,10 +101,10 @@
             scope.spawn(move || run.send_requests(client));
         }
         thread::sleep(PHASE_DURATION);
-        for round in 0..2 * ROUNDS {
-            // In turn, and each kind first as often.
-            let phase = (round + round / 2) % 2;
-            run.play_phase(phase, &mut scrapes);
+        for number in 0..2 * PHASES_PER_KIND {
+            // The kinds alternate in pairs of phases, and each kind comes first in half of the pairs.
+            let kind = (number + number / 2) % 2;
+            run.run_phase(kind, &mut scrapes);
         }
         run.stop.store(true, Ordering::Relaxed);
     });
@@ -110,9 +113,9 @@
 }
 
 impl Run {
-    /// A client that sends requests on one connection until the end of the run.
+    /// Sends requests on one connection until the end of the run, as one client.
     fn send_requests(&self, client: usize) {
-        let mut stream = TcpStream::connect(&self.node.address).expect("the node accepts");
+        let mut stream = TcpStream::connect(&self.node.address).expect("the node accepts the connection");
         let _ = stream.set_nodelay(true);
         for number in 0.. {
             if self.stop.load(Ordering::Relaxed) {
@@ -121,49 +124,47 @@
             let id = format!("q-{client}-{number}");
             let mut request = TestRequest::new(&id, "renewal-check", vec![b'x'; 200]);
             request.work_hint_micros = Some(2_000);
-            let phase = self.phase.load(Ordering::Relaxed);
+            let kind = self.phase_kind.load(Ordering::Relaxed);
             let response = request.send_on(&mut stream).expect("the request is answered");
             assert_eq!(response.status, 200);
-            if let Some(phase) = self.phases.lock().expect("no client has panicked").get_mut(phase) {
+            if let Some(phase) = self.measurements.lock().expect("no thread has panicked").get_mut(kind) {
                 phase.response_times.push(response.elapsed);
             }
         }
     }
 
-    /// Records one phase, with scrapes or without.
-    fn play_phase(&self, phase: usize, scrapes: &mut Vec<Scrape>) {
+    /// Runs one phase of this kind and records its measurements.
+    fn run_phase(&self, kind: usize, scrapes: &mut Vec<Scrape>) {
         let cpu_time_before = process_cpu_time(self.node.child.id());
-        self.phase.store(phase, Ordering::Relaxed);
+        self.phase_kind.store(kind, Ordering::Relaxed);
         let end = Instant::now() + PHASE_DURATION;
         while Instant::now() < end {
-            if phase == WITH_SCRAPES {
-                let begun = Instant::now();
+            if kind == WITH_SCRAPES {
+                let started_at = Instant::now();
                 let text = self.node.admin_command("show-stat");
                 assert!(text.ends_with("EOT\n"));
-                scrapes.push(Scrape { elapsed: begun.elapsed(), bytes: text.len() });
+                scrapes.push(Scrape { elapsed: started_at.elapsed(), bytes: text.len() });
             }
             let pause = Duration::from_secs(1) / SCRAPES_PER_SECOND;
             thread::sleep(pause.min(end.saturating_duration_since(Instant::now())));
         }
-        self.phase.store(NO_PHASE, Ordering::Relaxed);
+        self.phase_kind.store(NO_PHASE, Ordering::Relaxed);
         let cpu_time = process_cpu_time(self.node.child.id()) - cpu_time_before;
-        self.phases.lock().expect("no client has panicked")[phase].cpu_time += cpu_time;
+        self.measurements.lock().expect("no thread has panicked")[kind].cpu_time += cpu_time;
     }
 }
 
-/// Prints a row for each kind of phase. `scrapes` are sorted by time.
+/// Prints a table row for each kind of phase. `scrapes` must be sorted by elapsed time.
 fn print_phases(worker_count: usize, run: &Run, scrapes: &[Scrape]) {
-    let mut phases = run.phases.lock().expect("no client has panicked");
-    for (kind, phase) in phases.iter_mut().enumerate() {
+    let mut measurements = run.measurements.lock().expect("no thread has panicked");
+    for (kind, phase) in measurements.iter_mut().enumerate() {
         let requests = phase.response_times.len();
-        let rate = requests as f64 / (PHASE_DURATION * ROUNDS as u32).as_secs_f64();
+        let rate = requests as f64 / (PHASE_DURATION * PHASES_PER_KIND as u32).as_secs_f64();
         let cpu_us = phase.cpu_time.as_secs_f64() * 1e6 / requests as f64;
         let p50_ms = phase.quantile_ms(0.5);
         let p99_ms = phase.quantile_ms(0.99);
-        let rate_of_scrapes = if kind == WITHOUT_SCRAPES { 0 } else { SCRAPES_PER_SECOND };
-        print!(
-            "{worker_count:9}  {rate_of_scrapes:7}  {rate:10.0}  {p50_ms:6.2}  {p99_ms:6.2}  {cpu_us:14.1}"
-        );
+        let scrape_rate = if kind == WITHOUT_SCRAPES { 0 } else { SCRAPES_PER_SECOND };
+        print!("{worker_count:9}  {scrape_rate:7}  {rate:10.0}  {p50_ms:6.2}  {p99_ms:6.2}  {cpu_us:14.1}");
         if kind == WITHOUT_SCRAPES {
             println!("                 -       -      -");
             continue;
