--- a/crates/node/src/body_directory.rs
+++ b/crates/node/src/body_directory.rs
@@ -1,4 +1,4 @@
-//! The directory in which request bodies are stored.
+//! Opens the directory that holds the files of request bodies.
 
 use sorrelhaven_body_store::{Directory, DirectoryError, Disk};
 use sorrelhaven_config::Config;
@@ -6,15 +6,15 @@
 use std::{fmt, io};
 use tracing::{info, warn};
 
-/// The settings key of the directory.
+/// The settings key of the directory, which begins each error and warning about it.
 const DIRECTORY_KEY: &str = "bodies.files.directory";
 
-/// Why the body directory cannot be used. Displayed on one line that names the settings key.
+/// Why the directory for bodies cannot be used. `Display` writes one line that begins with the settings key.
 #[derive(Debug)]
 pub enum BodyDirectoryError {
-    /// It cannot be opened or written in.
+    /// The directory cannot be opened, or the test write in it failed.
     Open(DirectoryError),
-    /// Its entries cannot be listed or removed.
+    /// Files of an earlier process cannot be listed or deleted.
     Sweep(io::Error),
 }
 
@@ -31,26 +31,27 @@
 
 impl std::error::Error for BodyDirectoryError {}
 
-/// Opens the configured directory and tries a write; `None` where none is configured.
+/// Opens the configured directory and tries a write in it. `None` if no directory is configured.
 ///
 /// # Errors
-/// The directory cannot be opened or written in.
+/// The directory cannot be opened, or the test write fails for another reason than a full file system.
 pub fn open(config: &Config) -> Result<Option<Directory>, BodyDirectoryError> {
     let Some(path) = &config.operator.bodies.files.directory else { return Ok(None) };
     Directory::open(path, &config.name).map(Some).map_err(BodyDirectoryError::Open)
 }
 
-/// Opens the configured directory as the disk for bodies and removes the files that an earlier process of
-/// this node left behind. A directory that is full is used as soon as it has room.
+/// Opens the configured directory as the disk for bodies, and deletes the files that an earlier process of
+/// this node left in it. `None` if no directory is configured. A directory on a full file system is accepted:
+/// bodies are stored in files once there is room.
 ///
 /// # Errors
-/// The directory cannot be opened, written in or listed.
+/// Those of [`open`], and a failure to list the directory or to delete a file.
 pub fn open_as_disk(config: &Config) -> Result<Option<Arc<dyn Disk>>, BodyDirectoryError> {
     let Some(directory) = open(config)? else { return Ok(None) };
     let swept = directory.sweep().map_err(BodyDirectoryError::Sweep)?;
     info!(swept, "body directory opened");
     if directory.is_full() {
-        warn!("{DIRECTORY_KEY}: it is full; files are used once there is room");
+        warn!("{DIRECTORY_KEY}: the file system is full; bodies are stored in files once there is room");
     }
     Ok(Some(Arc::new(directory)))
 }
--- a/crates/node/src/check.rs
+++ b/crates/node/src/check.rs
@@ -1,4 +1,5 @@
-//! `sorrelhaven check`: reads both files and prints their faults, or a summary of the configuration.
+//! `sorrelhaven check`: reads the platform's and the operators' file and prints their errors, or a summary of
+//! the configuration.
 
 use crate::body_directory;
 use crate::environment::Environment;
@@ -6,13 +7,14 @@
 use std::fmt::Write;
 use std::process::ExitCode;
 
-/// The exit status where a file or the command line is at fault.
+/// The exit status if a configuration file or the command line is invalid.
 pub const EXIT_INVALID: u8 = 2;
 
-/// Units of sizes, the largest first: the exponent of their power of two, and the name.
+/// Units of sizes, the largest first: the base-2 logarithm of the unit's bytes, and the unit's name.
 const SIZE_UNITS: [(u32, &str); 3] = [(30, "GiB"), (20, "MiB"), (10, "KiB")];
 
-/// Checks the configuration and prints the result to standard output.
+/// Loads the configuration, opens the directory for bodies, and prints the errors or a summary to standard
+/// output. The exit status is 0, or [`EXIT_INVALID`] with any error.
 pub fn check(environment: &Environment) -> ExitCode {
     let config = match Config::load(|name| environment.get(name)) {
         Ok(config) => config,
@@ -29,7 +31,7 @@
     ExitCode::SUCCESS
 }
 
-/// One line that says what a node with this configuration would do.
+/// One line with the address, the numbers of classes, tenants and known workers, and the limits on bodies.
 fn summary(config: &Config) -> String {
     let BodySettings { largest_bytes, memory, files, not_stored, .. } = &config.operator.bodies;
     let mut line = format!(
@@ -59,7 +61,7 @@
     line
 }
 
-/// A size in the largest unit of which it is a multiple.
+/// Formats a size in the largest unit of which it is a whole multiple, or else in bytes.
 fn size(bytes: u64) -> String {
     let is_multiple = |shift: u32| bytes > 0 && bytes.is_multiple_of(1 << shift);
     match SIZE_UNITS.iter().find(|(shift, _)| is_multiple(*shift)) {
--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line. Its doc comments are the text of `--help`.
+//! The command line. The doc comments on its types and fields are the text of `--help`.
 
 use crate::environment::Environment;
 use clap::{Args, Parser, Subcommand, ValueEnum};
@@ -58,12 +58,13 @@
 }
 
 impl Cli {
-    /// The command to execute; `run` where none is given.
+    /// The command on the command line, or `run` without one.
     pub fn command(&self) -> Command {
         self.command.clone().unwrap_or(Command::Run)
     }
 
-    /// The environment in which the files named on the command line replace the variables.
+    /// The environment variables, with `RELAY_CONFIG` and `SORRELHAVEN_OPERATOR` overridden by the paths on
+    /// the command line.
     pub fn environment(&self) -> Environment {
         let platform_file = match &self.command {
             Some(Command::Check { config }) => config.as_ref(),
--- a/crates/node/src/client_listener.rs
+++ b/crates/node/src/client_listener.rs
@@ -1,4 +1,5 @@
-//! The listening socket for clients: inherited from the platform, or opened by this process.
+//! The listening socket for clients: inherited from the platform through `RELAY_FD`, or opened by this
+//! process.
 
 use crate::environment::Environment;
 use crate::start_error::StartError;
@@ -8,31 +9,33 @@
 use sorrelhaven_handover::inherited_listener;
 use std::net::{SocketAddr, TcpListener};
 
-/// The listening socket for clients.
+/// The listening socket for clients, and which processes accept from it.
 pub struct ClientListener {
-    /// The socket.
+    /// The socket, registered with the event loop.
     pub socket: Async<TcpListener>,
-    /// Who accepts from its queue: an inherited socket may be shared with another process of the node.
+    /// Who accepts from the socket's queue: an inherited socket may be shared with another process of the
+    /// node.
     pub queue: AcceptQueue,
 }
 
 impl ClientListener {
-    /// Adopts the listener that the platform passes to this process, if there is one. Must be called before
-    /// this process opens any descriptor, which could get the number of one that was not passed.
+    /// Adopts the listener whose descriptor `RELAY_FD` names. `None` if the variable is not set. Must be
+    /// called before this process opens any descriptor: if the platform passed no descriptor of that
+    /// number, one that this process opened could have the number and would be adopted instead.
     ///
     /// # Errors
-    /// `RELAY_FD` is malformed, or names a descriptor that is no listening socket.
+    /// `RELAY_FD` is not a number, or the descriptor is not a listening TCP socket.
     pub fn inherit(environment: &Environment) -> Result<Option<TcpListener>, StartError> {
         let descriptor = sorrelhaven_config::listen_fd(&|name: &str| environment.get(name));
         let Some(descriptor) = descriptor.map_err(StartError::Config)? else { return Ok(None) };
         inherited_listener(descriptor).map(Some).map_err(StartError::Inherit)
     }
 
-    /// Takes the inherited listener into the event loop, or listens on the configured address where there is
-    /// none.
+    /// Registers the inherited listener with the event loop, or listens on the configured address if none was
+    /// inherited.
     ///
     /// # Errors
-    /// The socket cannot be registered with the event loop, or the address cannot be listened on.
+    /// The socket cannot be registered with the event loop, or the process cannot listen on the address.
     pub fn open(inherited: Option<TcpListener>, config: &Config) -> Result<ClientListener, StartError> {
         match inherited {
             Some(listener) => {
@@ -47,7 +50,8 @@
         }
     }
 
-    /// The address on which clients connect; `configured` where the system does not report one.
+    /// The address that clients connect to, with the port that the system assigned; `configured` if the
+    /// system does not report the address.
     pub fn address(&self, configured: SocketAddr) -> SocketAddr {
         self.socket.get_ref().local_addr().unwrap_or(configured)
     }
--- a/crates/node/src/cluster_member.rs
+++ b/crates/node/src/cluster_member.rs
@@ -1,4 +1,4 @@
-//! This node's part in the membership protocol; off unless the operators configure an address for it.
+//! Runs the membership protocol, if the operators have configured an address for it.
 
 use crate::start_error::StartError;
 use async_io::Async;
@@ -10,19 +10,19 @@
 use std::time::{Instant, SystemTime};
 use tracing::info;
 
-/// This node as a member of the cluster.
+/// This node as a member of the cluster: the protocol's state and its UDP socket.
 pub struct ClusterMember {
-    /// The protocol's state.
+    /// The protocol's state, shared with the admin listener, which prints the member table.
     pub membership: Rc<RefCell<Membership>>,
     socket: Async<UdpSocket>,
     started_at: Instant,
 }
 
 impl ClusterMember {
-    /// Opens membership's socket; `None` where the operators have not configured membership.
+    /// Binds the UDP socket of the membership protocol. `None` if membership is not configured.
     ///
     /// # Errors
-    /// A setting of membership is at fault, or its address cannot be bound.
+    /// A membership setting is invalid, or the socket cannot be bound to the address.
     pub fn start(config: &Config) -> Result<Option<ClusterMember>, StartError> {
         let options = &config.operator.membership;
         let Some(peers) = options.peers().map_err(StartError::Config)? else { return Ok(None) };
@@ -38,20 +38,20 @@
         Ok(Some(ClusterMember { membership, socket, started_at: Instant::now() }))
     }
 
-    /// Takes part in the protocol. Never returns.
+    /// Sends probes and handles datagrams. Never returns.
     pub async fn run(&self) {
         match membership::run(&self.socket, &self.membership, self.started_at).await {}
     }
 
-    /// Sends the leave broadcast: the others need not detect this node's end.
+    /// Broadcasts that this node leaves, so that the other members need not detect its failure by probes.
     pub fn leave(&self) {
         let datagrams = self.membership.borrow_mut().leave(membership::time(self.started_at));
         membership::send(&self.socket, datagrams);
     }
 }
 
-/// The incarnation number of this start, greater than those of earlier starts as long as the clock moves
-/// forward.
+/// The incarnation number of this process: the wall clock in microseconds since the Unix epoch. It is greater
+/// than that of an earlier process unless the clock was set back in between.
 fn incarnation() -> u64 {
     let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since_epoch.as_micros()).unwrap_or(u64::MAX >> 1)
--- a/crates/node/src/counter_report.rs
+++ b/crates/node/src/counter_report.rs
@@ -1,9 +1,9 @@
-//! The line of counters that the program prints to standard error on SIGUSR1 and at its end.
+//! The line of counters that the program prints to standard error on SIGUSR1 and before it exits.
 
 use crate::cli::LogFormat;
 use serde_json::{Map, Value, json};
 
-/// Formats counters on one line, in the format of the log.
+/// Formats counters on one line: `sorrelhaven: name=count ...` or a JSON object, as the log's format is.
 pub fn counter_report(format: LogFormat, counters: impl Iterator<Item = (&'static str, u64)>) -> String {
     match format {
         LogFormat::Text => {
--- a/crates/node/src/descriptor_share.rs
+++ b/crates/node/src/descriptor_share.rs
@@ -1,4 +1,5 @@
-//! Divides the file descriptors of a node among its processes while several of them are alive.
+//! Divides the node's limit on file descriptors evenly among its processes, of which several run during an
+//! upgrade.
 
 use async_io::Timer;
 use sorrelhaven_engine::Engine;
@@ -9,10 +10,10 @@
 use std::time::Duration;
 use tracing::info;
 
-/// How often the processes of the node are counted.
+/// Interval at which the processes of the node are counted.
 const PROCESS_COUNT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// This process's share of the descriptors.
+/// The part of the node's limit on descriptors that this process may use.
 pub struct DescriptorShare {
     engine: Rc<Engine>,
     frontend: Rc<Frontend>,
@@ -22,26 +23,27 @@
 }
 
 impl DescriptorShare {
-    /// A share of all `node_limit` descriptors: no other process is known yet.
+    /// The whole of `node_limit`, as long as no other process of the node was counted.
     pub fn new(engine: Rc<Engine>, frontend: Rc<Frontend>, node_limit: usize) -> DescriptorShare {
         DescriptorShare { engine, frontend, node_limit: Cell::new(node_limit), other_processes: Cell::new(0) }
     }
 
-    /// Changes the number of descriptors that all processes of the node may hold together.
+    /// Changes the number of descriptors that all processes of the node may hold together, and applies this
+    /// process's new share.
     pub fn set_node_limit(&self, node_limit: usize) {
         self.node_limit.set(node_limit);
         self.apply();
     }
 
-    /// Counts the other processes for the first time and applies the share.
-    pub fn count_at_start(&self, registry: &ProcessRegistry) {
+    /// Counts the other processes for the first time and applies the share, without a log line.
+    pub fn count_processes_at_start(&self, registry: &ProcessRegistry) {
         self.other_processes.set(registry.other_processes());
         self.apply();
     }
 
-    /// Counts the other processes at intervals and applies the share whenever their number changes. Never
-    /// returns.
-    pub async fn follow_process_count(&self, registry: &ProcessRegistry) {
+    /// Counts the other processes every [`PROCESS_COUNT_INTERVAL`], and applies the share when their number
+    /// has changed. Never returns.
+    pub async fn poll_process_count(&self, registry: &ProcessRegistry) {
         loop {
             let others = registry.other_processes();
             if self.other_processes.replace(others) != others {
--- a/crates/node/src/environment.rs
+++ b/crates/node/src/environment.rs
@@ -1,13 +1,14 @@
-//! The environment variables that configure the program, and the command line's overrides of them.
+//! The environment variables that configure the program, and the command-line arguments that override them.
 
 use std::path::PathBuf;
 
-/// Names the platform's configuration file.
+/// The variable with the path of the platform's file.
 const PLATFORM_FILE: &str = "RELAY_CONFIG";
-/// Names the operators' configuration file.
+/// The variable with the path of the operators' file.
 const OPERATOR_FILE: &str = "SORRELHAVEN_OPERATOR";
 
-/// The process's environment, in which files named on the command line replace the variables.
+/// The process's environment variables, with [`PLATFORM_FILE`] and [`OPERATOR_FILE`] overridden by paths from
+/// the command line.
 #[derive(Clone, Debug, Default)]
 pub struct Environment {
     platform_file: Option<String>,
@@ -15,19 +16,19 @@
 }
 
 impl Environment {
-    /// The process's environment with these files; `None` keeps a variable's own value.
+    /// An environment with these paths. With `None` the variable of the process applies.
     pub fn new(platform_file: Option<&PathBuf>, operator_file: Option<&PathBuf>) -> Environment {
         let text = |path: &PathBuf| path.to_string_lossy().into_owned();
         Environment { platform_file: platform_file.map(text), operator_file: operator_file.map(text) }
     }
 
-    /// The value of a variable; `None` where it is not set.
+    /// The value of a variable; `None` if it is not set or is not UTF-8.
     pub fn get(&self, name: &str) -> Option<String> {
-        let replacement = match name {
+        let override_path = match name {
             PLATFORM_FILE => self.platform_file.clone(),
             OPERATOR_FILE => self.operator_file.clone(),
             _ => None,
         };
-        replacement.or_else(|| std::env::var(name).ok())
+        override_path.or_else(|| std::env::var(name).ok())
     }
 }
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -1,16 +1,16 @@
-//! The log on standard error.
+//! Configures the log, which is written to standard error.
 
 use crate::cli::{Common, LogFormat};
 use tracing_subscriber::EnvFilter;
 use tracing_subscriber::filter::ParseError;
 
-/// The log level where neither the command line nor `RUST_LOG` sets one.
+/// The log level if `--log` is not given and `RUST_LOG` is unset or malformed.
 const DEFAULT_LEVEL: &str = "info";
 
-/// Starts logging.
+/// Installs the log's filter and format for the whole process.
 ///
 /// # Errors
-/// The command line's filter directives are malformed.
+/// The filter directives of `--log` are malformed.
 pub fn init(options: &Common) -> Result<(), ParseError> {
     let filter = match &options.log {
         Some(directives) => EnvFilter::try_new(directives)?,
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -30,12 +30,12 @@
     let cli = Cli::parse();
     let command = cli.command();
     let environment = cli.environment();
-    // Before any other descriptor is opened.
+    // Comes first: a descriptor that this process opens could get the number that `RELAY_FD` names.
     let inherited = match command {
         Command::Run => ClientListener::inherit(&environment),
         Command::Check { .. } | Command::Schema => Ok(None),
     };
-    if let Err(error) = signals::survive_file_size_limit() {
+    if let Err(error) = signals::ignore_file_size_signal() {
         eprintln!("sorrelhaven: signals: {error}");
         return ExitCode::FAILURE;
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! A running node: the engine with its front end, until the shutdown is complete.
+//! A running node: the engine and its front end, from start-up to the end of the shutdown.
 
 use crate::cli::LogFormat;
 use crate::client_listener::ClientListener;
@@ -13,18 +13,18 @@
 use std::time::{Duration, Instant};
 use tracing::info;
 
-/// How often a node that shuts down checks whether all requests have been answered.
+/// Interval at which a node that shuts down checks whether all requests have been answered.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The engine with its front end.
+/// The engine and its front end.
 pub struct Node {
-    /// Executes the jobs.
+    /// Dispatches the requests to the workers.
     pub engine: Rc<Engine>,
-    /// Accepts the jobs.
+    /// Reads the clients' requests and writes the answers.
     pub frontend: Rc<Frontend>,
-    /// The node's lifecycle.
+    /// Whether the node serves, drains or shuts down; also set by the admin listener.
     pub lifecycle: Rc<LifecycleHandle>,
-    /// The format of the counters' line.
+    /// The log's format, in which the counters are printed too.
     pub format: LogFormat,
 }
 
@@ -36,8 +36,8 @@
         eprintln!("{}", counter_report(self.format, counters));
     }
 
-    /// Handles signals until the program ends: a node that shuts down still follows a change of discovery's
-    /// address.
+    /// Handles signals until the process exits. A reload during a shutdown still takes effect, so that the
+    /// node follows a changed discovery address.
     pub async fn handle_signals(&self, mut signals: Signals, mut reloader: Reloader) {
         loop {
             match signals.next().await {
@@ -51,23 +51,24 @@
         }
     }
 
-    /// Serves clients until a shutdown is requested and every accepted request has been answered.
+    /// Serves clients until, after a shutdown request, every admitted request has been answered and every
+    /// client connection is closed.
     pub async fn serve(&self, listener: ClientListener) {
         let ClientListener { socket, queue } = listener;
-        accept(self.frontend.clone(), socket, queue, self.accepting_ends(queue)).await;
-        while self.has_open_work() {
+        accept(self.frontend.clone(), socket, queue, self.wait_until_accepting_stops(queue)).await;
+        while self.has_connections_or_requests() {
             Timer::after(SHUTDOWN_POLL_INTERVAL).await;
         }
     }
 
-    fn has_open_work(&self) -> bool {
+    fn has_connections_or_requests(&self) -> bool {
         self.frontend.open_connections() > 0 || self.engine.dispatcher_loop.registered_requests() > 0
     }
 
-    /// Waits until no more connections are to be accepted. Clients still arrive for a while after the
-    /// shutdown was requested; where another process shares the queue it accepts them, and has more time to
-    /// answer.
-    async fn accepting_ends(&self, queue: AcceptQueue) {
+    /// Waits until the node has to stop accepting connections. Clients still connect for a while after the
+    /// shutdown request, so a node that accepts alone goes on until idle connections are closed. With a
+    /// shared queue it stops at once: the other process accepts these clients, and has more time to answer.
+    async fn wait_until_accepting_stops(&self, queue: AcceptQueue) {
         let deadline = |lifecycle: &Lifecycle| match (lifecycle.phase(), queue) {
             (Phase::Stopping { .. }, AcceptQueue::Own) => lifecycle.idle_close_at(),
             (Phase::Stopping { since }, AcceptQueue::Shared) => Some(since),
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reloads the configuration while the node runs.
+//! Reloads the configuration while the node runs (SIGHUP).
 
 use crate::body_directory;
 use crate::descriptor_share::DescriptorShare;
@@ -10,18 +10,18 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// The configuration in force, and what a reload changes.
+/// The configuration in force, and the parts of the node that a reload changes.
 pub struct Reloader {
     config: Config,
     environment: Environment,
     engine: Rc<Engine>,
     descriptors: Rc<DescriptorShare>,
-    /// Receives the address of discovery whenever it changes.
+    /// Sends a changed address of discovery to the engine.
     discovery_changes: Sender<SocketAddr>,
 }
 
 impl Reloader {
-    /// A reloader of `config`, which the node was started with.
+    /// `config` is the configuration that the node was started with.
     pub fn new(
         config: Config,
         environment: Environment,
@@ -32,7 +32,8 @@
         Reloader { config, environment, engine, descriptors, discovery_changes }
     }
 
-    /// Reads both files again and applies what can change at run time. A file at fault changes nothing.
+    /// Reads the platform's and the operators' file again and applies the settings that can change at run
+    /// time; changes that need a restart are only logged. An invalid file is logged and changes nothing.
     pub fn reload(&mut self) {
         let (next, restart_keys) = match self.config.reloaded(|name| self.environment.get(name)) {
             Ok(reloaded) => reloaded,
@@ -47,7 +48,7 @@
         }
         self.descriptors.set_node_limit(next.max_descriptors);
         if next.discovery != self.config.discovery {
-            // The receiver lives as long as the node, so the channel cannot be closed.
+            // Cannot fail: the channel is unbounded, and its receiver lives as long as the node.
             let _ = self.discovery_changes.try_send(next.discovery);
         }
         self.config = next;
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Applies changed settings of bodies. Where the directory cannot be used, none of them is applied.
+    /// Applies changed settings of bodies, or none of them if the directory cannot be used.
     fn apply_body_settings(&self, next: &Config) -> Result<(), body_directory::BodyDirectoryError> {
         let settings = &next.operator.bodies;
         if *settings != self.config.operator.bodies {
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -1,4 +1,4 @@
-//! Starts a node from its configuration and runs it to its end.
+//! Starts a node from its configuration and runs it until it has shut down.
 
 use crate::body_directory;
 use crate::cli::LogFormat;
@@ -23,22 +23,22 @@
 use std::time::Instant;
 use tracing::{info, warn};
 
-/// What a node is started with.
+/// What [`run`] needs to start a node.
 pub struct StartOptions {
-    /// The configuration.
+    /// The configuration to start with.
     pub config: Config,
-    /// Where a reload reads the configuration from.
+    /// The environment variables from which a reload reads the configuration.
     pub environment: Environment,
-    /// The listener that the platform passed to this process.
+    /// The listening socket for clients that the platform passed to this process, if it passed one.
     pub inherited: Option<TcpListener>,
-    /// The format of the counters' line.
+    /// The log's format, in which the counters are printed too.
     pub format: LogFormat,
 }
 
 /// Runs a node until its shutdown is complete.
 ///
 /// # Errors
-/// The node could not start.
+/// The node cannot start; see [`StartError`].
 pub fn run(options: StartOptions) -> Result<(), StartError> {
     let StartOptions { config, environment, inherited, format } = options;
     let signals = Signals::new().map_err(StartError::Signals)?;
@@ -83,7 +83,8 @@
     admin::listen(address).map_err(|error| StartError::AdminListen { address, error })
 }
 
-/// Registers this process where another one may serve the same clients: the limits count both as one node.
+/// Registers this process if it shares its accept queue with another process of the node, since the limit on
+/// descriptors holds for both together. If the registration fails, this process uses the whole limit.
 fn register_process(config: &Config, queue: AcceptQueue) -> Option<ProcessRegistry> {
     match queue {
         AcceptQueue::Own => None,
@@ -111,8 +112,8 @@
 }
 
 fn share_descriptors(engine: &Engine, descriptors: Rc<DescriptorShare>, registry: ProcessRegistry) {
-    descriptors.count_at_start(&registry);
-    engine.tasks.spawn_urgent(async move { descriptors.follow_process_count(&registry).await });
+    descriptors.count_processes_at_start(&registry);
+    engine.tasks.spawn_urgent(async move { descriptors.poll_process_count(&registry).await });
 }
 
 fn close_idle_connections(engine: &Engine, frontend: Rc<Frontend>) {
@@ -124,7 +125,7 @@
     tasks.spawn_urgent(async move { node.handle_signals(signals, reloader).await });
 }
 
-/// Runs the event loop until the node has shut down.
+/// Runs the event loop on this thread until the node has shut down.
 fn run_to_shutdown(node: &Node, listener: ClientListener) {
     let tasks = async { match node.engine.tasks.run().await {} };
     async_io::block_on(or(node.serve(listener), tasks));
--- a/crates/node/src/start_error.rs
+++ b/crates/node/src/start_error.rs
@@ -1,38 +1,39 @@
-//! Why the node could not start.
+//! Errors that keep a node from starting.
 
 use crate::body_directory::BodyDirectoryError;
 use sorrelhaven_handover::InheritError;
 use std::net::SocketAddr;
 use std::{fmt, io};
 
-/// Why the node could not start. Displayed on one line that names the setting or variable at fault.
+/// Why the node cannot start. `Display` writes one line that begins with the setting or variable that is
+/// invalid, or with `signals`.
 #[derive(Debug)]
 pub enum StartError {
-    /// A setting is at fault.
+    /// A setting or an environment variable is invalid.
     Config(sorrelhaven_config::ConfigError),
-    /// The inherited descriptor is no listening socket.
+    /// The descriptor in `RELAY_FD` is not a listening TCP socket.
     Inherit(InheritError),
     /// The inherited listener cannot be registered with the event loop.
     RegisterInherited(io::Error),
-    /// Signals cannot be handled.
+    /// The signal handlers cannot be registered, or their socket pair cannot be created.
     Signals(io::Error),
-    /// The directory for bodies cannot be used.
+    /// The directory for bodies cannot be used. The inner error names the setting.
     BodyDirectory(BodyDirectoryError),
-    /// Membership's socket cannot be opened.
+    /// The UDP socket of the membership protocol cannot be bound.
     MembershipListen {
         /// The configured address.
         address: SocketAddr,
         /// The system's error.
         error: io::Error,
     },
-    /// The admin listener cannot be opened.
+    /// The process cannot listen on the address for admin calls.
     AdminListen {
         /// The configured address.
         address: SocketAddr,
         /// The system's error.
         error: io::Error,
     },
-    /// The listener for clients cannot be opened.
+    /// The process cannot listen on the address for clients.
     Listen {
         /// The configured address.
         address: SocketAddr,
--- a/crates/node/tests/bodies/spool_directory.rs
+++ b/crates/node/tests/bodies/spool_directory.rs
@@ -1,12 +1,13 @@
-//! A directory for bodies that is full or can't be used.
+//! A directory for bodies whose file system is full, or that can't be used.
 
 use crate::installation::{BodyLimits, Installation, KIB, MIB, job_result, run_alone};
 use sorrelhaven_test_support::{TestRequest, sample_bytes};
 use std::process::Command;
 use std::thread;
 
-/// A resource limit on the size of files, as any user may have it: bodies are stored elsewhere or not at all,
-/// none is corrupt, and the node goes on.
+/// A write beyond the resource limit on file sizes (`ulimit -f`), which any user can set, must be handled as
+/// a full disk: the node stores the body elsewhere or not at all, workers receive the correct bytes, and the
+/// node goes on.
 #[test]
 fn a_resource_limit_on_file_size_is_treated_as_a_full_disk() {
     let _running_alone = run_alone();
@@ -15,7 +16,7 @@
         BodyLimits { memory_each: 64 * KIB, memory_total: MIB, file_each: 8 * MIB, file_total: 64 * MIB };
     installation.write_operator_file(limits, 8 * MIB, "stream");
     let mut shell = Command::new("sh");
-    // `ulimit -f` counts blocks of 512 bytes by POSIX, of 1024 in some shells: 1 or 2 MB.
+    // `ulimit -f` counts blocks of 512 bytes in POSIX, of 1024 bytes in some shells: 1 or 2 MiB.
     shell.args(["-c", "ulimit -f 2048; exec \"$0\"", env!("CARGO_BIN_EXE_sorrelhaven")]);
     let mut node = installation.start_with(shell);
     let address = node.address.clone();
@@ -31,7 +32,7 @@
         })
         .collect();
     for client in clients {
-        let (response, expected) = client.join().expect("the client ends");
+        let (response, expected) = client.join().expect("the client thread does not panic");
         assert_eq!((response.status, response.body), (200, expected));
     }
     assert!(node.counter("not_stored_disk_full") >= 1);
@@ -44,8 +45,8 @@
     );
 }
 
-/// A disk that is full at the start is logged as a warning that names the key; requests are served without
-/// files.
+/// If the disk is full at the start, the node must log a warning with the settings key, and serve requests
+/// without files.
 #[test]
 fn a_directory_on_a_full_disk_is_named_by_its_key() {
     let _running_alone = run_alone();
@@ -57,10 +58,9 @@
         shell
     };
     let mut node = installation.start_with(program());
-    let warned = node
-        .startup_log()
-        .iter()
-        .any(|line| line.contains("WARN") && line.contains("bodies.files.directory: it is full"));
+    let warned = node.startup_log().iter().any(|line| {
+        line.contains("WARN") && line.contains("bodies.files.directory: the file system is full")
+    });
     assert!(warned, "{:?}", node.startup_log());
     let body = sample_bytes(100 * KIB, 1);
     let response = TestRequest::new("q-1", "fee-charge", body.clone())
@@ -70,8 +70,8 @@
     assert_eq!((node.counter("body_streamed"), node.counter("not_stored_disk_full")), (1, 1));
 }
 
-/// With a directory that can't be used the program does not start, and prints one line that names the key; a
-/// reload changes nothing.
+/// With a directory that can't be used the program must not start, and must print one line with the settings
+/// key. A reload with such a directory must change nothing.
 #[test]
 fn an_unusable_directory_is_named_by_its_key() {
     let _running_alone = run_alone();
@@ -95,7 +95,7 @@
         for (args, code) in [(&["check"][..], 2), (&["run"][..], 1)] {
             let mut command = Command::new(env!("CARGO_BIN_EXE_sorrelhaven"));
             command.args(args).env("RELAY_CONFIG", &node_file).env("SORRELHAVEN_OPERATOR", &operator);
-            let output = command.env("RUST_LOG", "warn").output().expect("it runs");
+            let output = command.env("RUST_LOG", "warn").output().expect("the program runs");
             let printed = String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned();
             assert_eq!(output.status.code(), Some(code), "{printed}");
             assert_eq!(printed.lines().count(), 1, "{printed}");
@@ -108,5 +108,9 @@
     let response = TestRequest::new("q-1", "fee-charge", sample_bytes(100 * KIB, 1))
         .send(&running.address)
         .expect("the request is answered");
-    assert_eq!((response.status, running.counter("body_in_file")), (200, 1), "the old directory is in use");
+    assert_eq!(
+        (response.status, running.counter("body_in_file")),
+        (200, 1),
+        "the node no longer uses the old directory"
+    );
 }
