--- a/crates/node/tests/bodies/clients.rs
+++ b/crates/node/tests/bodies/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that stop in the middle of a body, or send it slowly.
+//! Clients that disconnect in the middle of a body, or send it slowly.
 
 use crate::installation::{BodyLimits, Installation, KIB, MIB, job_result, run_alone};
 use sorrelhaven_test_support::{Program, TestRequest, sample_bytes};
@@ -6,10 +6,10 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// A client that disconnects in the middle of a body frees everything at once, and its worker receives an
-/// incomplete request.
+/// When clients disconnect in the middle of a body, the node must free the memory and files of the bodies. A
+/// worker to which a body was being streamed receives an incomplete request and must not run it.
 #[test]
-fn a_client_that_disconnects_within_a_body_leaves_nothing_behind() {
+fn a_client_that_disconnects_within_a_body_frees_its_storage() {
     let _running_alone = run_alone();
     let installation = Installation::new("stops", 2);
     installation.write_operator_file(BodyLimits::DEFAULT, MIB, "stream");
@@ -25,38 +25,38 @@
         || node.counter("attempts") < 2
         || installation.workers.received_requests() < 2
     {
-        assert!(Instant::now() < deadline, "the bodies have not arrived");
+        assert!(Instant::now() < deadline, "the bodies have not arrived within 5 s");
     }
     drop(clients);
     while installation.workers.incomplete_requests() < 2 || node.counter("body_client_disconnected") < 4 {
         assert!(
             Instant::now() < deadline,
-            "{} incomplete requests",
+            "not all disconnects were counted; the workers received {} incomplete requests of 2",
             installation.workers.incomplete_requests()
         );
     }
     assert_eq!((node.counter("memory_bytes"), node.counter("file_bytes")), (0, 0));
-    assert_eq!(installation.workers.executed_requests(), [], "no worker received a complete body");
+    assert_eq!(installation.workers.executed_requests(), [], "a worker ran an incomplete body");
     let response = TestRequest::new("q-9", "fee-charge", sample_bytes(9, 1))
         .send(&node.address)
         .expect("the request is answered");
     assert_eq!(response.status, 200);
 }
 
-/// Sends a request but for the second half of its body, which is one chunk if it is chunked.
+/// Sends a request without the second half of its body. A chunked body is one chunk.
 fn send_half_body(node: &Program, request: &TestRequest) -> TcpStream {
-    let mut stream = TcpStream::connect(&node.address).expect("the node accepts");
-    stream.write_all(request.head().as_bytes()).expect("the node reads");
+    let mut stream = TcpStream::connect(&node.address).expect("the node accepts the connection");
+    stream.write_all(request.head().as_bytes()).expect("the node reads the bytes");
     let length = request.body.len();
     if request.chunked {
-        stream.write_all(format!("{length:x}\r\n").as_bytes()).expect("the node reads");
+        stream.write_all(format!("{length:x}\r\n").as_bytes()).expect("the node reads the bytes");
     }
-    stream.write_all(&request.body[..length / 2]).expect("the node reads");
+    stream.write_all(&request.body[..length / 2]).expect("the node reads the bytes");
     stream
 }
 
-/// Clients that send 1 byte a second of large bodies are answered within 3 s and stay within the body limits,
-/// and other clients are served meanwhile.
+/// 500 clients that send 1 byte a second of large bodies must be answered or disconnected within 3 s, and
+/// the stored bytes must stay within the limits. Other clients must be served within 0.3 s meanwhile.
 #[test]
 fn five_hundred_slow_clients_delay_no_other_client() {
     let _running_alone = run_alone();
@@ -83,7 +83,7 @@
             );
         }
     }
-    assert!(served > 50, "{served} other requests");
+    assert!(served > 50, "only {served} requests of other clients were served");
     for (number, client) in slow_clients.iter_mut().enumerate() {
         let received = read_to_end(client);
         assert!(received.is_empty() || received.starts_with("HTTP/1.1 408 "), "{number}: {received}");
@@ -93,23 +93,23 @@
     assert_eq!(
         installation.workers.executed_requests().len(),
         served as usize,
-        "no request of a slow client ran"
+        "a request of a slow client ran"
     );
 }
 
-/// Sends the head and the first byte of a large body.
+/// Sends the head of a request with a large body, and the first byte of the body.
 fn open_slow_client(node: &Program, number: usize) -> TcpStream {
     let length = [20 * KIB, 200 * KIB, 8 * MIB][number % 3];
     let head = TestRequest::new(&format!("slow-{number}"), "licence-issue", Vec::new()).head();
-    let mut stream = TcpStream::connect(&node.address).expect("the node accepts");
+    let mut stream = TcpStream::connect(&node.address).expect("the node accepts the connection");
     let head = head.replace("Length: 0", &format!("Length: {length}"));
-    stream.write_all((head + "x").as_bytes()).expect("the node reads");
+    stream.write_all((head + "x").as_bytes()).expect("the node reads the bytes");
     stream
 }
 
-/// Reads until the node ends the connection, for 3 s at most after each read.
+/// Reads until the node closes the connection, or for 3 s without a byte.
 fn read_to_end(client: &mut TcpStream) -> String {
-    client.set_read_timeout(Some(Duration::from_secs(3))).expect("the socket takes a time limit");
+    client.set_read_timeout(Some(Duration::from_secs(3))).expect("the read timeout can be set");
     let mut received = Vec::new();
     let _ = client.read_to_end(&mut received);
     String::from_utf8_lossy(&received).into_owned()
--- a/crates/node/tests/bodies/installation.rs
+++ b/crates/node/tests/bodies/installation.rs
@@ -1,4 +1,4 @@
-//! A node with its workers, its spool directory and the operators' file.
+//! The workers, the spool directory and the configuration files of a node under test.
 
 use sorrelhaven_test_support::{FakeWorkers, Program, ScratchDir, checksum, workers_config};
 use std::process::Command;
@@ -7,11 +7,10 @@
 
 pub const KIB: usize = 1024;
 pub const MIB: usize = 1024 * KIB;
-/// Time limits on sockets are exceeded by at most so much; the whole set of tests may have one core's time
-/// between them.
+/// A time limit on a socket may be exceeded by this much, since all tests together may have only one core.
 pub const SOCKET_TIMEOUT_SLACK: Duration = Duration::from_millis(50);
 
-/// The limits on stored bodies, in bytes.
+/// The limits on stored bodies in the operators' file, in bytes.
 #[derive(Clone, Copy)]
 pub struct BodyLimits {
     /// One body in memory.
@@ -33,7 +32,7 @@
     };
 }
 
-/// The files and workers of a node under test.
+/// The workers and the directory of a node under test, which holds its configuration files and `spool`.
 pub struct Installation {
     pub scratch: ScratchDir,
     pub workers: FakeWorkers,
@@ -48,8 +47,8 @@
         installation
     }
 
-    /// Writes the operators' file: the limits, the largest body that is accepted, and what becomes of a body
-    /// that can't be stored, `stream` or `refuse`.
+    /// Writes the operators' file. `largest` is the length of the longest body that is accepted, in bytes;
+    /// `not_stored` is the policy for bodies that can't be stored, `stream` or `refuse`.
     pub fn write_operator_file(&self, limits: BodyLimits, largest: usize, not_stored: &str) {
         let BodyLimits { memory_each, memory_total, file_each, file_total } = limits;
         let spool = self.scratch.path("spool").display().to_string();
@@ -68,19 +67,20 @@
         self.start_with(Command::new(env!("CARGO_BIN_EXE_sorrelhaven")))
     }
 
-    /// Starts the node with a command that runs the program.
+    /// Starts the node with `command`, which has to run the program.
     pub fn start_with(&self, command: Command) -> Program {
         Program::start(command, &self.scratch.path("node.json"), Some(&self.scratch.path("operator.json")))
     }
 }
 
-/// These tests measure times: they run one at a time, so that none measures another's load.
+/// Waits until no other of these tests runs, and keeps others waiting until the guard is dropped. The tests
+/// measure times, which the load of another test would change.
 pub fn run_alone() -> MutexGuard<'static, ()> {
     static RUNNING: Mutex<()> = Mutex::new(());
     RUNNING.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The result that a fake worker gives for this body.
+/// The result that a fake worker returns for this body: its length and checksum.
 pub fn job_result(body: &[u8]) -> String {
     format!("{} {:x}", body.len(), checksum(body))
 }
--- a/crates/node/tests/bodies/limits.rs
+++ b/crates/node/tests/bodies/limits.rs
@@ -1,4 +1,4 @@
-//! Bodies that are too long or can't be stored, and `Expect: 100-continue`.
+//! Bodies that are too long, bodies that can't be stored, and `Expect: 100-continue`.
 
 use crate::installation::{BodyLimits, Installation, KIB, MIB, job_result, run_alone};
 use sorrelhaven_test_support::{TestRequest, TestResponse, sample_bytes};
@@ -7,13 +7,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// With `unkept` = `refuse`, a body that can't be stored is rejected before anything is sent, with
-/// `Retry-After`.
+/// With `unkept` set to `refuse`, a request whose body can't be stored must be rejected with `Retry-After`
+/// before anything is sent to a worker.
 #[test]
-fn a_body_that_cannot_be_stored_is_rejected_if_the_operators_say_so() {
+fn a_body_that_cannot_be_stored_is_rejected_if_unkept_is_refuse() {
     let _running_alone = run_alone();
     let installation = Installation::new("refuse", 1);
-    // Reserved for each of three tenants: a sixth of the files' total.
+    // A sixth of the files' total is reserved for each of three tenants.
     let limits =
         BodyLimits { memory_each: 16 * KIB, memory_total: MIB, file_each: 256 * KIB, file_total: 256 * KIB };
     installation.write_operator_file(limits, 256 * KIB, "refuse");
@@ -33,31 +33,32 @@
     assert_eq!((node.counter("body_budget_exhausted"), node.counter("rejected")), (2, 2));
 }
 
-/// A body is too long by the length in its head, or as soon as its chunks are too many.
+/// A body that is too long must be answered with 413 at once: by its `Content-Length`, or as soon as its
+/// chunks exceed the limit.
 #[test]
 fn a_body_that_is_too_long_is_answered_at_once() {
     let _running_alone = run_alone();
     let installation = Installation::new("long", 1);
     installation.write_operator_file(BodyLimits::DEFAULT, MIB, "stream");
     let mut node = installation.start();
-    let mut stream = TcpStream::connect(&node.address).expect("the node accepts");
+    let mut stream = TcpStream::connect(&node.address).expect("the node accepts the connection");
     let head =
         TestRequest::new("q-1", "fee-charge", Vec::new()).head().replace("Length: 0", "Length: 1048577");
-    stream.write_all(head.as_bytes()).expect("the node reads");
+    stream.write_all(head.as_bytes()).expect("the node reads the bytes");
     let response = TestResponse::read(&mut stream, Instant::now()).expect("the request is answered");
     assert_eq!(response.status, 413);
     let mut request = TestRequest::new("q-2", "fee-charge", sample_bytes(2 * MIB, 1));
     request.chunked = true;
-    // The unread rest of the body resets the connection, which could lose the answer; a run would show in any
-    // case.
+    // The node closes the connection with unread bytes, which resets it and could lose the answer. A run of
+    // the request would still be noticed below.
     assert!(request.send(&node.address).is_ok_and(|response| response.status == 413));
     thread::sleep(Duration::from_millis(50));
     assert_eq!(installation.workers.executed_requests(), []);
     assert_eq!(node.counter("body_too_large"), 2);
 }
 
-/// `Expect: 100-continue`: 100 is sent if the body is accepted; a rejected or too long one gets its final
-/// answer instead.
+/// A request with `Expect: 100-continue` must get 100 if its body is accepted, and otherwise only its answer:
+/// 413 if the body is too long, 503 if it can't be stored.
 #[test]
 fn expect_continue_is_answered_with_100_only_if_the_body_is_accepted() {
     let _running_alone = run_alone();
--- a/crates/node/tests/bodies/main.rs
+++ b/crates/node/tests/bodies/main.rs
@@ -1,5 +1,5 @@
-//! Request bodies through the program: what each storage step means, byte for byte, and what a disk, a client
-//! or a signal may do.
+//! Request bodies that the program stores in memory, in files or not at all: which answers and retries
+//! follow, and how faulty disks, slow clients and signals affect them.
 
 mod clients;
 mod installation;
--- a/crates/node/tests/bodies/outcome_table.rs
+++ b/crates/node/tests/bodies/outcome_table.rs
@@ -1,4 +1,4 @@
-//! The operators' table of outcomes in `docs/bodies.md`, cell by cell.
+//! Checks every cell of the table of outcomes in `docs/bodies.md` against a node.
 
 use crate::installation::{BodyLimits, Installation, KIB, MIB, SOCKET_TIMEOUT_SLACK, job_result, run_alone};
 use sorrelhaven_test_support::{TestRequest, WorkerBehavior, checksum, sample_bytes};
@@ -6,27 +6,27 @@
 use std::thread;
 use std::time::Duration;
 
-/// An answer that need not wait for a silent worker arrives within this time.
+/// An answer must arrive within this time, unless the worker is silent.
 const PROMPT_ANSWER: Duration = Duration::from_millis(700);
 /// The timeout of a request whose worker is silent.
 const SILENT_WORKER_TIMEOUT: Duration = Duration::from_millis(700);
-/// Cells that are checked at once.
+/// Cells that are checked in parallel.
 const PARALLEL_CELLS: usize = 3;
 
-/// The page's names of the classes' effects, and the classes.
+/// The name of each effect in the table, and the class that has it.
 const EFFECTS: [(&str, &str); 3] =
     [("repeat harmless", "renewal-check"), ("keyed", "licence-issue"), ("once", "fee-charge")];
 
-/// Where a body is stored.
+/// Where the node stores a body.
 #[derive(Clone, Copy)]
 struct StorageStep {
-    /// The page's name.
+    /// The name in the table.
     name: &'static str,
     body_length: usize,
-    /// The length of a body that the system's buffers do not take at once, so that a reset in the middle is
-    /// noticed.
+    /// The length of a body that exceeds the system's socket buffers, so that the node is still sending when
+    /// the worker resets the connection.
     long_body_length: usize,
-    /// Counts bodies that ended at this step.
+    /// The counter of bodies that were stored at this step.
     counter: &'static str,
 }
 
@@ -46,7 +46,7 @@
     },
 ];
 
-/// The page's names of the ways in which the first attempt ends, and what the worker does.
+/// The name of each end of the first attempt in the table, and the worker behavior that causes it.
 const ATTEMPT_ENDS: [(&str, WorkerBehavior); 7] = [
     ("done", WorkerBehavior::Done),
     ("failed", WorkerBehavior::Failed),
@@ -57,15 +57,15 @@
     ("silent", WorkerBehavior::Silent),
 ];
 
-/// The page's table.
+/// The table as read from the page.
 struct Table {
-    /// The names of the attempts' ends.
+    /// The names of the attempt's ends.
     header: Vec<String>,
     rows: Vec<Row>,
 }
 
 struct Row {
-    /// The effect and the storage step.
+    /// The names of the effect and of the storage step.
     name: String,
     outcomes: Vec<String>,
 }
@@ -76,7 +76,7 @@
     class: &'static str,
     step: StorageStep,
     behavior: WorkerBehavior,
-    /// What the page says.
+    /// The outcome in the table.
     outcome: String,
 }
 
@@ -97,15 +97,15 @@
     line.trim_matches('|').split('|').map(|cell| cell.trim().to_string()).collect()
 }
 
-/// Every cell of the operators' table, each with a node and workers of its own.
+/// Checks each cell with a new node and new workers.
 #[test]
 fn every_cell_of_the_table_is_what_the_page_says() {
     let _running_alone = run_alone();
     let table = read_table();
     assert_eq!(table.header, ATTEMPT_ENDS.map(|(name, _)| name.to_string()));
     assert_eq!(table.rows.len(), EFFECTS.len() * STEPS.len());
-    // The node waits for a silent worker up to the client's timeout, which is measured with nothing else
-    // going on.
+    // The answer for a silent worker is due at the client's timeout, which is checked against the time taken:
+    // these cells run one at a time, so that others do not delay them.
     let (silent, prompt): (Vec<Cell>, Vec<Cell>) =
         all_cells(&table).into_iter().partition(|cell| cell.behavior == WorkerBehavior::Silent);
     let remaining = Mutex::new(prompt.into_iter());
@@ -142,7 +142,7 @@
     assert_eq!(measure_outcome(cell), cell.outcome, "{}", cell.name);
 }
 
-/// Has the first attempt end as the cell says, and returns the outcome in the table's words.
+/// Makes the first attempt end as the cell names it, and returns the outcome in the wording of the table.
 fn measure_outcome(cell: &Cell) -> String {
     let Cell { class, step, behavior, .. } = cell;
     let installation = Installation::new("cell", 2);
@@ -178,9 +178,9 @@
     );
     assert_eq!(response.status == 200, response.body == job_result(&body));
     assert_eq!(response.status == 503, response.retry_after == Some(2.0));
-    // An answer before the end of the body is counted as that.
+    // A body whose request is concluded before the body's end is counted by `body_request_concluded` instead.
     let stored = node.counter(step.counter) + node.counter("body_request_concluded");
-    assert_eq!(stored, 1, "the body was stored elsewhere");
+    assert_eq!(stored, 1, "the body was not stored at the expected step");
     node.terminate();
     format!("{}, {} run{}", response.status, runs.len(), if runs.len() == 1 { "" } else { "s" })
 }
--- a/crates/node/tests/bodies/retries.rs
+++ b/crates/node/tests/bodies/retries.rs
@@ -1,12 +1,12 @@
-//! Which attempts follow the first, by where the body is stored and how the attempt ended.
+//! Retries, by where the body is stored and how the first attempt ended.
 
 use crate::installation::{BodyLimits, Installation, KIB, MIB, SOCKET_TIMEOUT_SLACK, job_result, run_alone};
 use sorrelhaven_test_support::{TestRequest, WorkerBehavior, sample_bytes, workers_config};
 use std::net::TcpListener;
 use std::time::Duration;
 
-/// A `licence-issue` of 8 MB is stored in a file. Its first worker resets the connection after the last byte;
-/// the retry sends it again byte for byte.
+/// A `licence-issue` request has a body of 8 MiB, which is stored in a file. The first worker resets the
+/// connection after the last byte; the retry must send the same bytes to another worker.
 #[test]
 fn a_long_body_is_retried_from_its_file() {
     let _running_alone = run_alone();
@@ -36,13 +36,14 @@
     assert_eq!(
         (node.counter("body_in_file"), node.counter("file_bytes")),
         (2, 0),
-        "the file is freed with its request"
+        "the files are freed when their requests are concluded"
     );
-    assert_eq!(installation.scratch.file_names("spool"), [""; 0], "a file has no name");
+    assert_eq!(installation.scratch.file_names("spool"), [""; 0], "an open body file must have no name");
 }
 
-/// A `fee-charge` whose body is not stored, with every way in which a worker can end an attempt: at most one
-/// run, one answer, at once, and a rejection only if it never ran.
+/// A `fee-charge` request whose body is not stored, with each way in which a worker can end an attempt. There
+/// must be at most one run and one answer, at once unless the worker is silent, and a rejection only without
+/// a run.
 #[test]
 fn an_at_most_once_request_without_a_stored_body_runs_at_most_once() {
     let _running_alone = run_alone();
@@ -62,7 +63,7 @@
         (WorkerBehavior::StopsReading, "connect_failed", 503),
         (WorkerBehavior::Silent, "timeout", 502),
     ];
-    // More than the system's buffers take, so that the node notices a reset in the middle.
+    // Longer than the system's socket buffers, so that the node is still sending when the worker resets.
     let body = sample_bytes(12 * MIB, 7);
     for (behavior, outcome, status) in cases {
         let installation = Installation::new("payment", 2);
@@ -91,8 +92,8 @@
     }
 }
 
-/// The rejection of a worker that has read only the head arrives, and a stored body is sent to another
-/// worker.
+/// A worker rejects the request when it has read only the head. The node must receive the rejection although
+/// it is still sending the body, and send the stored body to another worker.
 #[test]
 fn a_worker_that_rejects_before_the_body_is_retried_elsewhere() {
     let _running_alone = run_alone();
@@ -111,7 +112,8 @@
     assert_eq!(installation.workers.executions_of("q-1").len(), 1);
 }
 
-/// A refused connection consumes nothing of the body: another worker is tried also if the body is not stored.
+/// A refused connection consumes no byte of the body, so another worker must be tried even if the body is not
+/// stored.
 #[test]
 fn a_body_that_is_not_stored_is_retried_until_a_byte_is_consumed() {
     let _running_alone = run_alone();
