--- a/crates/node/tests/operations/admin_calls.rs
+++ b/crates/node/tests/operations/admin_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the admin listener, and its address.
+//! Malformed and incomplete admin calls, and invalid addresses of the admin listener.
 
 use crate::node::{read_to_end, request, start};
 use sorrelhaven_test_support::{FakeWorkers, Program, ScratchDir, WorkerBehavior, workers_config};
@@ -11,10 +11,10 @@
 
 const CLIENT_COUNT: usize = 16;
 const SILENT_CALLERS: usize = 64;
-/// The load is under way once this many requests were answered.
+/// The admin calls begin after this many requests were answered, so that they meet a running load.
 const MIN_ANSWERED: u64 = 100;
 
-/// Clients that send requests without a pause.
+/// [`CLIENT_COUNT`] clients that send requests without a pause.
 struct Load {
     address: String,
     stop: AtomicBool,
@@ -27,7 +27,7 @@
     }
 
     fn run_client(&self, client: usize) {
-        let mut stream = TcpStream::connect(&self.address).expect("the node accepts");
+        let mut stream = TcpStream::connect(&self.address).expect("the node accepts the connection");
         for number in 0.. {
             if self.stop.load(Ordering::Relaxed) {
                 return;
@@ -42,7 +42,7 @@
     }
 }
 
-/// Stops the clients of a load when dropped.
+/// Stops the clients of a load when dropped, so that they stop also if an assertion fails.
 struct StopOnDrop<'a>(&'a Load);
 
 impl Drop for StopOnDrop<'_> {
@@ -51,8 +51,8 @@
     }
 }
 
-/// Many incomplete admin calls beside a full load of clients: the next call is answered before the others
-/// time out.
+/// [`SILENT_CALLERS`] connections with incomplete admin calls, beside a full load of clients, must not delay
+/// the next call: it is answered within 1 s, before the incomplete ones time out.
 #[test]
 fn silent_admin_callers_delay_no_other_call() {
     let workers = FakeWorkers::new(2);
@@ -64,14 +64,14 @@
             let load = &load;
             scope.spawn(move || load.run_client(client));
         }
-        // The clients end also if an assertion fails.
         let stop_on_drop = StopOnDrop(&load);
         while load.answered() < MIN_ANSWERED {
             thread::yield_now();
         }
         let silent_callers: Vec<TcpStream> = (0..SILENT_CALLERS)
             .map(|number| {
-                let mut caller = TcpStream::connect(&node.admin_address).expect("the node accepts");
+                let mut caller =
+                    TcpStream::connect(&node.admin_address).expect("the node accepts the connection");
                 caller.write_all(&b"show-stat"[..number % 9]).expect("the bytes are written");
                 caller
             })
@@ -91,18 +91,18 @@
     node.terminate();
 }
 
-/// Admin calls in pieces, unknown, empty, too long, not text, without a line end, and never read: each caller
-/// gets an answer or a close.
+/// Admin calls that arrive in pieces, are unknown, empty, too long, not UTF-8 or without a line end, and
+/// callers that never read: each must get an answer or a close, and must not block the next call.
 #[test]
 fn every_malformed_admin_call_gets_an_answer_or_a_close() {
     let workers = FakeWorkers::new(1);
-    let (node, _scratch) = start(&workers, "odd-callers");
-    let connect_admin = || TcpStream::connect(&node.admin_address).expect("the node accepts");
+    let (node, _scratch) = start(&workers, "malformed-calls");
+    let connect_admin = || TcpStream::connect(&node.admin_address).expect("the node accepts the connection");
     let mut pieces = connect_admin();
-    pieces.set_nodelay(true).expect("the socket can be set up");
+    pieces.set_nodelay(true).expect("the socket option can be set");
     for piece in ["sh", "ow-st", "at", "\r\n"] {
         pieces.write_all(piece.as_bytes()).expect("the bytes are written");
-        // Another caller in between does not disturb the line.
+        // A complete call on another connection, between the pieces.
         assert_eq!(node.admin_call("ready"), "SUCCESS serving\n");
     }
     assert!(read_to_end(&mut pieces).ends_with("\nEOT\n"));
@@ -112,10 +112,14 @@
     let mut binary = connect_admin();
     binary.write_all(b"\xff\x00\xfe\n").expect("the bytes are written");
     assert!(read_to_end(&mut binary).starts_with("FAILURE unknown call"));
-    let mut unended = connect_admin();
-    unended.write_all(b"ready").expect("the bytes are written");
-    unended.shutdown(Shutdown::Write).expect("the socket can be set up");
-    assert_eq!(read_to_end(&mut unended), "SUCCESS serving\n", "a half-close ends the line");
+    let mut unterminated = connect_admin();
+    unterminated.write_all(b"ready").expect("the bytes are written");
+    unterminated.shutdown(Shutdown::Write).expect("the socket can be shut down");
+    assert_eq!(
+        read_to_end(&mut unterminated),
+        "SUCCESS serving\n",
+        "a caller that closes its sending side ends the line"
+    );
     let unread: Vec<TcpStream> = (0..40)
         .map(|_| {
             let mut caller = connect_admin();
@@ -125,16 +129,17 @@
         .collect();
     assert_eq!(node.admin_call("ready"), "SUCCESS serving\n");
     drop(unread);
-    let mut gone = connect_admin();
-    gone.shutdown(Shutdown::Both).expect("the socket can be set up");
-    assert_eq!(read_to_end(&mut gone), "");
+    let mut closed = connect_admin();
+    closed.shutdown(Shutdown::Both).expect("the socket can be shut down");
+    assert_eq!(read_to_end(&mut closed), "");
     let mut silent = connect_admin();
     silent.write_all(b"rea").expect("the bytes are written");
     assert_eq!(read_to_end(&mut silent), "FAILURE the call did not come whole in time\n");
     node.terminate();
 }
 
-/// With an invalid descriptor or address the program does not start, and prints a line that names the key.
+/// With an invalid descriptor or admin address the program must not start, and must print one line that
+/// begins with the variable or settings key.
 #[test]
 fn an_invalid_address_or_descriptor_is_named_by_its_key() {
     let scratch = ScratchDir::new("ops-faults");
--- a/crates/node/tests/operations/drain.rs
+++ b/crates/node/tests/operations/drain.rs
@@ -1,4 +1,4 @@
-//! Drain and resume.
+//! The admin calls `drain` and `resume`, and signals during a drain.
 
 use crate::node::{connect, read_to_end, request, start};
 use sorrelhaven_test_support::{FakeWorkers, Program, WorkerBehavior};
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The answer to a readiness probe.
+/// The whole response to a readiness probe.
 fn probe_ready(node: &Program) -> String {
     let mut stream = connect(node);
     stream
@@ -15,13 +15,13 @@
     read_to_end(&mut stream)
 }
 
-/// Whether the node has served the request and closes the connection.
+/// Whether a response has the result of the request and announces that the node closes the connection.
 fn is_served_and_closed(response: &str) -> bool {
     response.starts_with("HTTP/1.1 200 ") && response.contains("\r\nConnection: close\r\n")
 }
 
-/// A drain answers requests that have begun and closes their connections, closes idle connections in time,
-/// and lets a long job go on; `resume` takes effect at once.
+/// During a drain the node must answer requests that have begun and close their connections, close idle
+/// connections within 1 to 2 s, and let a long job go on. `resume` must take effect at once.
 #[test]
 fn a_drain_closes_every_client_connection_and_resume_accepts_again() {
     let workers = FakeWorkers::new(1);
@@ -31,7 +31,7 @@
     assert!(probe_ready(&node).starts_with("HTTP/1.1 200 "));
     let mut idle = connect(&node);
     assert_eq!(request("idle").send_on(&mut idle).expect("the request is answered").status, 200);
-    let mut used = idle.try_clone().expect("the socket can be set up");
+    let mut used = idle.try_clone().expect("the socket can be duplicated");
     let mut silent = connect(&node);
     let address = node.address.clone();
     let long = thread::spawn(move || request("long").send(&address).expect("the request is answered"));
@@ -47,22 +47,26 @@
     assert_eq!(node.admin_call("ready"), "FAILURE drained\n");
     assert_eq!(node.admin_call("drain"), "SUCCESS drained already\n");
     assert!(probe_ready(&node).starts_with("HTTP/1.1 503 "), "the probe fails at once");
-    // A client that connects before the load balancer has seen the probe fail is served, and its connection
-    // closed.
+    // Until the load balancer's next probe has failed, clients still connect. They are served, and their
+    // connections closed.
     let mut late = connect(&node);
     late.write_all((request("late").head() + "body").as_bytes()).expect("the bytes are written");
     let received = read_to_end(&mut late);
     assert!(is_served_and_closed(&received), "{received}");
-    // So is one whose request was half read, and one that uses its open connection.
+    // The same holds for a client whose request was half read, and for a request on an open connection.
     pieces.write_all(&text.as_bytes()[40..]).expect("the bytes are written");
     let received = read_to_end(&mut pieces);
     assert!(is_served_and_closed(&received), "{received}");
     assert_eq!(request("used").send_on(&mut used).expect("the request is answered").status, 200);
     assert_eq!(read_to_end(&mut idle), "");
-    // A silent connection is closed without an answer, before a job on it would count as late.
+    // A connection that has sent nothing is closed without an answer, before a request that arrives on it
+    // would count as late.
     assert_eq!(read_to_end(&mut silent), "");
-    let ended = begun.elapsed();
-    assert!(ended >= Duration::from_secs(1) && ended < Duration::from_secs(2), "{ended:?}");
+    let idle_closed_after = begun.elapsed();
+    assert!(
+        idle_closed_after >= Duration::from_secs(1) && idle_closed_after < Duration::from_secs(2),
+        "{idle_closed_after:?}"
+    );
     assert_eq!(node.metric("node_in_progress"), 1, "the long job goes on");
 
     assert_eq!(node.admin_call("resume"), "SUCCESS serving\n");
@@ -71,13 +75,14 @@
     for id in ["again-1", "again-2"] {
         assert_eq!(request(id).send_on(&mut again).expect("the connection stays").status, 200);
     }
-    assert_eq!(long.join().expect("the client ends").status, 200);
+    assert_eq!(long.join().expect("the client thread does not panic").status, 200);
     assert_eq!(node.metric("node_passed"), 7);
     assert_eq!(node.metric("node_upstream_tries"), 7);
     node.terminate();
 }
 
-/// The node does not wait for a half-read request until its job would count as late.
+/// A request that arrives incomplete during a drain must get 408 at the drain's time limit: if the node
+/// waited longer, the request would count as late.
 #[test]
 fn a_request_that_stalls_ends_with_the_drain() {
     let workers = FakeWorkers::new(1);
@@ -86,7 +91,7 @@
     assert_eq!(request("first").send_on(&mut served).expect("the request is answered").status, 200);
     let begun = Instant::now();
     node.admin_call("drain");
-    // Late enough that the request's own time limit would end after the drain's.
+    // After this pause the time limit of the request itself would end after that of the drain.
     thread::sleep(Duration::from_millis(900));
     let (head, body) = (request("head").head(), request("body").head());
     let mut stalled = connect(&node);
@@ -100,7 +105,7 @@
     node.terminate();
 }
 
-/// Signals during a drain: a reload does not end it; SIGTERM ends the node, and admitted requests are
+/// A reload must not end a drain. SIGTERM during a drain must end the node after admitted requests are
 /// answered.
 #[test]
 fn a_drain_survives_a_reload_and_sigterm_ends_the_node() {
@@ -121,6 +126,6 @@
     assert_eq!(node.admin_call("resume"), "FAILURE stopping\n");
     assert_eq!(node.admin_call("drain"), "SUCCESS stopping, it empties for good\n");
     assert_eq!(node.admin_call("ready"), "FAILURE stopping\n");
-    assert_eq!(long.join().expect("the client ends").status, 200);
+    assert_eq!(long.join().expect("the client thread does not panic").status, 200);
     assert!(node.child.wait().expect("the program ends").success());
 }
--- a/crates/node/tests/operations/main.rs
+++ b/crates/node/tests/operations/main.rs
@@ -1,4 +1,4 @@
-//! Operating a running node: admin calls, metrics, drain and resume.
+//! Admin calls to a running node: metrics, drain, resume and malformed calls.
 
 mod admin_calls;
 mod drain;
--- a/crates/node/tests/program/configuration.rs
+++ b/crates/node/tests/program/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration: invalid files, and reloads with SIGHUP.
+//! Invalid configuration files, and reloads with SIGHUP.
 
 use crate::node::{Node, config, line_chunk, open_worker, read_until};
 use sorrelhaven_test_support::{CHUNKED_RESPONSE_HEAD, ScratchDir};
@@ -29,9 +29,9 @@
     }
 }
 
-/// SIGHUP ends nothing: an invalid file is logged by its key and changes nothing, a valid one moves the watch
-/// at once, known workers stay known, and admitted requests are finished, also with a SIGTERM right behind
-/// it.
+/// A reload must not lose admitted requests, also with a SIGTERM directly after the SIGHUP. An invalid file
+/// is logged with its key and changes nothing. With a valid one the node watches the new discovery address at
+/// once, and keeps the known workers.
 #[test]
 fn a_reload_moves_the_watch_and_loses_no_request() {
     let (listener, address) = open_worker();
@@ -52,22 +52,22 @@
     node.scratch.write("node.json", &moved);
     node.program.signal("HUP");
     assert!(node.program.wait_for_log_line("restart required").contains("seed"));
-    // Another discovery may count versions in another way, so it is polled for the full list.
+    // The new discovery may number its versions differently, so the node polls it for the full list.
     let (mut moved, _) = new_discovery.accept().expect("the node polls the new discovery");
     assert!(read_until(&mut moved, "\r\n\r\n").starts_with("GET /registry/instances HTTP/1.1\r\n"));
-    assert_eq!(read_until(&mut watch, "never"), "", "the old watch ends");
+    assert_eq!(read_until(&mut watch, "never"), "", "the node closes the old watch");
 
     let head = CHUNKED_RESPONSE_HEAD.replace("OK", "OK\r\nConnection: close");
     let done = head + &line_chunk(r#"{"id":"q-1","state":"done","result":"fine"}"#) + "0\r\n\r\n";
-    job.write_all(done.as_bytes()).expect("the node reads");
+    job.write_all(done.as_bytes()).expect("the node reads the bytes");
     assert!(read_until(&mut client, "\r\n\r\nfine").starts_with("HTTP/1.1 200 OK\r\n"));
     let mut client = node.send_request("fee", "5000m");
-    let (mut job, _) = listener.accept().expect("the old list is in force");
+    let (mut job, _) = listener.accept().expect("the known worker is still used");
     read_until(&mut job, "body");
     node.program.signal("HUP");
     node.program.signal("TERM");
     node.program.wait_for_log_line("shutdown requested");
-    job.write_all(done.as_bytes()).expect("the node reads");
+    job.write_all(done.as_bytes()).expect("the node reads the bytes");
     assert!(read_until(&mut client, "\r\n\r\nfine").starts_with("HTTP/1.1 200 OK\r\n"));
     assert!(node.program.child.wait().expect("the program ends").success());
 }
--- a/crates/node/tests/program/main.rs
+++ b/crates/node/tests/program/main.rs
@@ -1,4 +1,4 @@
-//! The program as an operator starts it: its configuration, its answers, its signals and its exit.
+//! The program as a separate process: its configuration, client connections, requests, signals and exit.
 
 mod configuration;
 mod connections;
--- a/crates/node/tests/program/node.rs
+++ b/crates/node/tests/program/node.rs
@@ -1,11 +1,12 @@
-//! A node under test, and its peers.
+//! Starts a node with one known worker and two classes; sends requests to it and reads from its connections.
 
 use sorrelhaven_test_support::{Program, ScratchDir, chunk, open_listener};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::process::Command;
 
-/// The file of a node with one known worker and the classes `issue` (idempotent) and `fee`, with this effect.
+/// The platform's file of a node with one known worker and two classes: `issue`, which is idempotent, and
+/// `fee`, which has the effect `effect`.
 pub fn config(worker: &str, effect: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","more":[1],
@@ -17,7 +18,7 @@
     )
 }
 
-/// A running program, with its file where a reload finds it.
+/// A running node. Its platform's file is `node.json` in `scratch`, where a reload reads it again.
 pub struct Node {
     pub program: Program,
     pub scratch: ScratchDir,
@@ -34,18 +35,18 @@
         Node { program, scratch }
     }
 
-    /// A client connection on which a request has been sent, always with the id `q-1`.
+    /// Sends a request with the id `q-1` on a new connection, and returns the connection.
     pub fn send_request(&self, class: &str, timeout: &str) -> TcpStream {
-        let mut stream = TcpStream::connect(&self.program.address).expect("the node accepts");
+        let mut stream = TcpStream::connect(&self.program.address).expect("the node accepts the connection");
         let head = format!("POST /api?a=b HTTP/1.1\r\nRequest-Id: q-1\r\nRequest-Class: {class}\r\n");
         let rest =
             format!("Request-Timeout: {timeout}\r\nIdempotency-Key: k\r\nContent-Length: 4\r\n\r\nbody");
-        stream.write_all((head + &rest).as_bytes()).expect("the node reads");
+        stream.write_all((head + &rest).as_bytes()).expect("the node reads the bytes");
         stream
     }
 }
 
-/// Reads up to and with the text `end`, or to the end of the connection.
+/// Reads up to and including the text `end`, or until the connection is closed.
 pub fn read_until(stream: &mut TcpStream, end: &str) -> String {
     let mut received = String::new();
     let mut byte = [0];
@@ -55,13 +56,13 @@
     received
 }
 
-/// A listener in place of a worker, and its address.
+/// A listener that a test uses as a worker or as discovery, and its address.
 pub fn open_worker() -> (TcpListener, String) {
     let (listener, address) = open_listener();
     (listener, address.to_string())
 }
 
-/// One line of a worker's response, as a chunk.
+/// One line of a worker's response, encoded as a chunk.
 pub fn line_chunk(line: &str) -> String {
     chunk(&format!("{line}\n"))
 }
--- a/crates/node/tests/races/main.rs
+++ b/crates/node/tests/races/main.rs
@@ -1,5 +1,5 @@
-//! Races between events, each forced into its critical order: one side is stalled until the other was seen to
-//! have acted. The rows of `docs/attempt-ends.md` name these tests.
+//! Races between two events. Each test forces the critical order: it stalls one side until the other side has
+//! visibly acted. The rows of `docs/attempt-ends.md` name these tests.
 
 mod client_disconnect;
 mod flooding;
--- a/crates/node/tests/races/peers.rs
+++ b/crates/node/tests/races/peers.rs
@@ -1,4 +1,4 @@
-//! A node under test with its clients, its worker and its discovery, each driven step by step.
+//! Starts a node, and controls its clients, its worker and its discovery one step at a time.
 
 use sorrelhaven_test_support::{
     CHUNKED_RESPONSE_HEAD, Program, ScratchDir, TestRequest, TestResponse, begin_chunked_response, chunk,
@@ -9,16 +9,16 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// A wait that is longer than this fails; far more than anything here takes.
+/// A wait fails after this time, which is far longer than any step takes.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
-/// A node that sees a client disconnect later than this is at fault.
-const DISCONNECT_SEEN_TIMEOUT: Duration = Duration::from_secs(5);
-/// For so long workers drop a retry of class `drops`, in microseconds.
+/// The node must detect a client's disconnect within this time.
+const DISCONNECT_DETECTION_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long workers deduplicate a request of class `drops`, in microseconds.
 const IDEMPOTENCY_WINDOW_MICROS: u64 = 1_500_000;
-/// More bytes than the node reads behind a request.
+/// More bytes than the node reads ahead behind a request.
 const UNSOLICITED_BYTES: usize = 40_000;
 
-/// Whether a node may cancel attempts.
+/// Whether the settings allow the node to cancel attempts.
 #[derive(Clone, Copy)]
 pub enum Cancellation {
     Enabled,
@@ -56,32 +56,32 @@
     format!(r#"{{"host":"{name}","dial":"{address}","health":"{health}"}}"#)
 }
 
-/// The address of a discovery that is not there.
+/// A discovery address on which nothing listens.
 pub fn no_discovery() -> SocketAddr {
     "127.0.0.1:1".parse().expect("the text is an address")
 }
 
-/// A client connection on which a request, with its body, has been sent.
+/// Sends a request with its body on a new connection, and returns the connection.
 pub fn send_request(node: &Program, id: &str, class: &str, timeout_ms: u64) -> TcpStream {
-    let mut stream = TcpStream::connect(&node.address).expect("the node accepts");
-    send_request_on(&mut stream, id, class, timeout_ms).expect("the node reads");
+    let mut stream = TcpStream::connect(&node.address).expect("the node accepts the connection");
+    send_request_on(&mut stream, id, class, timeout_ms).expect("the node reads the bytes");
     stream
 }
 
-/// Sends a request, with its body, on an open connection.
+/// Sends a request with its body on an open connection.
 pub fn send_request_on(stream: &mut TcpStream, id: &str, class: &str, timeout_ms: u64) -> io::Result<()> {
     let mut request = TestRequest::new(id, class, b"body".to_vec());
     request.timeout = Duration::from_millis(timeout_ms);
-    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the socket takes a time limit");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the read timeout can be set");
     stream.write_all((request.head() + "body").as_bytes())
 }
 
-/// Reads the answer to a request that was sent before.
+/// Reads the answer to the request that was sent on `stream`.
 pub fn read_response(stream: &mut TcpStream) -> TestResponse {
     TestResponse::read(stream, Instant::now()).expect("the request is answered")
 }
 
-/// Waits until one of the node's counters has reached `value`.
+/// Waits until the node's counter `name` is at least `value`.
 pub fn wait_for_counter(node: &mut Program, name: &str, value: u64) {
     let begun = Instant::now();
     while node.counter(name) < value {
@@ -89,13 +89,13 @@
     }
 }
 
-/// The next connection to a listener.
+/// Accepts the next connection to a listener, within [`WAIT_TIMEOUT`].
 pub fn accept(listener: &TcpListener) -> TcpStream {
     let begun = Instant::now();
-    listener.set_nonblocking(true).expect("the listener can be set up");
+    listener.set_nonblocking(true).expect("the listener can be made non-blocking");
     loop {
         if let Ok((stream, _)) = listener.accept() {
-            stream.set_nonblocking(false).expect("the socket can be set up");
+            stream.set_nonblocking(false).expect("the socket can be made blocking");
             return stream;
         }
         assert!(begun.elapsed() < WAIT_TIMEOUT, "no connection was opened");
@@ -108,7 +108,7 @@
 pub enum Disconnect {
     Close,
     Reset,
-    /// A close behind more bytes than the node reads ahead.
+    /// The client sends more bytes than the node reads ahead, and then closes the connection.
     CloseBehindUnreadBytes,
 }
 
@@ -122,9 +122,10 @@
     client.write_all(&[b'x'; UNSOLICITED_BYTES]).expect("the system buffers the bytes");
 }
 
-/// Disconnects a client, and waits until the node has seen it, after `seen_before` others.
-pub fn disconnect(node: &mut Program, mut client: TcpStream, manner: Disconnect, seen_before: u64) {
-    match manner {
+/// Disconnects a client, and waits until the node has detected it. `disconnects_before` is the number of
+/// disconnects that the node has counted so far.
+pub fn disconnect(node: &mut Program, mut client: TcpStream, kind: Disconnect, disconnects_before: u64) {
+    match kind {
         Disconnect::Close => drop(client),
         Disconnect::Reset => reset_connection(client),
         Disconnect::CloseBehindUnreadBytes => {
@@ -133,17 +134,18 @@
         }
     }
     let begun = Instant::now();
-    while node.counter("client_gone") == seen_before {
+    while node.counter("client_gone") == disconnects_before {
         assert!(
-            begun.elapsed() < DISCONNECT_SEEN_TIMEOUT,
-            "the node does not see a client disconnect: {manner:?}"
+            begun.elapsed() < DISCONNECT_DETECTION_TIMEOUT,
+            "the node has not detected the client's disconnect: {kind:?}"
         );
     }
 }
 
-/// The head and body of the next request on a connection to a worker; `None` if the node ends the connection.
+/// The head and body of the next request on a connection to a worker. `None` if the node closes the
+/// connection instead.
 pub fn next_request(connection: &mut TcpStream) -> Option<String> {
-    connection.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the socket takes a time limit");
+    connection.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the read timeout can be set");
     let mut received = Vec::new();
     while !received.ends_with(b"\r\n\r\nbody") {
         let mut byte = [0];
@@ -154,10 +156,11 @@
             Err(error) => panic!("no request was sent: {error}"),
         }
     }
-    (!received.is_empty()).then(|| String::from_utf8(received).expect("a request is text"))
+    (!received.is_empty()).then(|| String::from_utf8(received).expect("the request is UTF-8"))
 }
 
-/// The first request on any new connection to a worker, and that connection.
+/// The next request on a new connection to a worker, and that connection. Skips connections that the node
+/// closes without a request.
 pub fn first_request(worker: &TcpListener) -> (String, TcpStream) {
     loop {
         let mut connection = accept(worker);
@@ -167,12 +170,12 @@
     }
 }
 
-/// The request id in a request's head.
+/// The value of `Request-Id` in a request's head.
 pub fn request_id(request: &str) -> &str {
     request.lines().find_map(|line| line.strip_prefix("Request-Id: ")).expect("a request has an id")
 }
 
-/// A worker's complete response: the job is done.
+/// A worker's complete response, which reports that the job is done.
 pub fn done_response(id: &str) -> String {
     let line = format!("{{\"id\":\"{id}\",\"state\":\"done\",\"result\":\"fine\"}}\n");
     format!("{CHUNKED_RESPONSE_HEAD}{}0\r\n\r\n", chunk(&line))
@@ -183,15 +186,15 @@
     connection.write_all(response.as_bytes()).expect("the node reads the response");
 }
 
-/// Accepts the watch of a node and begins to answer it.
+/// Accepts the node's watch on discovery, and sends the head of the response.
 pub fn accept_watch(discovery: &TcpListener) -> TcpStream {
     let mut watch = accept(discovery);
-    watch.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the socket takes a time limit");
+    watch.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the read timeout can be set");
     begin_chunked_response(&mut watch);
     watch
 }
 
-/// Sends an update of the worker list.
+/// Sends an update of the worker list, with these entries, on a watch.
 pub fn send_update(watch: &mut TcpStream, version: u64, entries: &[String]) {
     send_chunk(watch, &(worker_list(version, false, entries) + "\n"));
 }
--- a/crates/node/tests/races/shutdown.rs
+++ b/crates/node/tests/races/shutdown.rs
@@ -1,4 +1,4 @@
-//! SIGTERM while requests and connections are on their way.
+//! SIGTERM while requests arrive or connections are being established.
 
 use crate::peers::{
     Cancellation, WAIT_TIMEOUT, done_response, first_request, next_request, no_discovery, read_response,
@@ -11,14 +11,14 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// After this time a node may cut off requests that it has not read completely.
+/// Time after SIGTERM from which the node may cut off requests that it has not read completely.
 const READ_PERIOD_AFTER_SIGTERM: Duration = Duration::from_millis(800);
-/// A node that ends later than this may be killed.
+/// Time after SIGTERM from which the platform may send SIGKILL.
 const SHUTDOWN_LIMIT: Duration = Duration::from_millis(3_700);
 
-/// SIGTERM finds a request half read, which is complete more than 0.7 s later. It must be answered before
-/// SIGKILL may come, whatever its client allows and its worker does; a second signal and a reload change
-/// nothing.
+/// A request is half read at SIGTERM and complete more than 0.7 s later. It must be answered before the
+/// platform may send SIGKILL, however long its client's timeout is and whatever its worker does. A second
+/// SIGTERM and a reload must change nothing.
 #[test]
 fn a_request_that_is_complete_late_after_sigterm_is_answered_before_the_node_may_be_killed() {
     let (worker, address) = open_listener();
@@ -43,7 +43,7 @@
     late_client.write_all(b"dy").expect("the node still reads");
     let (request, _late_connection) = first_request(&worker);
     assert_eq!(request_id(&request), "late", "{request}");
-    // Its worker sends nothing. The request may have run, so it fails, and in time.
+    // The worker sends nothing. The request may have run, so the answer is a failure, and must come in time.
     let response = TestResponse::read(&mut late_client, signalled_at).expect("the request is answered");
     assert_eq!((response.status, response.connection_close), (502, true));
     assert!(signalled_at.elapsed() < SHUTDOWN_LIMIT, "{:?}", signalled_at.elapsed());
@@ -54,28 +54,28 @@
     drop(scratch);
 }
 
-/// Sends a request but for the last half of its body.
+/// Sends a request without the second half of its body.
 fn send_first_half(address: &str, id: &str) -> TcpStream {
     let mut request = TestRequest::new(id, "once", b"body".to_vec());
     request.timeout = Duration::from_secs(30);
-    let mut client = TcpStream::connect(address).expect("the node accepts");
-    client.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the socket takes a time limit");
-    client.write_all((request.head() + "bo").as_bytes()).expect("the node reads");
+    let mut client = TcpStream::connect(address).expect("the node accepts the connection");
+    client.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the read timeout can be set");
+    client.write_all((request.head() + "bo").as_bytes()).expect("the node reads the bytes");
     client
 }
 
-/// SIGTERM comes while the connection to the worker is being established: the request is sent and served, and
-/// then the node ends.
+/// SIGTERM arrives while the connection to the worker is being established. The request must still be sent
+/// and answered before the node exits.
 #[test]
 fn a_request_whose_connect_ends_after_sigterm_is_served() {
-    let stalled = StalledListener::new().expect("the listener stalls");
+    let stalled = StalledListener::new().expect("the accept queue can be filled");
     let (mut node, _scratch) =
         start_node(stalled.address, no_discovery(), Cancellation::Enabled, "term-connect");
     let mut client = send_request(&node, "held", "once", 5_000);
     wait_for_counter(&mut node, "upstream_connections", 1);
     node.signal("TERM");
     node.wait_for_log_line("shutdown requested");
-    let worker = stalled.release().expect("the listener accepts");
+    let worker = stalled.release().expect("the accept queue can be emptied");
     let (request, mut connection) = first_request(&worker);
     assert_eq!(request_id(&request), "held", "{request}");
     respond(&mut connection, &done_response("held"));
@@ -84,20 +84,20 @@
     assert!(node.child.wait().expect("the node ends").success());
 }
 
-/// A client goes on to send on its open connections while the node ends. A request before a connection's last
-/// answer is answered on that connection; one that crosses its end is never sent to a worker, so that the
-/// client may send it again.
+/// Clients send on open connections while the node shuts down. A request that the node reads before the last
+/// answer on its connection must be answered. One that crosses the close of the connection must not be sent
+/// to a worker, so that the client may send it again.
 #[test]
 fn a_request_that_crosses_the_end_of_its_client_connection_is_not_sent() {
     let (worker, address) = open_listener();
     let (mut node, _scratch) = start_node(address, no_discovery(), Cancellation::Enabled, "crosses");
     let mut client = send_request(&node, "one", "once", 5_000);
-    let mut idle_client = TcpStream::connect(&node.address).expect("the node accepts");
+    let mut idle_client = TcpStream::connect(&node.address).expect("the node accepts the connection");
     let (_, mut connection) = first_request(&worker);
     respond(&mut connection, &done_response("one"));
     assert_eq!(read_response(&mut client).status, 200);
     let send = |stream: &mut TcpStream, id: &str| send_request_on(stream, id, "once", 5_000);
-    send(&mut idle_client, "two").expect("the node reads");
+    send(&mut idle_client, "two").expect("the node reads the bytes");
     let request = next_request(&mut connection).expect("the pooled connection carries the request");
     assert_eq!(request_id(&request), "two", "{request}");
     respond(&mut connection, &done_response("two"));
@@ -105,18 +105,18 @@
     node.signal("TERM");
     node.wait_for_log_line("shutdown requested");
     // The connection is still open: the request is admitted, and answered as the last one on it.
-    send(&mut client, "three").expect("the node reads");
+    send(&mut client, "three").expect("the node reads the bytes");
     let request = next_request(&mut connection).expect("the request is sent");
     assert_eq!(request_id(&request), "three", "{request}");
-    // Sent before that answer: on a connection that ends with the answer it is not read.
-    send(&mut client, "four").expect("the system buffers the request");
+    // Sent before the answer to `three`. The connection closes with that answer, so this request is not read.
+    send(&mut client, "four").expect("the socket buffer holds the request");
     respond(&mut connection, &done_response("three"));
     let response = read_response(&mut client);
     assert_eq!((response.status, response.connection_close), (200, true));
-    // The node closes the idle connection; a request that is written at that moment meets a closed
+    // The node closes the idle connection, and a request that is sent at that moment reaches a closed
     // connection.
     let mut end = [0];
-    assert!(matches!(idle_client.read(&mut end), Ok(0) | Err(_)), "the idle connection ends");
+    assert!(matches!(idle_client.read(&mut end), Ok(0) | Err(_)), "the node closes the idle connection");
     let _ = send(&mut idle_client, "five");
     let counters = node.wait_for_log_line("admitted=");
     assert!(counters.contains("admitted=3 served=3 ") && counters.contains("attempts=3 "), "{counters}");
