--- a/crates/node/tests/command.rs
+++ b/crates/node/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command line: what each command prints and how it exits.
+//! The command line: the output and the exit status of each command.
 
 use std::io::{BufRead, BufReader};
 use std::path::PathBuf;
@@ -13,12 +13,12 @@
     command.args(args).output().expect("the program runs")
 }
 
-/// The path of a file in `deploy/`.
+/// The path of an example file in `deploy/`.
 fn deploy_file(name: &str) -> String {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../deploy").join(name).display().to_string()
 }
 
-fn text(bytes: &[u8]) -> String {
+fn to_text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
@@ -27,7 +27,7 @@
     let operator = deploy_file("operator.example.json");
     let output = run_program(&["check", "--operator", &operator, &deploy_file("example.json")]);
     assert_eq!(output.status.code(), Some(0), "{output:?}");
-    let printed = text(&output.stdout);
+    let printed = to_text(&output.stdout);
     assert_eq!(printed.lines().count(), 1, "{printed}");
     assert!(
         printed.starts_with("n0 listens on 127.0.0.1:8080; 2 classes, 3 tenants, 1 workers known"),
@@ -37,9 +37,10 @@
         printed.contains("bodies of at most 64 KiB, in memory 64 KiB each, 8 MiB in all, in no files"),
         "{printed}"
     );
-    // The second deployment: three classes of other effects, no tenants, load reports, no start reports.
+    // A second example: three classes with other effects, no tenants; workers send load reports, but do not
+    // report the start of a job.
     let output = run_program(&["check", "--operator", &operator, &deploy_file("registry.example.json")]);
-    let printed = text(&output.stdout);
+    let printed = to_text(&output.stdout);
     assert_eq!(output.status.code(), Some(0), "{output:?}");
     assert!(
         printed.starts_with("n0 listens on 127.0.0.1:8080; 3 classes, 0 tenants, 1 workers known"),
@@ -51,29 +52,30 @@
 fn check_prints_each_error_on_a_line_and_exits_with_2() {
     let path = std::env::temp_dir().join(format!("sorrelhaven-check-{}.json", std::process::id()));
     std::fs::write(&path, r#"{"bodies":{"larges_bytes":1,"unkept":"drop","memory":{"total_bytes":1}}}"#)
-        .expect("a file");
+        .expect("the operators' file can be written");
     let operator = path.display().to_string();
     let output = run_program(&["--operator", &operator, "check", &deploy_file("example.json")]);
     assert_eq!(output.status.code(), Some(2), "{output:?}");
-    let printed = text(&output.stdout);
+    let printed = to_text(&output.stdout);
     let lines: Vec<&str> = printed.lines().collect();
     assert_eq!(lines.len(), 2, "{printed}");
     assert_eq!(lines[0], "bodies.larges_bytes: unknown key; did you mean \"largest_bytes\"?");
     assert!(lines[1].starts_with("bodies.unkept: unknown variant `drop`"), "{printed}");
-    std::fs::write(&path, r#"{"bodies":{"memory":{"total_bytes":1}}}"#).expect("a file");
+    std::fs::write(&path, r#"{"bodies":{"memory":{"total_bytes":1}}}"#)
+        .expect("the operators' file can be written");
     let printed =
-        text(&run_program(&["--operator", &operator, "check", &deploy_file("example.json")]).stdout);
+        to_text(&run_program(&["--operator", &operator, "check", &deploy_file("example.json")]).stdout);
     assert_eq!(printed.trim(), "bodies.memory.each_bytes: 65536 is over memory.total_bytes, 1");
-    std::fs::remove_file(&path).expect("it was there");
+    std::fs::remove_file(&path).expect("the operators' file can be removed");
     let output = run_program(&["check"]);
-    assert_eq!((output.status.code(), text(&output.stdout).trim()), (Some(2), "RELAY_CONFIG: not set"));
+    assert_eq!((output.status.code(), to_text(&output.stdout).trim()), (Some(2), "RELAY_CONFIG: not set"));
 }
 
 #[test]
 fn schema_is_json_that_names_every_key() {
     let output = run_program(&["schema"]);
     assert!(output.status.success());
-    let schema: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
+    let schema: serde_json::Value = serde_json::from_slice(&output.stdout).expect("the schema is JSON");
     assert!(schema.pointer("/$defs/BodyFiles/properties/leave_free_bytes/maximum").is_some(), "{schema}");
 }
 
@@ -81,19 +83,19 @@
 fn an_invalid_command_line_exits_with_2_and_names_the_argument() {
     let output = run_program(&["sing"]);
     assert_eq!(output.status.code(), Some(2));
-    assert!(text(&output.stderr).contains("unrecognized subcommand 'sing'"), "{output:?}");
+    assert!(to_text(&output.stderr).contains("unrecognized subcommand 'sing'"), "{output:?}");
     let output = run_program(&["run", "--log", "[[["]);
     assert_eq!(output.status.code(), Some(2));
-    assert!(text(&output.stderr).starts_with("sorrelhaven: --log: "), "{output:?}");
+    assert!(to_text(&output.stderr).starts_with("sorrelhaven: --log: "), "{output:?}");
 }
 
-/// With `--log-format json` each line on standard error is JSON, the counters among them.
+/// With `--log-format json` each line on standard error is JSON, also the line of counters before the exit.
 #[test]
 fn with_json_log_format_each_log_line_is_json() {
     let mut command = Command::new(env!("CARGO_BIN_EXE_sorrelhaven"));
     command.args(["run", "--log-format", "json", "--log", "info"]).env_remove("SORRELHAVEN_OPERATOR");
     command.env("RELAY_CONFIG", deploy_file("example.json")).env("RELAY_LISTEN", "127.0.0.1:0");
-    let mut child = command.stderr(Stdio::piped()).spawn().expect("it starts");
+    let mut child = command.stderr(Stdio::piped()).spawn().expect("the program starts");
     let mut log = BufReader::new(child.stderr.take().expect("the log can be read"));
     let mut lines = Vec::new();
     let mut line = String::new();
@@ -102,7 +104,9 @@
             serde_json::from_str(&line).unwrap_or_else(|error| panic!("{error}: {line}"));
         if value["message"] == "ready" {
             let id = child.id().to_string();
-            assert!(Command::new("kill").args(["-s", "TERM", &id]).status().expect("kill").success());
+            assert!(
+                Command::new("kill").args(["-s", "TERM", &id]).status().expect("kill can be run").success()
+            );
         }
         lines.push(value);
         line.clear();
@@ -113,5 +117,5 @@
             .iter()
             .any(|line| line["message"] == "ready" && line["name"] == "n0" && line["level"] == "INFO")
     );
-    assert_eq!(lines.last().expect("a line")["counters"]["admitted"], 0);
+    assert_eq!(lines.last().expect("the log has lines")["counters"]["admitted"], 0);
 }
--- a/crates/node/tests/crash.rs
+++ b/crates/node/tests/crash.rs
@@ -1,7 +1,7 @@
-//! A node that is killed at random points with bodies half written: the next start finds no file that looks
-//! complete, and no at-most-once request runs twice.
+//! A node that is killed at random times while it stores bodies in files. The next start must find no file
+//! that looks complete, and no at-most-once request may run twice.
 //!
-//! `SORRELHAVEN_KILLS` sets how often it is killed (12 by default); the points come from a fixed seed.
+//! `SORRELHAVEN_KILLS` sets the number of kills (12 by default). Their times come from a fixed seed.
 
 use sorrelhaven_test_support::{
     AT_MOST_ONCE_CLASS, Checker, CheckerTotals, FakeWorkers, Program, ScratchDir, TestRequest, workers_config,
@@ -16,18 +16,18 @@
 const DEFAULT_KILLS: u64 = 12;
 const CLIENT_COUNT: u64 = 8;
 const SEED: u64 = 0x2545_f491_4f6c_dd1d;
-/// A file of another node, which every start must leave alone.
+/// A body file of another node, named `n01`, which a start of node `n0` must not delete.
 const OTHER_NODES_FILE: &str = "sorrelhaven-body.n01.1.0.part";
-/// A file of this node, as a kill leaves it between the creation and the unlink.
+/// A body file of this node, as a kill leaves it between the file's creation and its unlink.
 const OWN_LEFTOVER: &str = "sorrelhaven-body.n0.1.7.part";
 
-/// A body of one of four sizes: in memory, in a file, and two that grow too long for either.
+/// A body of one of four sizes, so that bodies are stored in memory, stored in files and not stored at all.
 fn body(seed: u64) -> Vec<u8> {
     let length = [2_000, 90_000, 300_000, 900_000][seed as usize % 4] + seed as usize % 977;
     (0..length as u64).map(|index| (index.wrapping_mul(seed | 1) >> 7) as u8).collect()
 }
 
-/// When the node is killed, after its start (xorshift).
+/// The time from each start of the node to its kill, 2 ms to 122 ms, by an xorshift generator.
 struct KillTimes {
     state: u64,
 }
@@ -41,7 +41,7 @@
     }
 }
 
-/// What the clients of all incarnations of the node share.
+/// The state that clients share across all starts of the node.
 #[derive(Default)]
 struct Clients {
     next_number: AtomicU64,
@@ -49,7 +49,7 @@
 }
 
 impl Clients {
-    /// Starts clients that send requests until `stop` is set or their connections fail.
+    /// Starts [`CLIENT_COUNT`] threads, each of which sends requests until `stop` is set or a request fails.
     fn spawn(self: &Arc<Clients>, address: &str, stop: &Arc<AtomicBool>) -> Vec<JoinHandle<()>> {
         let spawn_client = |_| {
             let (clients, address, stop) = (self.clone(), address.to_string(), stop.clone());
@@ -71,7 +71,7 @@
     }
 }
 
-/// Writes the operators' file with limits that have bodies stored in every way.
+/// Writes the operators' file, with limits on bodies that make the node use memory, files and neither.
 fn write_operator_file(scratch: &ScratchDir) -> PathBuf {
     let spool = scratch.path("spool").display().to_string();
     scratch.write(
@@ -109,7 +109,7 @@
         node.child.kill().expect("the program runs");
         node.child.wait().expect("the program has ended");
         stop.store(true, Ordering::Relaxed);
-        running.into_iter().for_each(|client| client.join().expect("the client ends"));
+        running.into_iter().for_each(|client| client.join().expect("the client thread does not panic"));
         files_left += scratch.file_names("spool").len() - 1;
         scratch.write(&format!("spool/{OWN_LEFTOVER}"), "half a bo");
     }
--- a/crates/node/tests/faults.rs
+++ b/crates/node/tests/faults.rs
@@ -1,4 +1,5 @@
-//! System calls that fail as Linux documents, and wrong wall clocks: neither loses a request.
+//! System calls that fail in ways that Linux documents, and wall clocks that are wrong: the node must lose no
+//! request by either. A preloaded library injects the faults.
 
 use sorrelhaven_test_support::{
     AT_MOST_ONCE_CLASS, Checker, FakeWorkers, FaultPlan, Program, ScratchDir, TestRequest, TestResponse,
@@ -16,16 +17,17 @@
 /// At-most-once requests from several clients.
 struct Load {
     address: String,
-    /// Requests of all clients together.
+    /// The number of requests of all clients together.
     count: u64,
-    /// The time between the opening of a connection and the request on it.
+    /// The time from opening a connection to sending the request on it.
     pause: Duration,
     next_number: AtomicU64,
     checker: Checker,
 }
 
 impl Load {
-    /// Sends requests, each on a new connection, and returns how each one ended that was not served.
+    /// Sends requests, each on a new connection. Returns the id and the status or error of each request that
+    /// was not served.
     fn run_client(&self) -> Vec<String> {
         let mut unserved = Vec::new();
         loop {
@@ -58,11 +60,11 @@
 /// The outcome of a load.
 struct LoadResult {
     checker: Checker,
-    /// How each request ended that was not served, a line each.
+    /// The id and the status or error of each request that was not served.
     unserved: Vec<String>,
 }
 
-/// A node under the fault shim, with its workers.
+/// A node with the fault shim preloaded, and its workers.
 struct Node {
     program: Program,
     workers: FakeWorkers,
@@ -84,8 +86,8 @@
         Node::start(name, plan, workers, &config)
     }
 
-    /// Sends `count` at-most-once requests from several clients, each on a new connection and `pause` after
-    /// it was opened.
+    /// Sends `count` at-most-once requests from [`CLIENT_COUNT`] clients, each on a new connection and
+    /// `pause` after the connection was opened.
     fn send_requests(&self, count: u64, pause: Duration) -> LoadResult {
         let load = Load {
             address: self.program.address.clone(),
@@ -96,26 +98,30 @@
         };
         let unserved = thread::scope(|scope| {
             let clients: Vec<_> = (0..CLIENT_COUNT).map(|_| scope.spawn(|| load.run_client())).collect();
-            clients.into_iter().flat_map(|client| client.join().expect("the client ends")).collect()
+            clients
+                .into_iter()
+                .flat_map(|client| client.join().expect("the client thread does not panic"))
+                .collect()
         });
         LoadResult { checker: load.checker, unserved }
     }
 
-    /// Ends the node. Every fault of the plan must have been injected, and no delivery rule violated.
+    /// Terminates the node. Checks that every fault of the plan was injected and that the requests violate no
+    /// rule of the checker.
     fn terminate(self, checker: &Checker) {
         self.program.terminate();
         let injected_faults = injected_faults(&self.scratch);
         assert!(
             injected_faults.values().all(|&count| count > 0),
-            "not all calls were reached: {injected_faults:?}"
+            "the node did not make all calls that the plan has fail: {injected_faults:?}"
         );
         assert_eq!(checker.violations(&self.workers.executed_requests()), [""; 0]);
     }
 }
 
-/// Interrupted reads and writes are repeated; the connection and its request go on.
+/// Reads, writes and polls that fail with `EINTR` must be repeated: the request on the connection is served.
 #[test]
-fn interrupted_reads_and_writes_cost_no_request() {
+fn interrupted_reads_and_writes_lose_no_request() {
     let plan =
         FaultPlan::failing_calls("read:EINTR:10;recv:EINTR:10;send:EINTR:10;write:EINTR:10;poll:EINTR:10");
     let node = Node::with_two_workers("interrupted", &plan);
@@ -124,9 +130,9 @@
     node.terminate(&checker);
 }
 
-/// An accept that fails once costs neither the connection that waits nor another.
+/// An accept that fails once must lose neither the connection at the head of the queue nor another one.
 #[test]
-fn transient_accept_failures_cost_no_request() {
+fn transient_accept_failures_lose_no_request() {
     let plan = FaultPlan::failing_calls(
         "accept:ECONNABORTED:40;accept:ENFILE:40;accept:ENOBUFS:40;accept:EINTR:40;accept:EPROTO:40",
     );
@@ -136,20 +142,22 @@
     node.terminate(&checker);
 }
 
-/// An interrupted wait for events is repeated.
+/// An `epoll_wait` that fails with `EINTR` must be repeated.
 #[test]
-fn interrupted_waits_for_events_cost_no_request() {
+fn interrupted_waits_for_events_lose_no_request() {
     let node = Node::with_two_workers("waits", &FaultPlan::failing_calls("epoll_wait:EINTR:5"));
     let LoadResult { checker, unserved } = node.send_requests(400, Duration::ZERO);
     assert_eq!(unserved, [""; 0]);
     node.terminate(&checker);
 }
 
-/// How many requests a newly started worker, the last of four, gets from a node whose wall clock is off.
+/// The number of requests that a newly started worker, the last of four, gets from a node whose wall clock is
+/// wrong by `clock_offset_ms`.
 fn requests_to_new_worker(clock_offset_ms: i64) -> usize {
     let workers = FakeWorkers::new(4);
     workers.set_default_behavior(WorkerBehavior::DoneAfterMillis(10));
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time").as_millis();
+    let now =
+        SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is after the Unix epoch").as_millis();
     let config = workers_config(&workers.addresses);
     let entry = format!("{}\",\"health\"", workers.addresses[3]);
     let config = config.replace(&entry, &format!("{}\",\"born_ms\":{now},\"health\"", workers.addresses[3]));
@@ -164,20 +172,21 @@
     executed
 }
 
-/// Slow start follows from the worker list and the monotonic clock, never from the wall clock alone.
+/// A wrong wall clock must not make a new worker seem old and so end its slow start: its age follows from the
+/// worker list and the monotonic clock, not from the wall clock alone.
 #[test]
 fn a_wrong_wall_clock_skips_no_slow_start() {
     const HOUR_MS: i64 = 3_600_000;
     let sent = [0, HOUR_MS, -HOUR_MS, 10_000, -10_000]
         .map(|offset_ms| (offset_ms, requests_to_new_worker(offset_ms)));
-    let with_right_clock = sent[0].1;
+    let with_correct_clock = sent[0].1;
     for (offset_ms, executed) in sent {
-        assert!(executed <= with_right_clock + 6, "clock off by {offset_ms} ms: {sent:?}");
+        assert!(executed <= with_correct_clock + 6, "clock off by {offset_ms} ms: {sent:?}");
     }
 }
 
-/// With short transfers, also on the node's own wake-up channel, no signal of a series is lost, and the node
-/// ends.
+/// With short transfers, also on the channel that wakes the event loop, no signal of a series may be lost,
+/// and SIGTERM must end the node.
 #[test]
 fn short_transfers_lose_no_signal() {
     let plan = FaultPlan::failing_calls("send:SHORT:2;recv:SHORT:2");
@@ -198,5 +207,9 @@
         signalled_at.elapsed()
     );
     assert_eq!(log.matches("configuration reloaded").count(), 3, "{log}");
-    assert_eq!(log.matches(" admitted=").count(), 4, "three times on SIGUSR1, and once at the end: {log}");
+    assert_eq!(
+        log.matches(" admitted=").count(),
+        4,
+        "the counters are printed for each of three SIGUSR1 and once before the exit: {log}"
+    );
 }
--- a/crates/node/tests/large_lists.rs
+++ b/crates/node/tests/large_lists.rs
@@ -1,5 +1,5 @@
-//! Worker lists of a thousand entries within the least memory and descriptors, and lists that are mostly out
-//! of date.
+//! Worker lists of a thousand entries on a node with the smallest limits on memory and descriptors, and a
+//! known list that is mostly out of date at the start.
 
 use sorrelhaven_test_support::{
     FakeWorkers, Program, RefusingPort, ScratchDir, TestRequest, begin_chunked_response, open_listener,
@@ -11,33 +11,34 @@
 use std::thread;
 
 const WORKERS: usize = 1025;
-/// Zones, and kinds of workers, that the settings name.
-const NAMES: usize = 1025;
+/// Number of zones, and of worker kinds, in the settings.
+const NAME_COUNT: usize = 1025;
 const MEMORY_LIMIT_KIB: u64 = 32 * 1024;
 const DESCRIPTOR_LIMIT: usize = 256;
 
-/// An entry of the list. Workers share these addresses, but the node opens connections for each of them.
+/// An entry of the worker list. Workers share these few addresses, but the node keeps separate connections
+/// for each worker.
 fn entry(number: usize, addresses: &[SocketAddr], health: &str) -> String {
     let dial = addresses[number % addresses.len()];
-    let name = number % NAMES;
+    let name = number % NAME_COUNT;
     format!(
         r#"{{"host":"s-{number:08x}","dial":"{dial}","site":"zone-{name}","class":"kind-{name}","block":{number},"health":"{health}","share":1.0,"born_ms":0}}"#
     )
 }
 
-/// The list laid out over many lines with deep indentation, as some JSON writers do.
+/// Formats a worker list as JSON with line breaks and an indentation of 8 spaces, as some JSON writers do.
 fn indented(list: &str) -> String {
-    let value: serde_json::Value = serde_json::from_str(list).expect("a list");
+    let value: serde_json::Value = serde_json::from_str(list).expect("the list is JSON");
     let mut text = Vec::new();
     let format = serde_json::ser::PrettyFormatter::with_indent(b"        ");
     let mut writer = serde_json::Serializer::with_formatter(&mut text, format);
-    serde::Serialize::serialize(&value, &mut writer).expect("text");
-    String::from_utf8(text).expect("text") + "\n"
+    serde::Serialize::serialize(&value, &mut writer).expect("the list can be serialized");
+    String::from_utf8(text).expect("serialized JSON is UTF-8") + "\n"
 }
 
 fn config(addresses: &[SocketAddr], discovery: SocketAddr) -> String {
     let names = |prefix: &str| -> String {
-        (0..NAMES).map(|number| format!("\"{prefix}-{number}\"")).collect::<Vec<_>>().join(",")
+        (0..NAME_COUNT).map(|number| format!("\"{prefix}-{number}\"")).collect::<Vec<_>>().join(",")
     };
     let known: Vec<String> = (0..WORKERS).map(|number| entry(number, addresses, "in_service")).collect();
     format!(
@@ -55,22 +56,22 @@
     )
 }
 
-/// Accepts a poll of the node and begins to answer it.
+/// Accepts the node's watch on discovery, and sends the head of the response.
 fn accept_watch(discovery: &TcpListener) -> TcpStream {
     let mut stream = discovery.accept().expect("the node polls discovery").0;
     begin_chunked_response(&mut stream);
     stream
 }
 
-/// The number in the line of `/proc/PID/status` with this key.
+/// The number in the line of `/proc/PID/status` that begins with `key`.
 fn process_status(node: &Program, key: &str) -> u64 {
     let text =
         std::fs::read_to_string(format!("/proc/{}/status", node.child.id())).expect("the process runs");
-    let line = text.lines().find_map(|line| line.strip_prefix(key)).expect("the key exists");
+    let line = text.lines().find_map(|line| line.strip_prefix(key)).expect("the process status has the key");
     line.trim_matches(|character: char| !character.is_ascii_digit()).parse().expect("the value is a number")
 }
 
-/// A node with [`WORKERS`] known workers and little memory, and its discovery.
+/// A node with [`WORKERS`] known workers and small resource limits, and its fake discovery.
 struct LargeListNode {
     program: Program,
     addresses: Vec<SocketAddr>,
@@ -94,12 +95,12 @@
         LargeListNode { program, addresses, discovery, _scratch: scratch }
     }
 
-    /// All entries of the list, with this health.
+    /// The entries of all workers, with this health.
     fn entries(&self, health: &str) -> Vec<String> {
         (0..WORKERS).map(|number| entry(number, &self.addresses, health)).collect()
     }
 
-    /// Sends requests one after the other, all of which must be served.
+    /// Sends requests one after the other. Each must be served.
     fn send_requests(&self, numbers: Range<u64>) {
         for number in numbers {
             let request = TestRequest {
@@ -111,7 +112,8 @@
         }
     }
 
-    /// Sends an update for each entry, every third one indented, and returns the last version.
+    /// Sends one update of the worker list for each entry, every third one indented. Returns the last
+    /// version.
     fn send_updates(&self, watch: &mut TcpStream, mut version: u64, entries: &[String]) -> u64 {
         for entry in entries {
             version += 1;
@@ -122,7 +124,7 @@
         version
     }
 
-    /// Waits until the node skips this many workers.
+    /// Waits until the node counts this many workers as skipped. It must still know all [`WORKERS`].
     fn wait_for_skipped(&self, count: usize) {
         while self.program.metric("node_skipped_executors") != count as u64 {
             thread::yield_now();
@@ -130,6 +132,7 @@
         assert_eq!(self.program.metric("node_known_executors"), WORKERS as u64);
     }
 
+    /// Checks the number of open descriptors and the peak of the resident memory.
     fn check_resources(&self) {
         let process_id = self.program.child.id();
         let descriptors =
@@ -141,8 +144,9 @@
     }
 }
 
-/// The list is known from the start and is sent again indented; then there is an update for each worker, by
-/// which all but one leave and all return. Requests are answered throughout.
+/// The node knows the list from its configuration, and gets it again indented. Then one update for each
+/// worker takes all but one out of service, and another one for each puts all back. Requests must be served
+/// throughout, within 32 MiB of memory and 256 descriptors.
 #[test]
 fn a_node_among_1024_with_1025_workers_keeps_to_32_mb_and_256_descriptors() {
     let node = LargeListNode::start();
@@ -155,7 +159,7 @@
         node.wait_for_skipped(skipped);
         node.send_requests(version..version + 100);
     }
-    // A list with an invalid entry is logged by its key and not applied, and the full list is polled.
+    // A list with an invalid entry is not applied: the node logs the entry's key, and polls the full list.
     let mut invalid = node.entries("terminating");
     invalid[700] = invalid[700].replace("terminating", "asleep");
     send_chunk(&mut watch, &indented(&worker_list(version + 1, true, &invalid)));
@@ -170,16 +174,17 @@
     assert_eq!(faults_logged, 1, "{log}");
 }
 
-/// A node starts with a list of which four in five workers are gone, and discovery sends nothing yet. Each
-/// request is answered at once, served or rejected without a run, until the node has found out which workers
-/// are there; from then on all are served. The current list removes those that are gone.
+/// In the list that a node starts with, 16 of 20 workers no longer exist, and discovery sends nothing at
+/// first. Each request must be answered within a second: served, or rejected without a run. Once failed
+/// connections have shown the node which workers exist, all requests must be served. The current list then
+/// removes the others.
 #[test]
 fn with_an_outdated_known_list_requests_are_answered_and_the_current_list_corrects_it() {
     let workers = FakeWorkers::new(4);
     let (discovery, discovery_address) = open_listener();
-    let gone: Vec<_> = (0..16).map(|_| RefusingPort::new().expect("a port is free")).collect();
+    let removed: Vec<_> = (0..16).map(|_| RefusingPort::new().expect("a port is free")).collect();
     let live = workers.addresses.iter().copied();
-    let known: Vec<SocketAddr> = gone.iter().map(|port| port.address).chain(live).collect();
+    let known: Vec<SocketAddr> = removed.iter().map(|port| port.address).chain(live).collect();
     let entry = |(number, dial): (usize, &SocketAddr)| {
         format!(r#"{{"host":"s-{number}","dial":"{dial}","health":"in_service"}}"#)
     };
@@ -209,17 +214,22 @@
         });
         outcomes.filter(|served| *served).count()
     };
-    let (learning, learned) = (count_served(0..30), count_served(30..60));
+    let (first_served, next_served) = (count_served(0..30), count_served(30..60));
     let failed = node.counter("connect_failed");
-    println!("{learning} of the first 30 served, {learned} of the next, {failed} connections refused");
-    assert!(learning >= 15 && learned == 30, "{learning} of the first 30 served, {learned} of the next");
+    println!(
+        "{first_served} of the first 30 served, {next_served} of the next, {failed} connections refused"
+    );
+    assert!(
+        first_served >= 15 && next_served == 30,
+        "{first_served} of the first 30 served, {next_served} of the next"
+    );
     assert!((1..=64).contains(&failed), "{failed} connections refused");
     send_chunk(&mut watch, &(worker_list(2, true, &entries[16..]) + "\n"));
     node.wait_for_log_line("workers=4");
     assert_eq!(
         (count_served(60..90), node.counter("connect_failed")),
         (30, failed),
-        "nothing is sent to workers that are gone"
+        "the node connects to a worker that the current list removed"
     );
     node.terminate();
 }
--- a/crates/node/tests/members.rs
+++ b/crates/node/tests/members.rs
@@ -1,4 +1,5 @@
-//! Membership of five processes of the program, with a proxy that disturbs their datagrams.
+//! The membership protocol among five processes of the program. Their datagrams pass a proxy that loses,
+//! delays, duplicates, reorders or blocks them.
 
 use sorrelhaven_test_support::{DatagramFaults, FaultProxy, Program, ScratchDir};
 use std::cell::RefCell;
@@ -10,35 +11,36 @@
 use std::time::{Duration, Instant};
 
 const NODE_COUNT: usize = 5;
-/// A state that is not reached within this time fails the test.
+/// A test fails if the expected states are not reached within this time.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(25);
 const ALL_ALIVE: [&str; NODE_COUNT] = ["alive"; NODE_COUNT];
 
-/// Held while a group of processes runs. A test calls its processes without a pause, so that several at a
-/// time take the processors from each other and from the datagrams that are to arrive within a time.
+/// Held while a group of processes runs. Each test polls its processes without a pause, so tests that run at
+/// a time would compete for the processors, and datagrams would miss their time limits.
 static RUNNING: Mutex<()> = Mutex::new(());
 
-/// The processes, each behind its address of the proxy.
+/// Five nodes, which the others reach through one address each of the proxy.
 struct Group {
     proxy: FaultProxy,
     scratch: ScratchDir,
     nodes: Vec<Option<Program>>,
-    /// Where each process listens, behind the proxy.
+    /// The address that each process listens on, to which the proxy forwards.
     listeners: RefCell<BTreeMap<usize, SocketAddr>>,
-    /// Released once the processes have ended.
-    _alone: MutexGuard<'static, ()>,
+    /// The last field: released once the processes have ended.
+    _running_alone: MutexGuard<'static, ()>,
 }
 
 impl Group {
     fn new(name: &str, seed: u64) -> Group {
-        let alone = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
-        let proxy = FaultProxy::with_one_address_each(NODE_COUNT, seed).expect("the proxy has its sockets");
+        let running_alone = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
+        let proxy =
+            FaultProxy::with_one_address_each(NODE_COUNT, seed).expect("the proxy's sockets can be bound");
         let mut group = Group {
             proxy,
             scratch: ScratchDir::new(name),
             nodes: Vec::new(),
             listeners: RefCell::default(),
-            _alone: alone,
+            _running_alone: running_alone,
         };
         group.scratch.write("key", "a key of the tests alone\n");
         for number in 0..NODE_COUNT {
@@ -49,8 +51,8 @@
         group
     }
 
-    /// Starts one node. Its suspicion timeout is longer than the default, so that a busy machine does not
-    /// declare nodes dead.
+    /// Starts one node. Its suspicion timeout is longer than the default, so that a node on a busy machine is
+    /// not declared dead.
     fn start(&self, number: usize) -> Program {
         let address = |to| self.proxy.address(0, to).expect("the proxy has an address");
         let operator = format!(
@@ -71,8 +73,8 @@
         command.env("RELAY_OPS", "127.0.0.1:0");
         command.env("RUST_LOG", "info,sorrelhaven_engine::discovery_watch=error");
         let node = Program::start(command, &platform, Some(&operator));
-        // What it has sent before this registration came from an address that the proxy does not know, and is
-        // lost.
+        // The proxy drops what the node has sent before this, since it does not know the sender's address
+        // yet.
         let listen = listen_address(&node);
         self.proxy.register_listener(number, listen);
         self.listeners.borrow_mut().insert(number, listen);
@@ -83,7 +85,8 @@
         self.nodes[number].as_ref().expect("the program runs")
     }
 
-    /// The state of each node in the member table of `observer`, empty if it has none.
+    /// The state of each node in the member table of `observer`; empty for a node that the table does not
+    /// hold.
     fn states(&self, observer: usize) -> Vec<String> {
         let table = self.node(observer).admin_call("members");
         let state_of = |member| latest_row(&table, member).map_or(String::new(), |row| row.state);
@@ -96,41 +99,41 @@
         latest_row(&table, member).expect("the member is known").incarnation
     }
 
-    /// Waits until `condition` holds, and returns how long it took.
+    /// Waits until `condition` holds, and returns the time that it took. Panics after [`WAIT_TIMEOUT`].
     fn wait_until(&self, what: &str, condition: impl Fn(&Group) -> bool) -> Duration {
         let begun = Instant::now();
         while !condition(self) {
-            assert!(begun.elapsed() < WAIT_TIMEOUT, "not so after {WAIT_TIMEOUT:?}: {what}");
+            assert!(begun.elapsed() < WAIT_TIMEOUT, "not reached within {WAIT_TIMEOUT:?}: {what}");
             thread::yield_now();
         }
         begun.elapsed()
     }
 
-    /// Whether every node sees every node alive.
+    /// Whether the member table of each node has all nodes alive.
     fn sees_all_alive(&self) -> bool {
         (0..NODE_COUNT).all(|observer| self.states(observer) == ALL_ALIVE)
     }
 
-    /// Whether all of `observers` see `member` in this state.
+    /// Whether the member tables of all `observers` have `member` in this state.
     fn all_see(&self, observers: &[usize], member: usize, state: &str) -> bool {
         observers.iter().all(|&observer| self.states(observer)[member] == state)
     }
 
-    /// How many members a node has declared dead.
-    fn declared_dead(&self, number: usize) -> u64 {
+    /// How often the other members have declared a node dead, so that it rejoined as its next incarnation.
+    fn times_declared_dead(&self, number: usize) -> u64 {
         self.node(number).metric("node_member_declared_dead")
     }
 }
 
-/// Where the membership of a node listens, by its log.
+/// The address of a node's membership socket, from its log.
 fn listen_address(node: &Program) -> SocketAddr {
     let is_membership = |line: &&String| line.contains(" membership ");
-    let line = node.startup_log().iter().find(is_membership).expect("the node logs where it listens");
+    let line = node.startup_log().iter().find(is_membership).expect("the node logs its membership address");
     let address = line.split_whitespace().find_map(|field| field.strip_prefix("listen="));
     address.and_then(|address| address.parse().ok()).expect("the field is an address")
 }
 
-/// A row of a member table.
+/// A row of the table that the admin call `members` returns.
 struct MemberRow {
     incarnation: u64,
     state: String,
@@ -150,8 +153,8 @@
     rows.max_by_key(|row| row.incarnation)
 }
 
-/// A killed node is dead at all others, and its stale incarnation does not return; restarted, it is a new
-/// incarnation.
+/// All others must declare a killed node dead. After its restart they must have it alive under a higher
+/// incarnation, not under the old one. No other node may be declared dead.
 #[test]
 fn a_killed_node_is_dead_at_all_others_and_a_new_incarnation_after_a_restart() {
     let mut group = Group::new("killed", 1);
@@ -162,14 +165,21 @@
     let restarted = group.start(4);
     group.nodes[4] = Some(restarted);
     group.wait_until("n4 is alive", |group| group.all_see(&[0, 1, 2, 3, 4], 4, "alive"));
-    assert!((0..4).all(|observer| group.incarnation(observer, 4) > incarnation), "a new incarnation");
-    assert!((0..4).all(|observer| group.declared_dead(observer) == 0), "no other node was declared dead");
+    assert!(
+        (0..4).all(|observer| group.incarnation(observer, 4) > incarnation),
+        "n4 has a higher incarnation after its restart"
+    );
+    assert!(
+        (0..4).all(|observer| group.times_declared_dead(observer) == 0),
+        "no other node was declared dead"
+    );
 }
 
-/// A node that is paused for a probe period or two is not declared dead, and declares no other dead.
+/// A node that is paused for one or two probe periods (SIGSTOP) must neither be declared dead nor declare
+/// another node dead.
 #[test]
 fn a_short_pause_declares_no_node_dead() {
-    let group = Group::new("nap", 7);
+    let group = Group::new("short-pause", 7);
     let probes = |group: &Group| group.node(0).metric("node_member_probes");
     for _ in 0..3 {
         let from = probes(&group);
@@ -178,27 +188,28 @@
         group.node(2).signal("CONT");
         group.wait_until("ten more probes", |group| probes(group) >= from + 12);
     }
-    assert_eq!((0..NODE_COUNT).map(|number| group.declared_dead(number)).sum::<u64>(), 0);
+    assert_eq!((0..NODE_COUNT).map(|number| group.times_declared_dead(number)).sum::<u64>(), 0);
     group.wait_until("all nodes see all alive", Group::sees_all_alive);
 }
 
-/// A node that is paused for longer than the suspicion timeout is dead at the others; it resumes, and does
-/// not declare them dead.
+/// The others declare a node dead that is paused for longer than the suspicion timeout. After it resumes it
+/// must rejoin, and must not declare the others dead, although it has not heard from them during the pause.
 #[test]
 fn a_long_paused_node_returns_as_a_new_incarnation_and_declares_no_other_dead() {
-    let group = Group::new("sleeper", 2);
+    let group = Group::new("long-pause", 2);
     group.node(2).signal("STOP");
     group.wait_until("n2 is dead", |group| group.all_see(&[0, 1, 3, 4], 2, "dead"));
     group.node(2).signal("CONT");
     group.wait_until("all nodes see all alive", Group::sees_all_alive);
-    assert!([0, 1, 3, 4].iter().all(|&observer| group.declared_dead(observer) == 0));
+    assert!([0, 1, 3, 4].iter().all(|&observer| group.times_declared_dead(observer) == 0));
     assert!(group.node(2).metric("node_member_pauses") > 0);
 }
 
-/// A partition of two nodes from three heals, while datagrams are lost, delayed, duplicated and reordered.
+/// After a partition of two nodes from three ends, all nodes must see each other alive again, although
+/// datagrams are lost, delayed, duplicated and reordered.
 #[test]
 fn a_partition_of_two_from_three_heals_under_losses() {
-    let group = Group::new("parted", 3);
+    let group = Group::new("partition", 3);
     group.proxy.partition(&[0, 1]);
     group.wait_until("each side sees the other dead", |group| {
         group.all_see(&[0, 1], 3, "dead") && group.all_see(&[2, 3, 4], 0, "dead")
@@ -219,7 +230,7 @@
     });
 }
 
-/// A node that ends with SIGTERM has left, and is not dead.
+/// A node that is terminated with SIGTERM must be in state `left` at the others, not `dead`.
 #[test]
 fn a_terminated_node_has_left() {
     let mut group = Group::new("leaves", 4);
@@ -227,8 +238,8 @@
     group.wait_until("n3 has left", |group| group.all_see(&[0, 1, 2, 4], 3, "left"));
 }
 
-/// A fifth of all datagrams is lost, then two fifths of what one node sends, then one direction is blocked.
-/// Indirect probes keep all alive.
+/// The proxy loses a fifth of all datagrams, then two fifths of those that node 2 sends, then all from node 0
+/// to node 1. No node may be declared dead, since indirect probes arrive.
 #[test]
 fn losses_and_a_blocked_direction_declare_no_node_dead() {
     let group = Group::new("losses", 5);
@@ -248,7 +259,7 @@
         let from = probes(&group);
         group.wait_until("probes go on", |group| probes(group) > from + 12 * NODE_COUNT as u64);
         assert_eq!(
-            (0..NODE_COUNT).map(|number| group.declared_dead(number)).sum::<u64>(),
+            (0..NODE_COUNT).map(|number| group.times_declared_dead(number)).sum::<u64>(),
             0,
             "stage {stage}"
         );
@@ -257,13 +268,14 @@
     group.wait_until("all nodes see all alive", Group::sees_all_alive);
 }
 
-/// Datagrams that are unauthenticated, truncated or too long are counted and dropped, and the node goes on.
+/// Datagrams that are unauthenticated, truncated or too long must be counted and dropped, and must not change
+/// the member tables.
 #[test]
 fn unauthenticated_truncated_and_oversized_datagrams_are_counted_and_dropped() {
     let group = Group::new("forged", 6);
     let stranger = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
     let before = group.node(0).metric("node_member_dropped");
-    let to = *group.listeners.borrow().get(&0).expect("the node accepts");
+    let to = *group.listeners.borrow().get(&0).expect("the node has a registered listener");
     let sizes = [0, 1, 32, 33, 34, 100, 1_392, 1_393, 9_000];
     for size in sizes {
         stranger.send_to(&vec![1; size], to).expect("the datagram is sent");
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -1,7 +1,8 @@
-//! Real processes under faults that overlap; `crates/soak` describes what is drawn and what is checked.
+//! Runs processes of the program under randomly drawn faults that overlap. `crates/soak` describes which
+//! faults are drawn and which rules are checked.
 //!
-//! `SORRELHAVEN_SOAK=from..to` runs these seeds at the large size; without it two fixed seeds run at the
-//! small one.
+//! `SORRELHAVEN_SOAK=from..to` runs these seeds at the large size. Without it two fixed seeds run at the
+//! small size.
 
 use sorrelhaven_soak::{Plan, Size, run};
 use std::path::Path;
@@ -14,7 +15,7 @@
     let (seeds, size): (Vec<u64>, Size) = match &requested_seeds {
         None => (FIXED_SEEDS.to_vec(), Size::SHORT),
         Some(text) => {
-            let (from, to) = text.split_once("..").expect("from..to");
+            let (from, to) = text.split_once("..").expect("SORRELHAVEN_SOAK has the form from..to");
             (
                 (from.parse().expect("a seed is a number")..to.parse().expect("a seed is a number"))
                     .collect(),
@@ -31,11 +32,17 @@
             "seed {seed}: {} sent, {} served, {} processes, {} faults injected, {violations} rules violated",
             verdict.requested, verdict.served, verdict.processes, verdict.injected_faults
         );
-        assert!(verdict.served * 4 > verdict.requested, "too little is served to prove anything");
+        assert!(
+            verdict.served * 4 > verdict.requested,
+            "a quarter of the requests or less was served: the checks prove too little"
+        );
         if violations > 0 {
             println!("{plan}{}", verdict.violations.join("\n"));
             failed.push(seed);
         }
     }
-    assert_eq!(failed, [0; 0], "replay one seed with SORRELHAVEN_SOAK=SEED..SEED+1, or as here without it");
+    assert_eq!(
+        failed, [0; 0],
+        "rules were violated; replay a seed with SORRELHAVEN_SOAK=SEED..SEED+1, or the fixed ones without it"
+    );
 }
--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! Upgrades: two processes of the program on one inherited listening socket.
+//! Upgrades: an old and a new process of the program accept from one inherited listening socket.
 
 use sorrelhaven_test_support::{
     AT_MOST_ONCE_CLASS, Checker, FakeWorkers, Program, ScratchDir, TestRequest, WorkerBehavior,
@@ -14,7 +14,8 @@
 
 const CLIENT_COUNT: usize = 12;
 
-/// What outlives the processes: the listening socket, the workers, the configuration and the temporary files.
+/// The parts that stay while processes are replaced: the listening socket, the workers, the configuration and
+/// the temporary files.
 struct Platform {
     listener: TcpListener,
     address: SocketAddr,
@@ -32,16 +33,18 @@
         Platform { listener, address, workers, scratch, config }
     }
 
-    /// The command of a process that inherits the socket as descriptor 5.
+    /// The command that starts a process with the listening socket as descriptor 5, named by `RELAY_FD`.
     fn command(&self) -> Command {
         let mut command = Command::new("sh");
         command.args(["-c", "exec \"$0\" 5<&0 0</dev/null", env!("CARGO_BIN_EXE_sorrelhaven")]);
-        command.stdin(Stdio::from(OwnedFd::from(self.listener.try_clone().expect("a descriptor"))));
+        command.stdin(Stdio::from(OwnedFd::from(
+            self.listener.try_clone().expect("the listening socket can be duplicated"),
+        )));
         command.env("RELAY_FD", "5").env("RELAY_OPS", "127.0.0.1:0").env("TMPDIR", self.scratch.root());
         command
     }
 
-    /// Starts a process, and checks that it is ready.
+    /// Starts a process and checks that it reports itself ready.
     fn start(&self) -> Program {
         let program = Program::start(self.command(), &self.config, None);
         assert_eq!(program.admin_call("ready"), "SUCCESS serving\n");
@@ -49,10 +52,11 @@
     }
 }
 
-/// What a client does with a request whose connection ended without an answer.
+/// What a client does when its connection ends before the answer to its request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum OnLostAnswer {
-    /// Sends it once more on a new connection, as clients do whose connection was closed between requests.
+    /// Sends the request once more on a new connection, as clients do when an idle connection was closed just
+    /// as they sent.
     SendAgain,
     GiveUp,
 }
@@ -61,17 +65,17 @@
 struct LoadTotals {
     requested: usize,
     served: usize,
-    /// Requests that were sent on a second connection.
+    /// Requests that were sent once more, on a second connection.
     sent_again: u64,
 }
 
-/// Clients that send at-most-once requests without a pause, each on a connection that it keeps.
+/// [`CLIENT_COUNT`] clients that send at-most-once requests without a pause, each on a persistent connection.
 struct Load {
     shared: Arc<LoadState>,
     clients: Vec<JoinHandle<u64>>,
 }
 
-/// What the clients of a load share.
+/// The state that the clients of a load share.
 struct LoadState {
     address: String,
     on_lost_answer: OnLostAnswer,
@@ -82,12 +86,12 @@
 
 impl LoadState {
     fn connect(&self) -> TcpStream {
-        let stream = TcpStream::connect(&self.address).expect("no connection is refused");
-        stream.set_nodelay(true).expect("the socket can be set up");
+        let stream = TcpStream::connect(&self.address).expect("the connection is not refused");
+        stream.set_nodelay(true).expect("the socket option can be set");
         stream
     }
 
-    /// Sends requests until the load ends, and returns how many were sent again.
+    /// Sends requests until the load stops. Returns the number of requests that were sent again.
     fn run_client(&self, client: usize) -> u64 {
         let mut stream = self.connect();
         let mut sent_again = 0;
@@ -114,7 +118,7 @@
                 self.answered.fetch_add(1, Ordering::Relaxed);
             } else {
                 let gave_up = self.on_lost_answer == OnLostAnswer::GiveUp;
-                assert!(gave_up, "{id} was left without an answer on two connections");
+                assert!(gave_up, "{id} got no answer on either of two connections");
             }
         }
         sent_again
@@ -139,27 +143,35 @@
         Load { shared, clients }
     }
 
-    /// Waits for this many more answers.
+    /// Waits until the clients have received `count` more answers.
     fn wait_for_answers(&self, count: u64) {
         let answered = &self.shared.answered;
         let target = answered.load(Ordering::Relaxed) + count;
         while answered.load(Ordering::Relaxed) < target {
-            assert!(self.clients.iter().all(|client| !client.is_finished()), "a client has ended");
+            assert!(
+                self.clients.iter().all(|client| !client.is_finished()),
+                "a client thread has ended before the load was stopped"
+            );
             thread::yield_now();
         }
     }
 
-    /// Ends the load. No delivery rule may have been violated.
+    /// Stops the clients. Checks that the requests violate no rule of the checker.
     fn stop(self, workers: &FakeWorkers) -> LoadTotals {
         self.shared.stop.store(true, Ordering::Relaxed);
-        let sent_again = self.clients.into_iter().map(|client| client.join().expect("the client ends")).sum();
+        let sent_again = self
+            .clients
+            .into_iter()
+            .map(|client| client.join().expect("the client thread does not panic"))
+            .sum();
         assert_eq!(self.shared.checker.violations(&workers.executed_requests()), [""; 0]);
         let totals = self.shared.checker.totals();
         LoadTotals { requested: totals.requested, served: totals.served, sent_again }
     }
 }
 
-/// Requests go on while processes overlap, each is answered once and runs once, and no connection is refused.
+/// While a new process starts and the old one shuts down, three times in a row, each request must be answered
+/// once and run once, and no connection may be refused.
 #[test]
 fn three_upgrades_in_a_row_lose_no_request() {
     let platform = Platform::new("upgrades");
@@ -172,7 +184,7 @@
         let log = old.terminate();
         assert!(
             log.contains("in_progress=0"),
-            "the process ends once all admitted requests are answered: {log}"
+            "the old process ended with admitted requests unanswered: {log}"
         );
         old = new;
         load.wait_for_answers(200);
@@ -180,16 +192,18 @@
     assert!(old.metric("node_passed") > 0);
     let totals = load.stop(&platform.workers);
     assert_eq!(totals.requested, totals.served, "each request was served");
-    // A close can cross a request only on an idle connection, and these are never idle for long.
+    // A client sends again only if the node closed an idle connection just as the client sent on it. The
+    // connections are never idle for long, so this is rare.
     let LoadTotals { requested, sent_again, .. } = totals;
     assert!(sent_again <= 3, "{sent_again} of {requested} were sent again");
     old.terminate();
 }
 
-/// A new process that fails or is killed before it is ready costs no request.
+/// If the new process fails to start, since its admin address is in use, or is killed before it is ready, the
+/// old one must serve all requests.
 #[test]
-fn a_new_process_that_ends_before_it_is_ready_costs_no_request() {
-    let platform = Platform::new("stillborn");
+fn a_new_process_that_ends_before_it_is_ready_loses_no_request() {
+    let platform = Platform::new("failed-start");
     let old = platform.start();
     let load = Load::start(&platform, OnLostAnswer::SendAgain);
     load.wait_for_answers(100);
@@ -214,8 +228,9 @@
     old.terminate();
 }
 
-/// The old process is killed: its requests in progress end with their connections, and the new process serves
-/// the rest.
+/// When the old process is killed, only its requests in progress may be lost with their connections, at most
+/// two for each client. The new process must serve all others, also those whose connections wait in the
+/// shared accept queue.
 #[test]
 fn after_the_old_process_is_killed_the_new_one_serves_the_accept_queue() {
     let platform = Platform::new("killed");
@@ -233,7 +248,8 @@
     new.terminate();
 }
 
-/// The limit on descriptors holds for both processes together, also under many silent clients.
+/// The limit on descriptors must hold for both processes together, also with hundreds of clients that send
+/// nothing.
 #[test]
 fn two_processes_together_keep_to_the_descriptors_of_one() {
     const LIMIT: usize = 160;
@@ -250,20 +266,27 @@
         (0..count).map(|_| TcpStream::connect(address).expect("the connection is queued")).collect()
     };
     let mut clients = connect_silent(200);
-    // An answer proves that the connections before this one were accepted, or evicted.
+    // Connections are accepted in order: after this answer the earlier ones have been accepted or evicted.
     let served = TestRequest::new("after", AT_MOST_ONCE_CLASS, b"body".to_vec())
         .send(&address.to_string())
         .expect("the request is answered");
     assert_eq!(served.status, 200);
-    assert!(descriptors(&old) > LIMIT / 2, "a single process uses the whole limit: {}", descriptors(&old));
+    assert!(
+        descriptors(&old) > LIMIT / 2,
+        "a single process may use the whole limit, but uses {}",
+        descriptors(&old)
+    );
     let new = platform.start();
     old.wait_for_log_line("process count changed");
     for round in 0..6 {
         clients.extend(connect_silent(50));
-        let request = TestRequest::new(&format!("beside-{round}"), AT_MOST_ONCE_CLASS, b"body".to_vec());
+        let request = TestRequest::new(&format!("overlap-{round}"), AT_MOST_ONCE_CLASS, b"body".to_vec());
         assert_eq!(request.send(&address.to_string()).expect("the request is answered").status, 200);
-        let (of_old, of_new) = (descriptors(&old), descriptors(&new));
-        assert!(of_old + of_new <= LIMIT, "round {round}: {of_old} and {of_new} of {LIMIT}");
+        let (old_count, new_count) = (descriptors(&old), descriptors(&new));
+        assert!(
+            old_count + new_count <= LIMIT,
+            "round {round}: {old_count} and {new_count} descriptors of {LIMIT}"
+        );
     }
     drop(clients);
     old.terminate();
