--- a/crates/node/src/body_directory.rs
+++ b/crates/node/src/body_directory.rs
@@ -48,9 +48,9 @@
 /// Those of [`open`], and a failure to list the directory or to delete a file.
 pub fn open_as_disk(config: &Config) -> Result<Option<Arc<dyn Disk>>, BodyDirectoryError> {
     let Some(directory) = open(config)? else { return Ok(None) };
-    let swept = directory.sweep().map_err(BodyDirectoryError::Sweep)?;
+    let swept = directory.delete_leftover_files().map_err(BodyDirectoryError::Sweep)?;
     info!(swept, "body directory opened");
-    if directory.is_full() {
+    if directory.was_full_at_open() {
         warn!("{DIRECTORY_KEY}: the file system is full; bodies are stored in files once there is room");
     }
     Ok(Some(Arc::new(directory)))
