--- a/crates/node/src/body_directory.rs
+++ b/crates/node/src/body_directory.rs
@@ -15,14 +15,14 @@
     /// The directory cannot be opened, or the test write in it failed.
     Open(DirectoryError),
     /// Files of an earlier process cannot be listed or deleted.
-    Sweep(io::Error),
+    DeleteLeftoverFiles(io::Error),
 }
 
 impl fmt::Display for BodyDirectoryError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             BodyDirectoryError::Open(error) => write!(formatter, "{DIRECTORY_KEY}: {error}"),
-            BodyDirectoryError::Sweep(error) => {
+            BodyDirectoryError::DeleteLeftoverFiles(error) => {
                 write!(formatter, "{DIRECTORY_KEY}: it can't be listed: {error}")
             }
         }
@@ -48,7 +48,7 @@
 /// Those of [`open`], and a failure to list the directory or to delete a file.
 pub fn open_as_disk(config: &Config) -> Result<Option<Arc<dyn Disk>>, BodyDirectoryError> {
     let Some(directory) = open(config)? else { return Ok(None) };
-    let swept = directory.delete_leftover_files().map_err(BodyDirectoryError::Sweep)?;
+    let swept = directory.delete_leftover_files().map_err(BodyDirectoryError::DeleteLeftoverFiles)?;
     info!(swept, "body directory opened");
     if directory.was_full_at_open() {
         warn!("{DIRECTORY_KEY}: the file system is full; bodies are stored in files once there is room");
