--- a/crates/node/tests/bodies/retries.rs
+++ b/crates/node/tests/bodies/retries.rs
@@ -36,9 +36,13 @@
     assert_eq!(
         (node.counter("body_in_file"), node.counter("file_bytes")),
         (2, 0),
-        "the files are freed when their requests are concluded"
+        "a body was not stored in a file, or its file was not freed"
+    );
+    assert_eq!(
+        installation.scratch.file_names("spool"),
+        [""; 0],
+        "a body file still has a name in the directory"
     );
-    assert_eq!(installation.scratch.file_names("spool"), [""; 0], "an open body file must have no name");
 }
 
 /// A `fee-charge` request whose body is not stored, with each way in which a worker can end an attempt. There
--- a/crates/node/tests/bodies/spool_directory.rs
+++ b/crates/node/tests/bodies/spool_directory.rs
@@ -111,6 +111,6 @@
     assert_eq!(
         (response.status, running.counter("body_in_file")),
         (200, 1),
-        "the node no longer uses the old directory"
+        "the node does not store the body in the old directory"
     );
 }
--- a/crates/node/tests/crash.rs
+++ b/crates/node/tests/crash.rs
@@ -101,7 +101,11 @@
         let command = Command::new(env!("CARGO_BIN_EXE_sorrelhaven"));
         let mut node = Program::start(command, &config, Some(&operator));
         let files = scratch.file_names("spool");
-        assert_eq!(files, [OTHER_NODES_FILE], "a start removes the node's own files and no others");
+        assert_eq!(
+            files,
+            [OTHER_NODES_FILE],
+            "the start left a file of this node, or removed one of another node"
+        );
         files_removed += node.leftovers_removed();
         let stop = Arc::new(AtomicBool::new(false));
         let running = clients.spawn(&node.address, &stop);
--- a/crates/node/tests/faults.rs
+++ b/crates/node/tests/faults.rs
@@ -210,6 +210,6 @@
     assert_eq!(
         log.matches(" admitted=").count(),
         4,
-        "the counters are printed for each of three SIGUSR1 and once before the exit: {log}"
+        "the counters were not printed once for each of three SIGUSR1 and once before the exit: {log}"
     );
 }
--- a/crates/node/tests/large_fleet.rs
+++ b/crates/node/tests/large_fleet.rs
@@ -146,8 +146,8 @@
     counters: String,
 }
 
-/// Held during each measurement. Two nodes under load at a time would compete for processor time, which would
-/// change the baseline and the values that are compared with it.
+/// Held during each measurement. Two nodes under load at the same time would compete for processor time,
+/// which would change the baseline and the values that are compared with it.
 static MEASURING: Mutex<()> = Mutex::new(());
 
 /// Sends requests to a node for [`LOAD_DURATION`]. From [`FAULT_START`] to [`FAULT_END`] most workers hang,
@@ -270,7 +270,7 @@
     assert_eq!(
         requests.lost.load(Ordering::Relaxed),
         0,
-        "no answer in time on a share of {share:.3}: {measured:?}"
+        "requests were not answered in time on a share of {share:.3}: {measured:?}"
     );
     assert_eq!(
         requests.answered.load(Ordering::Relaxed),
--- a/crates/node/tests/large_lists.rs
+++ b/crates/node/tests/large_lists.rs
@@ -137,10 +137,10 @@
         let process_id = self.program.child.id();
         let descriptors =
             std::fs::read_dir(format!("/proc/{process_id}/fd")).expect("the process runs").count();
-        assert!(descriptors < DESCRIPTOR_LIMIT, "{descriptors} descriptors");
+        assert!(descriptors < DESCRIPTOR_LIMIT, "{descriptors} descriptors are open");
         let peak_kib = process_status(&self.program, "VmHWM:");
         println!("{peak_kib} KiB at most, {descriptors} descriptors");
-        assert!(peak_kib < MEMORY_LIMIT_KIB, "{peak_kib} KiB");
+        assert!(peak_kib < MEMORY_LIMIT_KIB, "{peak_kib} KiB of resident memory");
     }
 }
 
@@ -229,7 +229,7 @@
     assert_eq!(
         (count_served(60..90), node.counter("connect_failed")),
         (30, failed),
-        "the node connects to a worker that the current list removed"
+        "a request was not served, or the node connected to a worker that the current list removed"
     );
     node.terminate();
 }
--- a/crates/node/tests/members.rs
+++ b/crates/node/tests/members.rs
@@ -16,10 +16,10 @@
 const ALL_ALIVE: [&str; NODE_COUNT] = ["alive"; NODE_COUNT];
 
 /// Held while a group of processes runs. Each test polls its processes without a pause, so tests that run at
-/// a time would compete for the processors, and datagrams would miss their time limits.
+/// the same time would compete for the processors, and datagrams would miss their time limits.
 static RUNNING: Mutex<()> = Mutex::new(());
 
-/// Five nodes, which the others reach through one address each of the proxy.
+/// Five nodes. Each one is reached by the others through its own address at the proxy.
 struct Group {
     proxy: FaultProxy,
     scratch: ScratchDir,
@@ -167,11 +167,11 @@
     group.wait_until("n4 is alive", |group| group.all_see(&[0, 1, 2, 3, 4], 4, "alive"));
     assert!(
         (0..4).all(|observer| group.incarnation(observer, 4) > incarnation),
-        "n4 has a higher incarnation after its restart"
+        "n4 has no higher incarnation after its restart"
     );
     assert!(
         (0..4).all(|observer| group.times_declared_dead(observer) == 0),
-        "no other node was declared dead"
+        "another node than n4 was declared dead"
     );
 }
 
--- a/crates/node/tests/operations/admin_calls.rs
+++ b/crates/node/tests/operations/admin_calls.rs
@@ -118,7 +118,7 @@
     assert_eq!(
         read_to_end(&mut unterminated),
         "SUCCESS serving\n",
-        "a caller that closes its sending side ends the line"
+        "a half-closed connection did not end the line"
     );
     let unread: Vec<TcpStream> = (0..40)
         .map(|_| {
--- a/crates/node/tests/operations/drain.rs
+++ b/crates/node/tests/operations/drain.rs
@@ -21,7 +21,7 @@
 }
 
 /// During a drain the node must answer requests that have begun and close their connections, close idle
-/// connections within 1 to 2 s, and let a long job go on. `resume` must take effect at once.
+/// connections after 1 to 2 s, and let a long job go on. `resume` must take effect at once.
 #[test]
 fn a_drain_closes_every_client_connection_and_resume_accepts_again() {
     let workers = FakeWorkers::new(1);
@@ -46,7 +46,7 @@
     assert_eq!(node.admin_call("drain"), "SUCCESS drained\n");
     assert_eq!(node.admin_call("ready"), "FAILURE drained\n");
     assert_eq!(node.admin_call("drain"), "SUCCESS drained already\n");
-    assert!(probe_ready(&node).starts_with("HTTP/1.1 503 "), "the probe fails at once");
+    assert!(probe_ready(&node).starts_with("HTTP/1.1 503 "), "the readiness probe does not fail at once");
     // Until the load balancer's next probe has failed, clients still connect. They are served, and their
     // connections closed.
     let mut late = connect(&node);
@@ -67,7 +67,7 @@
         idle_closed_after >= Duration::from_secs(1) && idle_closed_after < Duration::from_secs(2),
         "{idle_closed_after:?}"
     );
-    assert_eq!(node.metric("node_in_progress"), 1, "the long job goes on");
+    assert_eq!(node.metric("node_in_progress"), 1, "the drain ended the long job");
 
     assert_eq!(node.admin_call("resume"), "SUCCESS serving\n");
     assert!(probe_ready(&node).starts_with("HTTP/1.1 200 "));
--- a/crates/node/tests/program/configuration.rs
+++ b/crates/node/tests/program/configuration.rs
@@ -55,7 +55,7 @@
     // The new discovery may number its versions differently, so the node polls it for the full list.
     let (mut moved, _) = new_discovery.accept().expect("the node polls the new discovery");
     assert!(read_until(&mut moved, "\r\n\r\n").starts_with("GET /registry/instances HTTP/1.1\r\n"));
-    assert_eq!(read_until(&mut watch, "never"), "", "the node closes the old watch");
+    assert_eq!(read_until(&mut watch, "never"), "", "the node sent more on the old watch");
 
     let head = CHUNKED_RESPONSE_HEAD.replace("OK", "OK\r\nConnection: close");
     let done = head + &line_chunk(r#"{"id":"q-1","state":"done","result":"fine"}"#) + "0\r\n\r\n";
--- a/crates/node/tests/program/requests.rs
+++ b/crates/node/tests/program/requests.rs
@@ -38,7 +38,7 @@
     node.program.wait_for_log_line("shutdown requested");
     idle.write_all(b"GET /nowhere HTTP/1.1\r\n\r\n").expect("an idle connection still serves");
     assert!(read_until(&mut idle, "\r\n\r\n").starts_with("HTTP/1.1 404 "));
-    assert_eq!(read_until(&mut idle, "never"), "", "the node closes the idle connection");
+    assert_eq!(read_until(&mut idle, "never"), "", "the node sent more on the idle connection");
     let done = line_chunk(r#"{"id":"q-1","state":"done","result":"fine"}"#);
     job.write_all((done + "0\r\n\r\n").as_bytes()).expect("the node reads the bytes");
     let answer = read_until(&mut client, "\r\n\r\nfine");
@@ -89,7 +89,11 @@
     let (mut job, _) = listener.accept().expect("the job is sent");
     read_until(&mut job, "body");
     drop(client);
-    assert_eq!(read_until(&mut job, "never"), "", "the node closes the connection to the worker");
+    assert_eq!(
+        read_until(&mut job, "never"),
+        "",
+        "the node sent more to the worker after the client's disconnect"
+    );
     node.program.signal("USR1");
     let counters = node.program.wait_for_log_line("admitted=");
     assert!(counters.contains("client_gone=1") && counters.contains("cancelled=1"), "{counters}");
--- a/crates/node/tests/races/client_disconnect.rs
+++ b/crates/node/tests/races/client_disconnect.rs
@@ -80,7 +80,11 @@
         let (_, mut connection) = first_request(&worker);
         send_unsolicited_bytes(&mut client);
         disconnect(&mut node, client, kind, 0);
-        assert_eq!(next_request(&mut connection), None, "the node closes the connection to the worker");
+        assert_eq!(
+            next_request(&mut connection),
+            None,
+            "the node sent another request instead of closing the connection"
+        );
         assert_eq!((node.counter("cancelled"), node.counter("client_gone_waiting")), (1, 0));
     }
 }
--- a/crates/node/tests/races/shutdown.rs
+++ b/crates/node/tests/races/shutdown.rs
@@ -116,7 +116,10 @@
     // The node closes the idle connection, and a request that is sent at that moment reaches a closed
     // connection.
     let mut end = [0];
-    assert!(matches!(idle_client.read(&mut end), Ok(0) | Err(_)), "the node closes the idle connection");
+    assert!(
+        matches!(idle_client.read(&mut end), Ok(0) | Err(_)),
+        "the node sent a byte instead of closing the idle connection"
+    );
     let _ = send(&mut idle_client, "five");
     let counters = node.wait_for_log_line("admitted=");
     assert!(counters.contains("admitted=3 served=3 ") && counters.contains("attempts=3 "), "{counters}");
--- a/crates/node/tests/races/worker_changes.rs
+++ b/crates/node/tests/races/worker_changes.rs
@@ -21,7 +21,7 @@
     wait_for_counter(&mut node, "worker_lists", 1);
     let worker = stalled.release().expect("the accept queue can be emptied");
     let mut connection = accept(&worker);
-    assert_eq!(next_request(&mut connection), None, "the node closes the connection without a request");
+    assert_eq!(next_request(&mut connection), None, "the node sent a request to the draining worker");
     // The request has not run, and there is no other worker, so it is rejected.
     assert_eq!(read_response(&mut client).status, 503);
     assert_eq!((node.counter("connect_failed"), node.counter("requests_sent")), (1, 0));
@@ -48,7 +48,10 @@
     reset_connection(connection);
     wait_for_counter(&mut node, "upstream_connections", 2);
     let response = TestResponse::read(&mut client, begun).expect("the request is answered");
-    assert_eq!(response.status, 503, "the client may retry, since every worker drops the retry");
+    assert_eq!(
+        response.status, 503,
+        "the client was not told that it may retry, although every worker drops a retry"
+    );
     assert!(response.elapsed < Duration::from_secs(5), "{:?}", response.elapsed);
     let worker = stalled.release().expect("the accept queue can be emptied");
     let _client = send_request(&node, "stays", "safe", 30_000);
--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -191,7 +191,7 @@
     }
     assert!(old.metric("node_passed") > 0);
     let totals = load.stop(&platform.workers);
-    assert_eq!(totals.requested, totals.served, "each request was served");
+    assert_eq!(totals.requested, totals.served, "a request was not served");
     // A client sends again only if the node closed an idle connection just as the client sent on it. The
     // connections are never idle for long, so this is rare.
     let LoadTotals { requested, sent_again, .. } = totals;
