--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -62,7 +62,7 @@
     }
 
     fn has_connections_or_requests(&self) -> bool {
-        self.frontend.open_connections() > 0 || self.engine.dispatcher_loop.registered_requests() > 0
+        self.frontend.open_connection_count() > 0 || self.engine.dispatcher_loop.registered_requests() > 0
     }
 
     /// Waits until the node has to stop accepting connections. Clients still connect for a while after the
