--- a/crates/membership/examples/table.rs
+++ b/crates/membership/examples/table.rs
@@ -1,5 +1,5 @@
-//! Prints the table of `docs/membership.md`: detection times, false deaths and traffic by number of members
-//! and faults.
+//! Prints the table of `docs/membership.md`: detection times, false deaths and traffic for clusters of the
+//! given numbers of members, without and with faults.
 //!
 //!     cargo run --release -p sorrelhaven-membership --example table -- 5 50 300
 //!
@@ -11,14 +11,16 @@
 use sorrelhaven_membership::{MemberState, Micros};
 use std::fmt::Write;
 
-const DEATHS: usize = 5;
+/// Members that are killed in each measured cluster, at most.
+const MAX_DEATHS: usize = 5;
 
-/// A condition under which false deaths and traffic are measured.
+/// The faults of the network and the processes during a measurement.
 #[derive(Clone, Copy)]
 struct Condition {
     name: &'static str,
-    /// The share of datagrams that are lost.
+    /// The probability that a datagram is lost.
     loss: f64,
+    /// Whether one member at a time is paused for 0.9 s of each second.
     has_pauses: bool,
 }
 
@@ -29,16 +31,18 @@
     Condition { name: "pauses of 0.9 s", loss: 0.0, has_pauses: true },
 ];
 
-/// What was measured under a condition.
+/// False deaths and traffic of a cluster in which no member is killed.
 struct SteadyState {
+    /// How often a live member was declared dead.
     false_deaths: u64,
     member_hours: f64,
     bytes_per_member_second: f64,
 }
 
-/// How long each survivor took to know of each death, in milliseconds, sorted.
+/// The time from each death until each surviving member knew of it.
 struct DetectionTimes {
     members: usize,
+    /// In milliseconds, ascending.
     sorted_ms: Vec<Micros>,
 }
 
@@ -48,11 +52,12 @@
     cluster
 }
 
-/// For each of some deaths and each survivor: after how long it knew.
+/// Kills up to [`MAX_DEATHS`] members one after another, and measures how long each surviving member takes to
+/// consider them dead. One that takes more than 20 s is not counted.
 fn measure_detection(count: usize) -> DetectionTimes {
     let mut cluster = converged_cluster(count);
     let mut times = Vec::new();
-    for dead in (0..count).rev().take(DEATHS.min(count - 2)) {
+    for dead in (0..count).rev().take(MAX_DEATHS.min(count - 2)) {
         cluster.kill(dead);
         let killed_at = cluster.now;
         let mut unaware: Vec<usize> = cluster.running().collect();
@@ -69,7 +74,7 @@
     DetectionTimes { members: count, sorted_ms: times }
 }
 
-/// Counts members that are alive and declared dead, and the traffic.
+/// Counts the live members that are declared dead, and measures the traffic.
 fn measure_steady_state(count: usize, condition: Condition) -> SteadyState {
     let mut cluster = converged_cluster(count);
     cluster.loss = Box::new(move |_, _| condition.loss);
@@ -92,17 +97,18 @@
     }
 }
 
-/// Horizontal position in the plot.
+/// The horizontal position in the plot of a time since a death.
 fn plot_x(milliseconds: f64) -> f64 {
     50.0 + milliseconds * 0.14
 }
 
-/// Vertical position in the plot.
+/// The vertical position in the plot of a share of members.
 fn plot_y(share: f64) -> f64 {
     290.0 - share * 250.0
 }
 
-/// The share of members that know of a death by the time since, a line for each number of members.
+/// Plots, as SVG, the share of members that know of a death by the time since the death, with one line per
+/// cluster size.
 fn plot(measured: &[DetectionTimes]) -> String {
     let mut svg = String::from(concat!(
         "<svg xmlns=\"http://www.w3.org/2000/svg\" viewBox=\"0 0 640 330\" font-family=\"sans-serif\" font-size=\"12\">\n",
@@ -149,12 +155,15 @@
     );
 }
 
-/// Measures all conditions for one number of members, at the same time: each run is a cluster of its own.
+/// Measures detection times and all conditions for one cluster size, in parallel threads with a cluster each.
 fn measure(count: usize) -> (DetectionTimes, [SteadyState; CONDITIONS.len()]) {
     std::thread::scope(|scope| {
         let times = scope.spawn(move || measure_detection(count));
         let runs = CONDITIONS.map(|condition| scope.spawn(move || measure_steady_state(count, condition)));
-        (times.join().expect("a run"), runs.map(|run| run.join().expect("a run")))
+        (
+            times.join().expect("a measurement panicked"),
+            runs.map(|run| run.join().expect("a measurement panicked")),
+        )
     })
 }
 
@@ -185,6 +194,6 @@
         measured.push(times);
     }
     if let Some(path) = std::env::var_os("SVG") {
-        std::fs::write(path, plot(&measured)).expect("the plot is written");
+        std::fs::write(path, plot(&measured)).expect("the file named by SVG cannot be written");
     }
 }
--- a/crates/membership/src/authentication.rs
+++ b/crates/membership/src/authentication.rs
@@ -1,12 +1,12 @@
-//! Signs and verifies datagrams: who sent one, its sequence number, and a code that only holders of the key
-//! can make.
+//! Signs and verifies datagrams. Each carries its sender, a sequence number against replays, and a message
+//! authentication code (MAC) that only holders of the shared key can compute.
 //!
 //! ```text
 //! byte 0         the version, 1
-//! bytes 1 to 8   the sender, a random number drawn at its start, big-endian
+//! bytes 1 to 8   the sender's id, a random number drawn when it starts, big-endian
 //! bytes 9 to 16  the sequence number of the datagram, from 1, big-endian
-//! then           the message of the membership protocol
-//! last 16 bytes  HMAC-SHA256 of all before, truncated
+//! then           the protocol message
+//! last 16 bytes  HMAC-SHA256 of all preceding bytes, truncated
 //! ```
 
 use crate::replay_filter::ReplayFilter;
@@ -14,24 +14,24 @@
 use sha2::Sha256;
 use std::fmt;
 
-/// The length of the longest datagram.
+/// The maximum length of a datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1_392;
 const VERSION: u8 = 1;
-const SENDER_OFFSET: usize = 1;
+const SENDER_ID_OFFSET: usize = 1;
 const SEQUENCE_OFFSET: usize = 9;
 const HEADER_BYTES: usize = 17;
-const CODE_BYTES: usize = 16;
-/// The length of the longest message that fits a datagram.
-pub(crate) const MAX_MESSAGE_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - CODE_BYTES;
+const MAC_BYTES: usize = 16;
+/// The maximum length of a protocol message, in bytes; its datagram is then [`MAX_DATAGRAM_BYTES`] long.
+pub(crate) const MAX_MESSAGE_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - MAC_BYTES;
 
-/// Why a datagram was dropped.
+/// Why a received datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramError {
-    /// It is too short or too long, or of another version.
+    /// Shorter or longer than any valid datagram, or of another version.
     Malformed,
-    /// Its code was not made with the key.
+    /// Its MAC does not match: it was damaged, or signed with another key.
     Unauthenticated,
-    /// It was received before, or is too old to know.
+    /// Received before, or so old that the replay filter can't tell.
     Replayed,
 }
 
@@ -47,51 +47,51 @@
 
 impl std::error::Error for DatagramError {}
 
-/// Signs what a member sends, and verifies what it receives.
+/// Signs the datagrams that a member sends, and verifies those that it receives.
 pub(crate) struct Authenticator {
     mac: Hmac<Sha256>,
-    sender: u64,
+    sender_id: u64,
     last_sequence: u64,
     replay_filter: ReplayFilter,
 }
 
 impl Authenticator {
-    /// For the member that signs as `sender`.
-    pub(crate) fn new(key: &[u8], sender: u64) -> Authenticator {
+    /// An authenticator that signs with `key`, and puts `sender_id` into its datagrams.
+    pub(crate) fn new(key: &[u8], sender_id: u64) -> Authenticator {
         let mac = Hmac::<Sha256>::new_from_slice(key)
             .unwrap_or_else(|_| unreachable!("HMAC accepts keys of any length"));
-        Authenticator { mac, sender, last_sequence: 0, replay_filter: ReplayFilter::default() }
+        Authenticator { mac, sender_id, last_sequence: 0, replay_filter: ReplayFilter::default() }
     }
 
-    /// The datagram that carries a message.
+    /// The signed datagram that carries `message`, with the next sequence number.
     pub(crate) fn sign(&mut self, message: &[u8]) -> Vec<u8> {
         self.last_sequence += 1;
-        let mut datagram = Vec::with_capacity(HEADER_BYTES + message.len() + CODE_BYTES);
+        let mut datagram = Vec::with_capacity(HEADER_BYTES + message.len() + MAC_BYTES);
         datagram.push(VERSION);
-        datagram.extend_from_slice(&self.sender.to_be_bytes());
+        datagram.extend_from_slice(&self.sender_id.to_be_bytes());
         datagram.extend_from_slice(&self.last_sequence.to_be_bytes());
         datagram.extend_from_slice(message);
-        let code = self.mac.clone().chain_update(&datagram).finalize().into_bytes();
-        datagram.extend_from_slice(&code[..CODE_BYTES]);
+        let mac = self.mac.clone().chain_update(&datagram).finalize().into_bytes();
+        datagram.extend_from_slice(&mac[..MAC_BYTES]);
         datagram
     }
 
-    /// The message that a datagram carries.
+    /// The message that a valid datagram carries.
     ///
     /// # Errors
     /// Why the datagram must be dropped.
     pub(crate) fn verify<'a>(&mut self, datagram: &'a [u8]) -> Result<&'a [u8], DatagramError> {
         let has_valid_length =
-            HEADER_BYTES + CODE_BYTES < datagram.len() && datagram.len() <= MAX_DATAGRAM_BYTES;
+            HEADER_BYTES + MAC_BYTES < datagram.len() && datagram.len() <= MAX_DATAGRAM_BYTES;
         if !has_valid_length || datagram[0] != VERSION {
             return Err(DatagramError::Malformed);
         }
-        let (signed, code) = datagram.split_at(datagram.len() - CODE_BYTES);
+        let (signed, received_mac) = datagram.split_at(datagram.len() - MAC_BYTES);
         let mac = self.mac.clone().chain_update(signed);
-        mac.verify_truncated_left(code).map_err(|_| DatagramError::Unauthenticated)?;
-        let sender = read_u64(signed, SENDER_OFFSET);
+        mac.verify_truncated_left(received_mac).map_err(|_| DatagramError::Unauthenticated)?;
+        let sender_id = read_u64(signed, SENDER_ID_OFFSET);
         let sequence = read_u64(signed, SEQUENCE_OFFSET);
-        if !self.replay_filter.accept(sender, sequence) {
+        if !self.replay_filter.accept(sender_id, sequence) {
             return Err(DatagramError::Replayed);
         }
         Ok(&signed[HEADER_BYTES..])
--- a/crates/membership/src/id.rs
+++ b/crates/membership/src/id.rs
@@ -1,23 +1,24 @@
-//! The identity of a member.
+//! The identity of a member in the protocol.
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The identity of a member: one incarnation of a node. A node that restarts is another member, and is never
-/// mistaken for a stale incarnation of itself.
+/// The identity of a member: one incarnation of a node. A restarted node has another identity, so that
+/// suspicions and death reports about its previous run don't apply to it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MemberId {
     /// The node's name, the same in all its incarnations.
     pub name: String,
-    /// Greater than in all earlier incarnations. At a start it is the time, so that the next one is greater.
+    /// Greater than in all earlier incarnations. A node starts with the current time, so that each start has
+    /// a greater one; a member that was declared dead raises it.
     pub incarnation: u64,
-    /// Where it listens.
+    /// The address and port at which other members reach it.
     pub address: SocketAddr,
 }
 
 impl MemberId {
-    /// An incarnation of the node of this name at this address.
+    /// The identity of the node `name`, reached at `address`, in one incarnation.
     pub fn new(name: &str, incarnation: u64, address: SocketAddr) -> MemberId {
         MemberId { name: name.to_string(), incarnation, address }
     }
@@ -26,7 +27,7 @@
 impl Identity for MemberId {
     type Addr = SocketAddr;
 
-    /// A member that was declared dead while it is alive continues as its next incarnation.
+    /// The identity with which a live member that was declared dead rejoins the cluster.
     fn renew(&self) -> Option<MemberId> {
         Some(MemberId { incarnation: self.incarnation + 1, ..self.clone() })
     }
@@ -35,7 +36,7 @@
         self.address
     }
 
-    /// Of two members at the same address the later incarnation wins.
+    /// Of two identities at one address the higher incarnation wins, then the greater name.
     fn win_addr_conflict(&self, adversary: &MemberId) -> bool {
         (self.incarnation, &self.name) > (adversary.incarnation, &adversary.name)
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,21 +1,22 @@
-//! The membership of a cluster: which nodes are alive, suspected, dead, or have left.
+//! Cluster membership: which nodes are alive, suspected, dead, or have left the cluster.
 //!
-//! The protocol is SWIM, by the `foca` crate. This crate adds identities, time, authenticated datagrams,
-//! tolerance of its own pauses, a leave broadcast, and a table that other subsystems read. [`Membership`]
-//! does no I/O and reads no clock: datagrams and the time go in, datagrams come out. [`run`] drives it on a
-//! socket. `docs/membership.md` is the page for operators.
+//! Failure detection and gossip are SWIM, implemented by the `foca` crate. This crate adds member identities,
+//! timers on the caller's clock, authenticated datagrams, Lifeguard's local health (tolerance of pauses of
+//! the own process), a leave broadcast, and a member table for other subsystems. [`Membership`] does no I/O
+//! and reads no clock: the caller passes in received datagrams and the current time, and sends the datagrams
+//! that it returns. [`run`] drives it on a UDP socket. `docs/membership.md` describes it for operators.
 //!
 //! | module | concern |
 //! | --- | --- |
 //! | `state` | the state machine of a member |
-//! | `authentication`, `replay_filter` | what makes a datagram valid |
-//! | `protocol_output`, `timer_queue` | what the protocol asks for: messages and timers |
-//! | `local_health` | tolerance of this member's own pauses |
-//! | `incarnation_jump` | passing a stale incarnation after the clock was set back |
-//! | `leave_broadcast` | members that leave, as distinct from members that die |
+//! | `authentication`, `replay_filter` | signing and verifying datagrams, rejecting replays |
+//! | `protocol_output`, `timer_queue` | messages and timers that `foca` requests |
+//! | `local_health` | longer suspicion timeouts after a pause of this process |
+//! | `incarnation_jump` | overtaking a stale incarnation after the clock was set back |
+//! | `leave_broadcast` | distinguishes members that left from members that died |
 //! | `table` | the member table |
-//! | `id`, `settings`, `metrics`, `time` | plain values |
-//! | `udp` | runs a member on a socket |
+//! | `id`, `settings`, `metrics`, `time` | plain data types |
+//! | `udp` | runs a member on a UDP socket |
 //!
 //! ```
 //! use sorrelhaven_membership::{MemberId, MemberState, Membership, Settings};
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -1,38 +1,39 @@
-//! How far this member may trust its own suspicions: not much after it was paused, as in the Lifeguard
-//! extension of SWIM.
+//! Local health, as in the Lifeguard extension of SWIM: after a pause of its own process a member's
+//! suspicions are unreliable, so it gives suspects more time to refute them.
 
 use crate::time::Micros;
 
-/// The highest penalty: after a pause suspects get this many additional suspicion timeouts to refute.
-const MAX_PENALTY: u32 = 4;
+/// The score right after a pause: suspects get this many additional suspicion timeouts to refute.
+const MAX_SCORE: u32 = 4;
 
-/// The penalty of this member for its own pauses, which decreases by one each probe period.
+/// This member's local health score: 0 if healthy, raised by a pause of its process, and decreased by one
+/// each probe period.
 pub(crate) struct LocalHealth {
-    penalty: u32,
-    decrease_at: Micros,
+    score: u32,
+    next_decrease_at: Micros,
 }
 
 impl LocalHealth {
     pub(crate) fn new(now: Micros) -> LocalHealth {
-        LocalHealth { penalty: 0, decrease_at: now }
+        LocalHealth { score: 0, next_decrease_at: now }
     }
 
-    /// Records that this member was paused until now.
+    /// Records that this member's process was paused until `now`.
     pub(crate) fn record_pause(&mut self, now: Micros, probe_period: Micros) {
-        self.penalty = MAX_PENALTY;
-        self.decrease_at = now + probe_period;
+        self.score = MAX_SCORE;
+        self.next_decrease_at = now + probe_period;
     }
 
-    /// Decreases the penalty as time passes.
+    /// Decreases the score by one for each probe period that has passed.
     pub(crate) fn recover(&mut self, now: Micros, probe_period: Micros) {
-        while self.penalty > 0 && now >= self.decrease_at {
-            self.penalty -= 1;
-            self.decrease_at += probe_period;
+        while self.score > 0 && now >= self.next_decrease_at {
+            self.score -= 1;
+            self.next_decrease_at += probe_period;
         }
     }
 
-    /// The factor by which the suspicion timeout is longer now.
-    pub(crate) fn suspicion_factor(&self) -> Micros {
-        Micros::from(1 + self.penalty)
+    /// The factor by which to multiply the timeout of a suspicion that starts now; 1 if healthy.
+    pub(crate) fn suspicion_timeout_multiplier(&self) -> Micros {
+        Micros::from(1 + self.score)
     }
 }
--- a/crates/membership/src/metrics.rs
+++ b/crates/membership/src/metrics.rs
@@ -1,28 +1,29 @@
 //! The counters of a member.
 
-/// What a member has counted since its start.
+/// Counts of events since the member's start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Metrics {
-    /// Probes made.
+    /// Direct probes started, one per probe period; repetitions and indirect probes are not counted.
     pub probes: u64,
-    /// Members that came under suspicion, by this member's own probes or by the messages of others.
+    /// Suspicions, raised by this member's own probes or received by gossip.
     pub suspicions: u64,
-    /// Suspects that turned out to be alive.
+    /// Suspicions that were refuted.
     pub refutations: u64,
-    /// Times that this member was declared dead and continued as its next incarnation.
+    /// How often this member was declared dead and rejoined with its next incarnation.
     pub declared_dead: u64,
-    /// Times that this member was paused for longer than a probe period.
+    /// How often this member's process was paused for longer than a probe period.
     pub pauses: u64,
-    /// Datagrams sent.
+    /// Datagrams sent, whether or not they arrived.
     pub datagrams_sent: u64,
-    /// Bytes in the datagrams sent.
+    /// Bytes of the datagrams sent, without the headers of UDP and IP.
     pub bytes_sent: u64,
-    /// Datagrams dropped: too short, too long, or of another version.
+    /// Datagrams dropped as shorter or longer than any valid one, or of another version.
     pub malformed: u64,
-    /// Datagrams dropped: not signed with the key.
+    /// Datagrams dropped because they were not signed with the shared key.
     pub unauthenticated: u64,
-    /// Datagrams dropped: received before.
+    /// Datagrams dropped because they were received before, or too old for the replay filter to tell.
     pub replayed: u64,
-    /// Datagrams that were signed with the key but that the protocol rejected.
+    /// Calls of `foca` that failed: as a rule because it rejected a datagram that was signed with the shared
+    /// key.
     pub protocol_errors: u64,
 }
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -1,4 +1,5 @@
-//! The state machine of a member: datagrams and the time in, datagrams out. No I/O, no clock.
+//! The state machine of a member. It takes received datagrams and the current time, and returns datagrams to
+//! send; it does no I/O and reads no clock.
 
 use crate::authentication::{Authenticator, DatagramError};
 use crate::id::MemberId;
@@ -16,39 +17,39 @@
 use rand::rngs::SmallRng;
 use std::net::SocketAddr;
 
-/// How often the table is updated from the protocol's state.
+/// Interval between updates of the member table from `foca`'s state.
 const TABLE_UPDATE_INTERVAL: Micros = 100_000;
-/// Probe periods between announcements to a seed that is not known to be alive, once another member is.
+/// Probe periods between announcements to seeds that are not known to be alive, once another member is known.
 const SEED_ANNOUNCE_PERIODS: Micros = 4;
-/// Rounds of gossip that carry the leave broadcast, the protocol's own last message included.
+/// Gossip rounds that carry the leave notice, including that of `foca`'s own leave message.
 const LEAVE_BROADCAST_ROUNDS: usize = 3;
 
 type Protocol = Foca<MemberId, PostcardCodec, SmallRng, LeaveNotices>;
 
-/// A datagram that is to be sent.
+/// A signed datagram for the caller to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingDatagram {
     /// The receiver's address.
     pub to: SocketAddr,
-    /// What to send.
+    /// The datagram's payload, header and MAC included.
     pub bytes: Vec<u8>,
 }
 
-/// One member: its view of all members, and its part in the protocol.
+/// One member of the cluster: its member table, and its part in the SWIM protocol.
 pub struct Membership {
     settings: Settings,
     protocol: Protocol,
     authenticator: Authenticator,
     leave_notices: LeaveNotices,
     timers: TimerQueue,
-    /// The next time to look for a seed to announce this member to.
-    announce_at: Micros,
-    /// Counts through the seeds.
-    next_seed: usize,
+    /// When to announce this member to the next seed, unless the seed is known to be alive.
+    next_announce_at: Micros,
+    /// The index of the next seed, modulo the number of seeds; the first one is random.
+    next_seed_index: usize,
     table: MemberTable,
-    table_update_at: Micros,
+    next_table_update_at: Micros,
     local_health: LocalHealth,
-    /// The last direct probe, until it is repeated.
+    /// The message of the last direct probe, until it is repeated.
     last_probe: Option<Message>,
     incarnation_jump: IncarnationJump,
     outgoing: Vec<OutgoingDatagram>,
@@ -56,16 +57,17 @@
     has_left: bool,
 }
 
-/// The seed for the random numbers of one incarnation: another one for each node and each start, even if
-/// `seed` is the same.
+/// Derives the seed of one incarnation's random numbers, which differs between nodes and between starts of a
+/// node even if `seed` is the same.
 fn incarnation_seed(id: &MemberId, seed: u64) -> u64 {
-    let with_name =
+    let name_hash =
         id.name.bytes().fold(seed, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3));
-    (with_name ^ id.incarnation.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15)
+    (name_hash ^ id.incarnation.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
 
 impl Membership {
-    /// A member that knows no other one yet. `seed` is for random numbers, and should be new at each start.
+    /// Creates a member that knows no other member yet. `seed` seeds its random numbers and should differ at
+    /// each start; `now` is the current time on the clock of all later calls.
     pub fn new(id: MemberId, settings: Settings, seed: u64, now: Micros) -> Membership {
         let seed = incarnation_seed(&id, seed);
         let authenticator = Authenticator::new(&settings.key, seed);
@@ -77,17 +79,18 @@
             PostcardCodec,
             leave_notices.clone(),
         );
-        // Members that start at once must not announce themselves to the same seed at the same moment.
+        // Up to one probe period: members that start at the same time must not all announce themselves to the
+        // same seed at the same moment.
         let jitter = micros(settings.probe_period) * (seed >> 33 & 0xff) as Micros / 0x100;
         let mut member = Membership {
             protocol,
             authenticator,
             leave_notices,
             timers: TimerQueue::default(),
-            announce_at: now + jitter,
-            next_seed: (seed >> 41) as usize,
+            next_announce_at: now + jitter,
+            next_seed_index: (seed >> 41) as usize,
             table: MemberTable::default(),
-            table_update_at: now,
+            next_table_update_at: now,
             local_health: LocalHealth::new(now),
             last_probe: None,
             incarnation_jump: IncarnationJump::new(now),
@@ -100,14 +103,15 @@
         member
     }
 
-    /// The identity of this member now: a later incarnation than at its start if it was declared dead.
+    /// This member's current identity. Its incarnation is higher than at its start if it was declared dead
+    /// since.
     pub fn id(&self) -> &MemberId {
         self.protocol.identity()
     }
 
-    /// Handles a datagram that was received. One that is not valid is counted and dropped. Datagrams that
-    /// wait must be handled before [`Membership::tick`]: a member that was paused would suspect those that
-    /// have answered meanwhile.
+    /// Handles a received datagram; an invalid one is counted and dropped. Datagrams waiting in the socket
+    /// must be handled before [`Membership::tick`] is called: after a pause of the process, the tick would
+    /// otherwise suspect members whose acks are among them.
     pub fn handle_datagram(&mut self, now: Micros, datagram: &[u8]) {
         if self.has_left {
             return;
@@ -120,26 +124,27 @@
         }
     }
 
-    /// Does what is due, and returns all datagrams that are to be sent now.
+    /// Runs the timers and periodic work due at `now`, and returns all datagrams to be sent.
     pub fn tick(&mut self, now: Micros) -> Vec<OutgoingDatagram> {
         if !self.has_left {
             self.handle_pause(now);
             self.announce_to_seed(now);
             self.run_due_timers(now);
-            if now >= self.table_update_at {
+            if now >= self.next_table_update_at {
                 self.update_table(now);
             }
         }
         std::mem::take(&mut self.outgoing)
     }
 
-    /// When `tick` has something to do next.
+    /// When [`Membership::tick`] next has work to do.
     pub fn next_tick_at(&self) -> Micros {
         let timer = self.timers.next_due_at().unwrap_or(Micros::MAX);
-        timer.min(self.announce_at).min(self.table_update_at)
+        timer.min(self.next_announce_at).min(self.next_table_update_at)
     }
 
-    /// Leaves, and returns the last datagrams of this member. It does nothing from here on.
+    /// Leaves the cluster, and returns the last datagrams to be sent. Afterwards this member ignores
+    /// datagrams and runs no timers.
     pub fn leave(&mut self, now: Micros) -> Vec<OutgoingDatagram> {
         if !std::mem::replace(&mut self.has_left, true) {
             self.broadcast_leave(now);
@@ -148,17 +153,17 @@
         std::mem::take(&mut self.outgoing)
     }
 
-    /// All members, this one included, by address, in the latest incarnation of each.
+    /// All members, this one included, each in its latest known incarnation, sorted by address.
     pub fn table(&self) -> Vec<Member> {
         self.table.to_vec()
     }
 
-    /// The member at an address, in its latest incarnation.
+    /// The member at an address, in its latest known incarnation.
     pub fn member(&self, address: SocketAddr) -> Option<&Member> {
         self.table.get(address)
     }
 
-    /// What this member has counted.
+    /// The counts of events since this member's start.
     pub fn metrics(&self) -> Metrics {
         self.metrics
     }
@@ -170,17 +175,18 @@
     fn broadcast_leave(&mut self, now: Micros) {
         let mut output = ProtocolOutput::default();
         let notice = LeaveNotice::new(self.protocol.identity());
-        // These fail if there is no other member, and then there is nothing to send.
+        // These calls fail if there is no other member, and then there is nothing to send.
         let _ = self.protocol.add_broadcast(notice.as_bytes());
         for _ in 1..LEAVE_BROADCAST_ROUNDS {
             let _ = self.protocol.gossip(&mut output);
         }
         let _ = self.protocol.leave_cluster(&mut output);
-        self.carry_out(now, output);
+        self.apply_output(now, output);
     }
 
-    /// A member that was paused must not blame others for its own delay: its timers are postponed by the time
-    /// that it was paused, and for a while suspects get more time.
+    /// Detects a pause of this process by a timer that is overdue by more than a probe period. Such a member
+    /// must not suspect others because of its own delay: its timers are postponed by the delay, and for some
+    /// probe periods it gives suspects more time to refute.
     fn handle_pause(&mut self, now: Micros) {
         let probe_period = self.probe_period();
         let delay = now - self.timers.next_due_at().unwrap_or(now);
@@ -192,22 +198,23 @@
         self.local_health.recover(now, probe_period);
     }
 
-    /// Announces this member to a seed that is not known to be alive: often while no other member is known,
-    /// and now and then later. Otherwise members that found each other through different seeds would stay two
-    /// clusters.
+    /// Announces this member to the next seed if that is not known to be alive: every probe period while no
+    /// other member is known, and every [`SEED_ANNOUNCE_PERIODS`] probe periods once one is. Without the
+    /// latter, members that joined through different seeds would remain separate clusters.
     fn announce_to_seed(&mut self, now: Micros) {
-        if now < self.announce_at {
+        if now < self.next_announce_at {
             return;
         }
-        // Also without seeds: a time in the past would keep the member awake all the time.
+        // Set even if there are no seeds: with a time in the past, `next_tick_at` would always be due and the
+        // caller would loop without sleeping.
         let is_alone = self.protocol.num_members() == 0;
-        self.announce_at = now + self.probe_period() * if is_alone { 1 } else { SEED_ANNOUNCE_PERIODS };
+        self.next_announce_at = now + self.probe_period() * if is_alone { 1 } else { SEED_ANNOUNCE_PERIODS };
         let seeds = &self.settings.seeds;
-        let Some(&seed) = seeds.get(self.next_seed % seeds.len().max(1)) else { return };
-        self.next_seed += 1;
+        let Some(&seed) = seeds.get(self.next_seed_index % seeds.len().max(1)) else { return };
+        self.next_seed_index += 1;
         let is_known = self.protocol.iter_members().any(|member| member.id().address == seed);
         if seed != self.protocol.identity().address && !is_known {
-            // Only the address is known yet: any member that listens there may answer.
+            // Name and incarnation of the seed are not known yet: any member at this address may answer.
             let any_member = MemberId::new("", 0, seed);
             self.run_protocol(now, |protocol, output| protocol.announce(any_member, output));
         }
@@ -215,15 +222,16 @@
 
     fn run_due_timers(&mut self, now: Micros) {
         while let Some(timer) = self.timers.pop_due(now) {
-            if !self.is_refuted(&timer) {
+            if !self.is_refuted_suspicion(&timer) {
                 self.run_timer(now, timer);
             }
         }
     }
 
-    /// Whether the timer is that of a suspicion that has been refuted. `foca` would keep the suspect alive,
-    /// but tell it all the same that it is dead, and it would take its next incarnation for nothing.
-    fn is_refuted(&self, timer: &Timer<MemberId>) -> bool {
+    /// Whether the timer is that of a suspicion that has been refuted. `foca` would keep the suspect alive
+    /// but would still tell it that it was declared dead, so that it would raise its incarnation without
+    /// need.
+    fn is_refuted_suspicion(&self, timer: &Timer<MemberId>) -> bool {
         let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = timer else { return false };
         let is_still_suspect = self.protocol.iter_membership_state().any(|member| {
             member.id() == member_id
@@ -238,10 +246,11 @@
         if starts_probe && self.protocol.num_members() > 0 {
             self.metrics.probes += 1;
         }
-        // A probe that is not answered in time is repeated directly too, beside the indirect ones: with a
-        // fifth of the datagrams lost, one probe in three is not answered though the member is alive.
-        let is_timeout = matches!(timer, Timer::SendIndirectProbe { .. });
-        let repeated_probe = if is_timeout { self.last_probe.take() } else { None };
+        // A probe without an ack at its timeout is repeated directly, in addition to the indirect probes:
+        // with a fifth of the datagrams lost, one direct probe in three gets no ack although the member is
+        // alive.
+        let is_probe_timeout = matches!(timer, Timer::SendIndirectProbe { .. });
+        let repeated_probe = if is_probe_timeout { self.last_probe.take() } else { None };
         self.run_protocol(now, |protocol, output| {
             protocol.handle_timer(timer, &mut *output)?;
             let is_unanswered = !output.messages.is_empty();
@@ -250,7 +259,7 @@
         });
     }
 
-    /// Runs one call of the protocol, and carries out what that asks for.
+    /// Makes one call of `foca`, and applies its output.
     fn run_protocol(
         &mut self,
         now: Micros,
@@ -263,24 +272,25 @@
         if output.declared_dead > 0 {
             self.raise_incarnation(now, &mut output);
         }
-        self.carry_out(now, output);
+        self.apply_output(now, output);
     }
 
-    /// The protocol has raised the incarnation by one; raises it further if a stale incarnation is still
-    /// ahead.
+    /// `foca` has raised the incarnation by one; raises it further if a stale incarnation of this node is
+    /// still higher.
     fn raise_incarnation(&mut self, now: Micros, output: &mut ProtocolOutput) {
         let jump = self.incarnation_jump.on_declared_dead(now, self.probe_period());
         if jump <= 1 {
             return;
         }
         let id = self.protocol.identity().clone();
-        let later = MemberId { incarnation: id.incarnation.saturating_add(jump), ..id };
-        if self.protocol.change_identity(later, output).is_err() {
+        let raised_id = MemberId { incarnation: id.incarnation.saturating_add(jump), ..id };
+        if self.protocol.change_identity(raised_id, output).is_err() {
             self.metrics.protocol_errors += 1;
         }
     }
 
-    fn carry_out(&mut self, now: Micros, output: ProtocolOutput) {
+    /// Sends the messages and starts the timers that a call of `foca` requested.
+    fn apply_output(&mut self, now: Micros, output: ProtocolOutput) {
         self.metrics.declared_dead += output.declared_dead;
         if let Some(probed) = output.probed_address() {
             self.last_probe = output.message_to(probed).cloned();
@@ -288,8 +298,8 @@
         for message in output.messages {
             self.send(&message);
         }
-        for new in output.timers {
-            self.start_timer(now, new);
+        for new_timer in output.timers {
+            self.start_timer(now, new_timer);
         }
     }
 
@@ -300,19 +310,19 @@
         self.outgoing.push(OutgoingDatagram { to: message.to, bytes });
     }
 
-    fn start_timer(&mut self, now: Micros, new: NewTimer) {
-        let mut after = micros(new.after);
-        if matches!(new.timer, Timer::ChangeSuspectToDown { .. }) {
+    fn start_timer(&mut self, now: Micros, new_timer: NewTimer) {
+        let mut delay = micros(new_timer.delay);
+        if matches!(new_timer.timer, Timer::ChangeSuspectToDown { .. }) {
             self.metrics.suspicions += 1;
-            after *= self.local_health.suspicion_factor();
+            delay *= self.local_health.suspicion_timeout_multiplier();
         }
-        self.timers.start(now + after, new.timer);
+        self.timers.start(now + delay, new_timer.timer);
     }
 
-    /// Updates the table from the protocol's state.
+    /// Updates the member table from `foca`'s state.
     fn update_table(&mut self, now: Micros) {
-        self.table_update_at = now + TABLE_UPDATE_INTERVAL;
-        let own = (self.protocol.identity(), MemberState::Alive);
+        self.next_table_update_at = now + TABLE_UPDATE_INTERVAL;
+        let own_state = (self.protocol.identity(), MemberState::Alive);
         let others = self.protocol.iter_membership_state().map(|member| {
             let state = match member.state() {
                 State::Alive => MemberState::Alive,
@@ -322,12 +332,12 @@
             };
             (member.id(), state)
         });
-        for (id, state) in others.chain([own]) {
+        for (id, state) in others.chain([own_state]) {
             if self.table.update(now, id, state) == TableChange::Refuted {
                 self.metrics.refutations += 1;
             }
         }
-        self.table.forget_old(now, micros(self.settings.forget_after));
+        self.table.remove_expired(now, micros(self.settings.forget_after));
     }
 }
 
--- a/crates/membership/src/state/tests.rs
+++ b/crates/membership/src/state/tests.rs
@@ -1,4 +1,4 @@
-//! Messages that are signed with the key but damaged, as a faulty member could send them.
+//! Damaged messages in correctly signed datagrams, as a faulty member could send them.
 
 use super::{Membership, OutgoingDatagram};
 use crate::authentication::{Authenticator, MAX_MESSAGE_BYTES};
@@ -19,19 +19,19 @@
 
 fn damage(message: &mut Vec<u8>, rng: &mut fastrand::Rng) {
     for _ in 0..rng.usize(1..6) {
-        let place = rng.usize(..message.len());
+        let position = rng.usize(..message.len());
         match rng.u8(..4) {
-            0 => message[place] = rng.u8(..),
-            1 => message.truncate(place.max(1)),
-            2 => message.insert(place, rng.u8(..)),
+            0 => message[position] = rng.u8(..),
+            1 => message.truncate(position.max(1)),
+            2 => message.insert(position, rng.u8(..)),
             _ => message.extend((0..rng.usize(..40)).map(|_| rng.u8(..))),
         }
     }
     message.truncate(MAX_MESSAGE_BYTES);
 }
 
-/// Two members, of which one receives each message of the other a second time, damaged and signed again.
-/// Returns the metrics of that one.
+/// Runs two members, of which the receiver gets each message of the sender twice: as sent, then damaged and
+/// signed again. Returns the receiver's metrics.
 fn exchange_damaged_messages(rng: &mut fastrand::Rng, steps: usize) -> Metrics {
     let mut sender = member("a", 1, 2, rng);
     let mut receiver = member("b", 2, 1, rng);
@@ -45,33 +45,36 @@
         }
         for OutgoingDatagram { bytes, .. } in sender.tick(now) {
             receiver.handle_datagram(now, &bytes);
-            let mut message = verifier.verify(&bytes).expect("a signed message").to_vec();
+            let mut message = verifier.verify(&bytes).expect("the sender's datagram is valid").to_vec();
             damage(&mut message, rng);
             receiver.handle_datagram(now, &signer.sign(&message));
         }
     }
-    assert!(receiver.table().len() <= 1 + steps * 64, "the table is bounded by what was received");
+    assert!(
+        receiver.table().len() <= 1 + steps * 64,
+        "the member table has more entries than the received messages can hold"
+    );
     receiver.metrics()
 }
 
 #[test]
-fn signed_messages_that_are_damaged_break_nothing() {
+fn signed_messages_that_are_damaged_are_rejected_without_a_panic() {
     let mut rng = fastrand::Rng::with_seed(9);
     let protocol_errors: u64 = (0..60).map(|_| exchange_damaged_messages(&mut rng, 40).protocol_errors).sum();
-    assert!(protocol_errors > 500, "{protocol_errors} were recognised as undecodable");
+    assert!(protocol_errors > 500, "only {protocol_errors} damaged messages were rejected by the protocol");
 }
 
-/// The same for as many seconds as `FUZZ_SECONDS` says, 600 without it.
+/// Repeats the exchange for `FUZZ_SECONDS` seconds, 600 if the variable is not set.
 #[test]
-#[ignore = "it runs for ten minutes"]
+#[ignore = "runs for ten minutes by default"]
 fn fuzz_signed_messages() {
     let seconds = std::env::var("FUZZ_SECONDS").ok().and_then(|text| text.parse().ok()).unwrap_or(600);
     let started_at = std::time::Instant::now();
     let mut rng = fastrand::Rng::with_seed(10);
-    let mut rounds = 0_u64;
+    let mut exchanges = 0_u64;
     while started_at.elapsed() < Duration::from_secs(seconds) {
         exchange_damaged_messages(&mut rng, 60);
-        rounds += 1;
+        exchanges += 1;
     }
-    println!("{rounds} rounds");
+    println!("{exchanges} exchanges");
 }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,4 +1,4 @@
-//! The member table: what a member believes of each other one, as a value that other subsystems read.
+//! The member table: the state of each member as the local member knows it, in types for other subsystems.
 
 use crate::id::MemberId;
 use crate::time::Micros;
@@ -6,16 +6,16 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// What is believed of a member.
+/// The state of a member as the local member knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// It answers probes, or another member says so.
+    /// It answers probes, or gossip reports it alive.
     Alive,
-    /// It did not answer; it has the suspicion timeout to refute.
+    /// It did not answer a probe; it is declared dead unless it refutes within the suspicion timeout.
     Suspect,
-    /// It did not refute in time.
+    /// It did not refute the suspicion within the suspicion timeout.
     Dead,
-    /// It has said that it leaves.
+    /// It announced that it leaves the cluster.
     Left,
 }
 
@@ -30,29 +30,29 @@
     }
 }
 
-/// One member of the table.
+/// An entry of the member table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its identity, in its latest incarnation.
+    /// The member's identity in its latest known incarnation.
     pub id: MemberId,
-    /// What is believed of it.
+    /// Its state as the local member knows it.
     pub state: MemberState,
-    /// When that began, on this node's clock.
+    /// When it entered this state, on the local member's clock.
     pub since: Micros,
 }
 
-/// What an update has changed in the table.
+/// The effect of an update on the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TableChange {
-    /// Nothing: the state was known, or belongs to a stale incarnation.
-    None,
-    /// A member is new or has another state.
+    /// No change: the state was recorded already, or belongs to a stale incarnation.
+    Unchanged,
+    /// The member, its incarnation or its state is new.
     Updated,
-    /// A suspect turned out to be alive.
+    /// A suspect is alive again: the suspicion was refuted.
     Refuted,
 }
 
-/// The latest incarnation of each member, by address.
+/// Each member in its latest known incarnation, by address.
 #[derive(Default)]
 pub(crate) struct MemberTable {
     members: BTreeMap<SocketAddr, Member>,
@@ -63,19 +63,19 @@
         self.members.get(&address)
     }
 
-    /// All members, by address.
+    /// All members, sorted by address.
     pub(crate) fn to_vec(&self) -> Vec<Member> {
         self.members.values().cloned().collect()
     }
 
-    /// Records the state of a member.
+    /// Records the state of a member, unless a later incarnation at its address is known.
     pub(crate) fn update(&mut self, now: Micros, id: &MemberId, state: MemberState) -> TableChange {
         let mut change = TableChange::Updated;
         if let Some(known) = self.members.get(&id.address) {
             let is_stale = known.id.incarnation > id.incarnation;
-            let is_known = known.id == *id && known.state == state;
-            if is_stale || is_known {
-                return TableChange::None;
+            let is_recorded = known.id == *id && known.state == state;
+            if is_stale || is_recorded {
+                return TableChange::Unchanged;
             }
             let was_suspect = known.id == *id && known.state == MemberState::Suspect;
             if was_suspect && state == MemberState::Alive {
@@ -86,9 +86,9 @@
         change
     }
 
-    /// Removes the members that died or left at least `forget_after` ago, when the protocol has forgotten
-    /// them too.
-    pub(crate) fn forget_old(&mut self, now: Micros, forget_after: Micros) {
+    /// Removes the members that died or left at least `forget_after` ago; `foca` forgets them after the same
+    /// time.
+    pub(crate) fn remove_expired(&mut self, now: Micros, forget_after: Micros) {
         self.members
             .retain(|_, member| member.state < MemberState::Dead || now - member.since < forget_after);
     }
--- a/crates/membership/src/udp.rs
+++ b/crates/membership/src/udp.rs
@@ -1,4 +1,4 @@
-//! Runs a member on a socket: the only part of this crate that does I/O and reads the clock.
+//! Runs a member on a UDP socket: the only module of this crate that does I/O and reads the clock.
 
 use crate::authentication::MAX_DATAGRAM_BYTES;
 use crate::state::{Membership, OutgoingDatagram};
@@ -10,19 +10,22 @@
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
 
-/// Datagrams that are read in one go: a flood must not starve the other tasks of the node.
-const MAX_READS_PER_TURN: usize = 256;
+/// Datagrams read before each tick, at most: a flood of datagrams must not starve the other tasks of the
+/// node.
+const MAX_READS_PER_TICK: usize = 256;
 
-/// The time on the clock of a member that was created at `started_at` with the time 0.
+/// The current time for a member that was created at `started_at` with the time 0: the microseconds since
+/// then.
 pub fn elapsed(started_at: Instant) -> Micros {
     micros(started_at.elapsed())
 }
 
-/// Runs a member that was created at `started_at` with the time 0. Never returns.
+/// Runs a member on a socket, without ever returning. The member must have been created at `started_at` with
+/// the time 0.
 pub async fn run(socket: &Async<UdpSocket>, member: &RefCell<Membership>, started_at: Instant) -> Infallible {
     loop {
-        // Datagrams that wait are handled before timers: after a pause the member must not suspect those that
-        // have answered meanwhile.
+        // Received datagrams are handled before timers: after a pause of this process the acks of live
+        // members may still be in the socket's buffer, and a timer would suspect those members.
         receive(socket, member, started_at);
         let outgoing = member.borrow_mut().tick(elapsed(started_at));
         send(socket, outgoing);
@@ -31,16 +34,17 @@
 }
 
 fn receive(socket: &Async<UdpSocket>, member: &RefCell<Membership>, started_at: Instant) {
-    // One byte more than the longest datagram, so that a longer one is recognised.
+    // One byte more than the longest valid datagram: a longer one is cut to a length that is rejected.
     let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
-    for _ in 0..MAX_READS_PER_TURN {
-        // An error concerns one datagram that could not be sent, or nothing that can be repaired here.
+    for _ in 0..MAX_READS_PER_TICK {
+        // An error means that no datagram is waiting, that one sent earlier was refused, or a fault of the
+        // socket that can't be repaired here.
         let Ok((length, _)) = socket.get_ref().recv_from(&mut buffer) else { return };
         member.borrow_mut().handle_datagram(elapsed(started_at), &buffer[..length]);
     }
 }
 
-/// Waits for a datagram or until the member's next tick.
+/// Waits until a datagram can be read or the member's next tick is due.
 async fn wait(socket: &Async<UdpSocket>, member: &RefCell<Membership>, started_at: Instant) {
     let next_tick_at = u64::try_from(member.borrow().next_tick_at()).unwrap_or(0);
     let timer = async {
@@ -52,7 +56,8 @@
     or(readable, timer).await;
 }
 
-/// Sends datagrams. Those that the socket does not take at once are lost, as any datagram may be.
+/// Sends datagrams without waiting. One that the socket does not accept at once is dropped, which the
+/// protocol tolerates as it does any lost datagram.
 pub fn send(socket: &Async<UdpSocket>, outgoing: Vec<OutgoingDatagram>) {
     for datagram in outgoing {
         let _ = socket.get_ref().send_to(&datagram.bytes, datagram.to);
--- a/crates/membership/tests/cases.rs
+++ b/crates/membership/tests/cases.rs
@@ -1,4 +1,5 @@
-//! Deaths, pauses, losses, partitions and restarts on a simulated clock: each run gives the same result.
+//! Deaths, pauses, datagram loss, partitions and restarts on a simulated clock: each run gives the same
+//! result.
 
 mod common;
 use common::{Cluster, MILLISECOND, SECOND, address};
@@ -19,10 +20,13 @@
         known / MILLISECOND
     );
     cluster.run(cluster.now + 10 * SECOND);
-    assert!(cluster.all_agree(37, MemberState::Dead), "it stays dead");
+    assert!(
+        cluster.all_agree(37, MemberState::Dead),
+        "not all members still consider the killed member dead"
+    );
     assert!(cluster.is_converged());
     assert_eq!(cluster.sum(|metrics| metrics.declared_dead), 0);
-    assert!(known < 4 * SECOND, "{} ms", known / MILLISECOND);
+    assert!(known < 4 * SECOND, "the death was known only after {} ms", known / MILLISECOND);
 }
 
 #[test]
@@ -38,11 +42,12 @@
     cluster.run(paused_at + 7 * SECOND);
     assert!(
         [0, 1, 3, 4].iter().all(|&observer| cluster.state(observer, 2) == Some(MemberState::Dead)),
-        "it is declared dead"
+        "not all other members consider the paused member dead"
     );
-    // It was the paused one: it comes back as its next incarnation, and never declares another member dead.
-    let back = cluster.run_until(paused_at + 20 * SECOND, Cluster::is_converged);
-    println!("back {} ms after the pause", (back - paused_at - 8 * SECOND) / MILLISECOND);
+    // The paused member rejoins with its next incarnation, and never declares another member dead for its own
+    // delay.
+    let rejoined_at = cluster.run_until(paused_at + 20 * SECOND, Cluster::is_converged);
+    println!("rejoined {} ms after the pause", (rejoined_at - paused_at - 8 * SECOND) / MILLISECOND);
     assert!(cluster.members[2].id().incarnation > 1_000);
     for index in [0, 1, 3, 4] {
         let declared_dead = cluster.members[index].metrics().declared_dead;
@@ -62,16 +67,16 @@
         });
         cluster.run(cluster.now + 120 * SECOND);
         assert_eq!(cluster.sum(|metrics| metrics.declared_dead), 0, "one way: {one_way}");
-        // The bounds tell a member that repeats its probes from one that does not.
+        // Without the direct repetition of unanswered probes there are more suspicions than these bounds.
         let suspicions = cluster.sum(|metrics| metrics.suspicions);
         let max_suspicions = if one_way { 10 } else { 60 };
         println!("one way {one_way}: {suspicions} suspicions");
-        assert!(suspicions < max_suspicions, "{suspicions} suspicions");
+        assert!(suspicions < max_suspicions, "one way: {one_way}, {suspicions} suspicions");
     }
 }
 
 #[test]
-fn a_one_way_partition_is_bridged_and_an_isolated_member_comes_back() {
+fn a_one_way_partition_declares_no_member_dead_and_an_isolated_member_rejoins() {
     let mut cluster = Cluster::new(5, 6);
     cluster.run_until(10 * SECOND, Cluster::is_converged);
     // n0 receives from n1, and n1 does not receive from n0.
@@ -105,7 +110,10 @@
     let healed_at = cluster.now;
     let converged = cluster.run_until(healed_at + 20 * SECOND, Cluster::is_converged);
     println!("converged after {} ms", (converged - healed_at) / MILLISECOND);
-    assert!((0..5).all(|index| cluster.members[index].table().len() == 5), "each member once");
+    assert!(
+        (0..5).all(|index| cluster.members[index].table().len() == 5),
+        "a table does not list each member once"
+    );
 }
 
 #[test]
@@ -121,16 +129,16 @@
         cluster.run(cluster.now + 100 * MILLISECOND);
         for observer in 0..5 {
             let table = cluster.members[observer].table();
-            let of_restarted = table.iter().filter(|member| member.id.name == "n4");
-            let incarnations: Vec<u64> = of_restarted.map(|member| member.id.incarnation).collect();
+            let entries_of_restarted = table.iter().filter(|member| member.id.name == "n4");
+            let incarnations: Vec<u64> = entries_of_restarted.map(|member| member.id.incarnation).collect();
             let is_replaced = incarnations.len() == 1 && incarnations[0] >= 2_000;
-            assert!(is_replaced, "n{observer} knows {incarnations:?}");
+            assert!(is_replaced, "n{observer} lists the incarnations {incarnations:?} of n4");
         }
     }
 }
 
-/// The node's clock was set back by years: its stale incarnation is greater than its own, by far more than
-/// single steps could make up for.
+/// The node's clock was set back by years: its stale incarnation is greater than its new one, by far more
+/// than increments of one could make up for.
 #[test]
 fn a_restart_with_a_clock_set_back_passes_its_stale_incarnation() {
     for stale_is_dead in [false, true] {
@@ -146,7 +154,7 @@
         println!("stale incarnation dead {stale_is_dead}: converged after {} ms", converged / MILLISECOND);
         assert!(cluster.members[4].id().incarnation > 1 << 51);
         cluster.run(cluster.now + 20 * SECOND);
-        assert!(cluster.is_converged(), "and it stays so");
+        assert!(cluster.is_converged(), "the cluster does not stay converged");
         assert!((0..4).all(|index| cluster.members[index].metrics().declared_dead == 0));
     }
 }
@@ -157,24 +165,24 @@
     cluster.run_until(10 * SECOND, Cluster::is_converged);
     cluster.leave(5);
     cluster.kill(6);
-    let restarted_at = cluster.now;
-    cluster.run_until(restarted_at + 10 * SECOND, |cluster| {
+    let stopped_at = cluster.now;
+    cluster.run_until(stopped_at + 10 * SECOND, |cluster| {
         cluster.all_agree(5, MemberState::Left) && cluster.all_agree(6, MemberState::Dead)
     });
     assert_eq!(cluster.sum(|metrics| metrics.malformed + metrics.unauthenticated + metrics.replayed), 0);
 }
 
-/// The first member of a cluster has no seeds. It must not be awake all the time: its node would have no time
-/// for requests.
+/// The first member of a cluster has no seeds. Its next tick must still be in the future: otherwise it would
+/// loop without sleeping, and its node would have no time for requests.
 #[test]
 fn a_member_without_seeds_sleeps_until_a_timer_is_due() {
     let settings = Settings::new(b"a key of the tests alone".to_vec());
     let mut alone = Membership::new(MemberId::new("n0", 1, address(0)), settings, 3, 0);
     let mut now = 0;
     for _ in 0..100 {
-        assert!(alone.tick(now).is_empty(), "there is no other member");
+        assert!(alone.tick(now).is_empty(), "a member that knows no other has sent a datagram");
         let next = alone.next_tick_at();
-        assert!(next > now, "awake again at {next} after {now}");
+        assert!(next > now, "the next tick, at {next}, is not after {now}");
         now = next;
     }
 }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -8,9 +8,7 @@
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 
-/// A millisecond.
 pub const MILLISECOND: Micros = 1_000;
-/// A second.
 pub const SECOND: Micros = 1_000_000;
 
 /// The address of the member with this index.
@@ -35,8 +33,7 @@
     Datagram(Vec<u8>),
 }
 
-/// What happens to a member at a time. Events at the same time happen in the order in which they were
-/// scheduled.
+/// An event at one member. Events at the same time are handled in the order in which they were scheduled.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Event {
     at: Micros,
@@ -49,16 +46,17 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum ProcessState {
     Running,
-    /// Stopped until then; datagrams wait in its socket.
+    /// Stopped until this time; received datagrams wait in its socket.
     Paused(Micros),
     Killed,
 }
 
-/// A cluster of members.
+/// A simulated cluster: members, their processes and the network.
 pub struct Cluster {
     pub members: Vec<Membership>,
     pub processes: Vec<ProcessState>,
-    /// The share of datagrams lost from one member to another; 1 is a partition.
+    /// The probability that a datagram from one member to another is lost; 1 for both directions is a
+    /// partition.
     pub loss: Box<dyn Fn(usize, usize) -> f64>,
     pub now: Micros,
     events: BinaryHeap<Reverse<Event>>,
@@ -68,7 +66,7 @@
 }
 
 impl Cluster {
-    /// A cluster of `count` members that start within a second, with the first two as seeds.
+    /// A cluster of `count` members that start within one second; members 0 and 1 are the seeds of all.
     pub fn new(count: usize, seed: u64) -> Cluster {
         let mut cluster = Cluster {
             members: Vec::new(),
@@ -101,17 +99,15 @@
         self.events.push(Reverse(Event { at, sequence: self.event_count, member, kind }));
     }
 
-    /// Kills a member's process.
     pub fn kill(&mut self, index: usize) {
         self.processes[index] = ProcessState::Killed;
     }
 
-    /// Pauses a member's process.
     pub fn pause(&mut self, index: usize, duration: Micros) {
         self.processes[index] = ProcessState::Paused(self.now + duration);
     }
 
-    /// Starts a member again under its name and address, as another incarnation.
+    /// Starts a new process of a member, with the same name and address and another incarnation.
     pub fn restart(&mut self, index: usize, incarnation: u64) {
         let member = self.new_member(index, incarnation, self.now);
         self.members[index] = member;
@@ -120,7 +116,7 @@
         self.schedule(at, index, EventKind::Tick);
     }
 
-    /// Has a member leave the cluster.
+    /// Has a member send its leave broadcast, and ends its process.
     pub fn leave(&mut self, index: usize) {
         let datagrams = self.members[index].leave(self.now);
         self.send(index, datagrams);
@@ -129,7 +125,7 @@
 
     fn send(&mut self, from: usize, datagrams: Vec<OutgoingDatagram>) {
         for OutgoingDatagram { to, bytes } in datagrams {
-            assert!(bytes.len() < 1_400, "{} bytes", bytes.len());
+            assert!(bytes.len() < 1_400, "a datagram has {} bytes", bytes.len());
             let to = index_of(to);
             let is_lost = self.rng.f64() < (self.loss)(from, to);
             let at = self.now + self.rng.i64(MILLISECOND / 2..3 * MILLISECOND);
@@ -139,7 +135,7 @@
         }
     }
 
-    /// Runs the cluster until this time.
+    /// Handles all events up to `until`, and sets the clock to it.
     pub fn run(&mut self, until: Micros) {
         while self.events.peek().is_some_and(|event| event.0.at <= until) {
             let Some(Reverse(event)) = self.events.pop() else { return };
@@ -153,7 +149,8 @@
         let Event { at, member, kind, .. } = event;
         match (self.processes[member], kind) {
             (ProcessState::Killed, _) => {}
-            // Datagrams wait in the socket and are handled before anything else.
+            // Datagrams that arrive during a pause are handled at its end, before the tick, which is 1 us
+            // later.
             (ProcessState::Paused(end), EventKind::Datagram(bytes)) if end > at => {
                 self.schedule(end, member, EventKind::Datagram(bytes));
             }
@@ -167,7 +164,7 @@
 
     fn handle_datagram(&mut self, index: usize, bytes: &[u8]) {
         self.members[index].handle_datagram(self.now, bytes);
-        // After a pause all datagrams that wait are handled before the first tick.
+        // After a pause, all datagrams waiting in the socket are handled before the first tick.
         if self.processes[index] == ProcessState::Running {
             let datagrams = self.members[index].tick(self.now);
             self.send(index, datagrams);
@@ -182,28 +179,28 @@
         self.schedule(next, index, EventKind::Tick);
     }
 
-    /// What one member believes of another.
+    /// The state of the member `index` in the table of the member `observer`.
     pub fn state(&self, observer: usize, index: usize) -> Option<MemberState> {
         self.members[observer].member(address(index)).map(|member| member.state)
     }
 
-    /// Whether all running members believe this of another one.
+    /// Whether all other running members have the member `index` in this state.
     pub fn all_agree(&self, index: usize, state: MemberState) -> bool {
         self.running().all(|observer| observer == index || self.state(observer, index) == Some(state))
     }
 
-    /// The members that were not killed.
+    /// The indices of the members that were not killed, paused ones included.
     pub fn running(&self) -> impl Iterator<Item = usize> {
         (0..self.members.len()).filter(|&index| self.processes[index] != ProcessState::Killed)
     }
 
-    /// Whether all running members believe that all running members are alive, in their current incarnations.
+    /// Whether all running members consider all running members alive, in their current incarnations.
     pub fn is_converged(&self) -> bool {
         let ids: Vec<&MemberId> = self.running().map(|index| self.members[index].id()).collect();
-        self.running().all(|observer| ids.iter().all(|id| self.believes_alive(observer, id)))
+        self.running().all(|observer| ids.iter().all(|id| self.considers_alive(observer, id)))
     }
 
-    fn believes_alive(&self, observer: usize, id: &MemberId) -> bool {
+    fn considers_alive(&self, observer: usize, id: &MemberId) -> bool {
         let member = self.members[observer].member(id.address);
         member.is_some_and(|member| member.id == *id && member.state == MemberState::Alive)
     }
@@ -212,7 +209,11 @@
     /// `deadline`.
     pub fn run_until(&mut self, deadline: Micros, condition: impl Fn(&Cluster) -> bool) -> Micros {
         while !condition(self) {
-            assert!(self.now < deadline, "not by {} s", deadline / SECOND);
+            assert!(
+                self.now < deadline,
+                "the awaited condition does not hold after {} s of simulated time",
+                deadline / SECOND
+            );
             self.run(self.now + 100 * MILLISECOND);
         }
         self.now
--- a/crates/membership/tests/compatibility.rs
+++ b/crates/membership/tests/compatibility.rs
@@ -1,10 +1,11 @@
-//! Nodes of the previous version and of this one are members of the same cluster during a rolling upgrade:
-//! datagrams recorded from the previous version are understood, and the same inputs give the same bytes.
+//! Compatibility with the previous version: during a rolling upgrade nodes of both versions are members of
+//! one cluster. Datagrams recorded from the previous version are accepted, and the same inputs give the same
+//! bytes.
 
 use sorrelhaven_membership::{Member, MemberId, MemberState, Membership, Micros, OutgoingDatagram, Settings};
 use std::net::SocketAddr;
 
-/// The exchange as the previous version wrote it: each line is a [`Datagram`].
+/// The exchange recorded from the previous version: each line is a [`Datagram`].
 const RECORDED_EXCHANGE: &str = include_str!("fixtures/exchange.txt");
 const KEY: &[u8] = b"a key that all members share";
 const TICK_INTERVAL: Micros = 10_000;
@@ -26,18 +27,20 @@
 
 fn parse_datagram(line: &str) -> Datagram {
     let columns: Vec<&str> = line.split(' ').collect();
-    let [sender, sent_at, receiver, hex] = columns[..] else { panic!("four columns: {line}") };
+    let [sender, sent_at, receiver, hex] = columns[..] else {
+        panic!("a recorded datagram does not have four columns: {line}")
+    };
     Datagram {
         sender: sender.to_string(),
-        sent_at: sent_at.parse().expect("a time"),
-        receiver: receiver.parse().expect("an address"),
+        sent_at: sent_at.parse().expect("the second column is a time in microseconds"),
+        receiver: receiver.parse().expect("the third column is an address with a port"),
         bytes: hex.as_bytes().chunks(2).map(parse_hex_byte).collect(),
     }
 }
 
 fn parse_hex_byte(digits: &[u8]) -> u8 {
-    let digits = std::str::from_utf8(digits).expect("text");
-    u8::from_str_radix(digits, 16).expect("a hexadecimal number")
+    let digits = std::str::from_utf8(digits).expect("the recorded bytes are ASCII text");
+    u8::from_str_radix(digits, 16).expect("the recorded bytes are hexadecimal")
 }
 
 fn address(port: u16) -> SocketAddr {
@@ -48,7 +51,7 @@
     Settings { seeds, ..Settings::new(KEY.to_vec()) }
 }
 
-/// The member that asks its seed, and leaves at [`LEAVE_TIME`].
+/// The member that announces itself to its seed, and leaves at [`LEAVE_TIME`].
 fn member_a() -> Membership {
     Membership::new(
         MemberId::new("a", 1_700_000_000_000_001, address(7001)),
@@ -58,7 +61,7 @@
     )
 }
 
-/// The member that is the other's seed.
+/// The member that is the seed of member `a`.
 fn member_b() -> Membership {
     Membership::new(MemberId::new("b", 1_700_000_000_000_002, address(7002)), settings(vec![]), 2, 0)
 }
@@ -90,7 +93,7 @@
             let state = state_of_a(&member).map(|member| member.state);
             assert!(
                 matches!(state, Some(MemberState::Alive | MemberState::Left)),
-                "{state:?} before it left"
+                "member a is {state:?} before its leave message"
             );
         }
         member.handle_datagram(now, &datagram.bytes);
@@ -99,7 +102,7 @@
         now += TICK_INTERVAL;
         member.tick(now);
     }
-    let left = state_of_a(&member).expect("a member that was heard of");
+    let left = state_of_a(&member).expect("member a is in the table");
     assert_eq!(left.id, MemberId::new("a", 1_700_000_000_000_001, address(7001)));
     assert_eq!(left.state, MemberState::Left);
     let metrics = member.metrics();
