--- a/crates/deferred-jobs/src/add_error.rs
+++ b/crates/deferred-jobs/src/add_error.rs
@@ -1,29 +1,31 @@
-//! Why a job is not accepted.
+//! Why a job is not added to the dependency graph.
 
 use crate::dependency_graph::{JobName, JobOutcome};
 use std::error::Error;
 use std::fmt;
 
-/// Why a job is not accepted.
+/// Why a job is not added to the dependency graph.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AddError {
-    /// It would wait for itself: the names along the cycle, from the job back to it.
+    /// It would depend on itself. The names are those along the cycle, from the job back to itself.
     Cycle(Vec<JobName>),
-    /// A job of this name is known, or its end is still remembered.
+    /// A job of this name has not concluded, or its outcome is still remembered.
     Duplicate,
-    /// As many jobs are known as may be.
+    /// [`Limits::max_jobs`](crate::Limits::max_jobs) jobs have not concluded.
     TooManyJobs,
-    /// It depends on more jobs than one may.
+    /// It has more than [`Limits::max_dependencies`](crate::Limits::max_dependencies) unserved dependencies.
     TooManyDependencies,
-    /// It would be on a longer chain of dependencies than there may be.
+    /// It would be on a chain of more than [`Limits::max_chain_length`](crate::Limits::max_chain_length)
+    /// jobs.
     ChainTooLong,
-    /// It depends on a name that is not known here, and such names are rejected, or too many are awaited.
+    /// It depends on this unknown name, and [`Limits::unknown_names`](crate::Limits::unknown_names) rejects
+    /// such names or too many are awaited already.
     UnknownName(JobName),
-    /// A job that it depends on has ended without being served.
+    /// A job that it depends on has concluded without being served.
     DependencyFailed {
-        /// The job that has ended.
+        /// The job that has concluded.
         dependency: JobName,
-        /// How it ended.
+        /// Its outcome.
         outcome: JobOutcome,
     },
 }
@@ -32,15 +34,15 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             AddError::Cycle(names) => {
-                write!(formatter, "the job would wait for itself: {}", names.join(" -> "))
+                write!(formatter, "the job would depend on itself: {}", names.join(" -> "))
             }
-            AddError::Duplicate => write!(formatter, "a job of this name is known"),
-            AddError::TooManyJobs => write!(formatter, "too many jobs are known"),
+            AddError::Duplicate => write!(formatter, "a job of this name was added before"),
+            AddError::TooManyJobs => write!(formatter, "too many jobs have not concluded"),
             AddError::TooManyDependencies => write!(formatter, "the job has too many dependencies"),
             AddError::ChainTooLong => write!(formatter, "the chain of dependencies would be too long"),
-            AddError::UnknownName(name) => write!(formatter, "no job {name:?} is known"),
+            AddError::UnknownName(name) => write!(formatter, "the job depends on the unknown job {name:?}"),
             AddError::DependencyFailed { dependency, outcome } => {
-                write!(formatter, "the job {dependency:?} has ended: {outcome:?}")
+                write!(formatter, "the job depends on {dependency:?}, which was not served: {outcome:?}")
             }
         }
     }
--- a/crates/deferred-jobs/src/dependency_graph.rs
+++ b/crates/deferred-jobs/src/dependency_graph.rs
@@ -1,8 +1,8 @@
-//! Which job waits for which. No I/O, no clock.
+//! The dependency graph: which job waits for which.
 //!
-//! A job may wait for several others and is released once all of them were served. If one of them ends in any
-//! other way, all jobs that wait for it, directly or not, are rejected at once, each with the name of the job
-//! whose end was the cause.
+//! A job may depend on several others, and is released once all of them were served. If one of them has
+//! another outcome, all its direct and indirect dependents are rejected at once, each with the name of the
+//! job whose outcome was the cause.
 
 use crate::add_error::AddError;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
@@ -11,84 +11,85 @@
 /// A job's name, its request id.
 pub type JobName = Rc<str>;
 
-/// How a job that others may wait for has ended.
+/// The outcome of a job that others may depend on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum JobOutcome {
     /// A worker returned its result.
     Served,
     /// It was rejected: it never ran, or a retry is harmless.
     Rejected,
-    /// It failed and may have run. Jobs that wait for it are not released, as it may or may not have taken
+    /// It failed and may have run. Its dependents are not released, because it is not known whether it took
     /// effect.
     MayHaveRun,
-    /// Its client disconnected, or withdrew it, before it was sent.
+    /// Its client disconnected, or cancelled it, before it was sent.
     Cancelled,
 }
 
-/// What becomes of a job that depends on a name which is not known here. Nodes share nothing: another may
-/// know it.
+/// How to treat a job that depends on a name of which this node has no job and remembers no outcome. Nodes
+/// share no state: another node may know the name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnknownNamePolicy {
-    /// It is rejected.
+    /// [`DependencyGraph::add`] rejects it.
     Reject,
     /// It waits until a job of that name is added.
     Await {
-        /// Names that may be awaited at once.
+        /// The number of names without a job that may be awaited at once.
         max_names: usize,
     },
 }
 
-/// The limits of a graph.
+/// The limits of a [`DependencyGraph`].
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Jobs that were added and have not ended.
+    /// Jobs that were added and have not concluded.
     pub max_jobs: usize,
-    /// Dependencies of one job.
+    /// Different dependencies of one job that were not served yet.
     pub max_dependencies: usize,
     /// Jobs on the longest chain of dependencies.
     pub max_chain_length: usize,
-    /// Ended jobs whose end is remembered, the latest.
+    /// Concluded jobs whose outcome is remembered; the oldest is forgotten first.
     pub max_remembered_outcomes: usize,
-    /// What becomes of a dependency on a name that is not known.
+    /// How to treat a dependency on an unknown name.
     pub unknown_names: UnknownNamePolicy,
 }
 
-/// Whether an accepted job can be sent.
+/// Whether an added job can be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// It waits for nothing.
+    /// All its dependencies were served.
     Ready,
-    /// It waits for other jobs.
+    /// At least one of its dependencies was not served yet.
     Waiting,
 }
 
-/// What the end of a job means for one that waited.
+/// What the outcome of a job means for one of its dependents.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DependentUpdate {
     /// All its dependencies were served.
     Released(JobName),
-    /// It can't be served any more.
+    /// One of its direct or indirect dependencies was not served.
     Rejected {
         /// The job that is rejected.
         job: JobName,
-        /// The job whose end is the cause.
+        /// The job whose outcome is the cause.
         cause: JobName,
-        /// How that job ended.
+        /// The outcome of that job.
         outcome: JobOutcome,
     },
 }
 
+/// An added job, or a name that added jobs await.
 #[derive(Default)]
 struct Node {
-    /// Whether the job was added; if not, its name is only awaited.
+    /// Whether the job was added; if not, its name is awaited.
     is_added: bool,
-    /// What it depends on and was not served yet.
+    /// Its dependencies that were not served yet.
     dependencies: HashSet<JobName>,
     /// The jobs that depend on it, in the order in which they were added.
     dependents: Vec<JobName>,
 }
 
-/// All jobs that wait, or are waited for.
+/// All jobs that were added and have not concluded, and the names that they await.
 pub struct DependencyGraph {
     limits: Limits,
     nodes: HashMap<JobName, Node>,
@@ -111,22 +112,23 @@
         }
     }
 
-    /// The number of jobs that were added and have not ended.
+    /// The number of jobs that were added and have not concluded.
     pub fn len(&self) -> usize {
         self.added_count
     }
 
-    /// Whether there are no such jobs.
+    /// Whether all added jobs have concluded.
     pub fn is_empty(&self) -> bool {
         self.added_count == 0
     }
 
-    /// How a job has ended, if that is still remembered.
+    /// The outcome of a concluded job, if it is still remembered.
     pub fn outcome_of(&self, name: &str) -> Option<JobOutcome> {
         self.remembered_outcomes.get(name).copied()
     }
 
-    /// The sorted names of the jobs that a job still waits for; `None` if no such job was added.
+    /// The sorted names of a job's dependencies that were not served yet; `None` if the job was not added or
+    /// has concluded.
     pub fn pending_dependencies(&self, name: &str) -> Option<Vec<JobName>> {
         let node = self.nodes.get(name).filter(|node| node.is_added)?;
         let mut names: Vec<JobName> = node.dependencies.iter().cloned().collect();
@@ -134,10 +136,10 @@
         Some(names)
     }
 
-    /// Adds a job that waits for `dependencies`.
+    /// Adds a job that depends on `dependencies`.
     ///
     /// # Errors
-    /// Why it is not accepted; the graph has not changed then.
+    /// Why the job is not added. The graph is unchanged then.
     pub fn add(&mut self, name: &JobName, dependencies: &[JobName]) -> Result<Readiness, AddError> {
         if self.remembered_outcomes.contains_key(name)
             || self.nodes.get(name).is_some_and(|node| node.is_added)
@@ -168,7 +170,7 @@
         Ok(pending)
     }
 
-    /// Checks all limits on the dependencies of a new job.
+    /// Checks that a new job closes no cycle and that its dependencies are within all limits.
     fn check_dependencies(&self, name: &JobName, pending: &[JobName]) -> Result<(), AddError> {
         if pending.len() > self.limits.max_dependencies {
             return Err(AddError::TooManyDependencies);
@@ -177,7 +179,8 @@
             return Err(AddError::Cycle(cycle));
         }
         self.check_unknown_names(name, pending)?;
-        if self.chain_length_above(pending) + 1 + self.chain_length_below(name) > self.limits.max_chain_length
+        if self.dependency_chain_length(pending) + 1 + self.dependent_chain_length(name)
+            > self.limits.max_chain_length
         {
             return Err(AddError::ChainTooLong);
         }
@@ -188,7 +191,7 @@
         let unknown: Vec<&JobName> =
             pending.iter().filter(|other| !self.nodes.contains_key(*other)).collect();
         let Some(first) = unknown.first() else { return Ok(()) };
-        // The new job's own name is no longer only awaited once it is added.
+        // The new job's own name, if it is awaited now, is not any more once the job is added.
         let own_name = usize::from(self.nodes.contains_key(name));
         let awaited = self.nodes.len() - self.added_count - own_name;
         let max_awaited = match self.limits.unknown_names {
@@ -213,39 +216,40 @@
         readiness
     }
 
-    /// Records that a job has ended, or that a name that is only awaited is given up. Returns what that means
-    /// for the jobs that waited for it, the nearest first.
+    /// Records the outcome of a job, or gives up an awaited name with this outcome. Returns what that means
+    /// for its dependents, the direct ones first.
     pub fn conclude(&mut self, name: &JobName, outcome: JobOutcome) -> Vec<DependentUpdate> {
-        let mut consequences = Vec::new();
-        let mut concluded = VecDeque::from([(name.clone(), outcome)]);
-        while let Some((ended_name, ended_as)) = concluded.pop_front() {
-            let Some(node) = self.nodes.remove(&ended_name) else { continue };
+        let mut updates = Vec::new();
+        let mut unprocessed = VecDeque::from([(name.clone(), outcome)]);
+        while let Some((concluded_name, concluded_outcome)) = unprocessed.pop_front() {
+            let Some(node) = self.nodes.remove(&concluded_name) else { continue };
             self.added_count -= usize::from(node.is_added);
-            self.detach_from_dependencies(&ended_name, &node);
-            self.remember(&ended_name, ended_as);
+            self.detach_from_dependencies(&concluded_name, &node);
+            self.remember_outcome(&concluded_name, concluded_outcome);
             for dependent in node.dependents {
                 let Some(waiting) = self.nodes.get_mut(&dependent) else { continue };
-                if ended_as == JobOutcome::Served {
-                    waiting.dependencies.remove(&ended_name);
+                if concluded_outcome == JobOutcome::Served {
+                    waiting.dependencies.remove(&concluded_name);
                     if waiting.dependencies.is_empty() {
-                        consequences.push(DependentUpdate::Released(dependent));
+                        updates.push(DependentUpdate::Released(dependent));
                     }
-                } else if !concluded.iter().any(|(other, _)| *other == dependent) {
-                    // Indirect dependents get the name of the first cause, not that of their own dependency.
-                    consequences.push(DependentUpdate::Rejected {
+                } else if !unprocessed.iter().any(|(other, _)| *other == dependent) {
+                    // Indirect dependents, too, get the name of the job that concluded first as their cause,
+                    // not that of their own dependency.
+                    updates.push(DependentUpdate::Rejected {
                         job: dependent.clone(),
                         cause: name.clone(),
                         outcome,
                     });
-                    concluded.push_back((dependent, JobOutcome::Rejected));
+                    unprocessed.push_back((dependent, JobOutcome::Rejected));
                 }
             }
         }
-        consequences
+        updates
     }
 
-    /// Removes an ended job from the dependents of what it waited for, and names that nothing awaits any
-    /// more.
+    /// Removes a concluded job from the dependents of its dependencies, and removes names that no job awaits
+    /// any more.
     fn detach_from_dependencies(&mut self, name: &JobName, node: &Node) {
         for dependency in &node.dependencies {
             if let Some(dependency_node) = self.nodes.get_mut(dependency) {
@@ -257,7 +261,7 @@
         }
     }
 
-    fn remember(&mut self, name: &JobName, outcome: JobOutcome) {
+    fn remember_outcome(&mut self, name: &JobName, outcome: JobOutcome) {
         if self.limits.max_remembered_outcomes == 0 {
             return;
         }
@@ -270,13 +274,15 @@
         self.remembered_outcomes.insert(name.clone(), outcome);
     }
 
-    /// The cycle that a new job would close. Only a name that is awaited already can close one.
+    /// The cycle that a new job would close. Apart from a job that depends on itself, only one whose name is
+    /// awaited already can close one.
     fn find_cycle(&self, name: &JobName, pending: &[JobName]) -> Option<Vec<JobName>> {
         if pending.contains(name) {
             return Some(vec![name.clone(), name.clone()]);
         }
         self.nodes.get(name)?;
-        // A breadth-first search along the dependencies; each name that was reached, and from where.
+        // A breadth-first search along the dependencies: maps each reached name to the one it was reached
+        // from.
         let mut reached_from: BTreeMap<JobName, JobName> =
             pending.iter().map(|dependency| (dependency.clone(), name.clone())).collect();
         let mut frontier: VecDeque<JobName> = pending.iter().cloned().collect();
@@ -295,30 +301,30 @@
     }
 
     /// The number of jobs on the longest chain of dependencies that begins with one of `pending`.
-    fn chain_length_above(&self, pending: &[JobName]) -> usize {
+    fn dependency_chain_length(&self, pending: &[JobName]) -> usize {
         self.chain_length(pending.to_vec(), |node| node.dependencies.iter().cloned().collect())
     }
 
-    /// The number of jobs on the longest chain that waits for `name`.
-    fn chain_length_below(&self, name: &JobName) -> usize {
+    /// The number of jobs on the longest chain of dependents of `name`.
+    fn dependent_chain_length(&self, name: &JobName) -> usize {
         let dependents = self.nodes.get(name).map_or(Vec::new(), |node| node.dependents.clone());
         self.chain_length(dependents, |node| node.dependents.clone())
     }
 
-    /// The number of names on the longest path from one of `first` along `next`. There are no cycles; the
-    /// search stops beyond the limit.
+    /// The number of names on the longest path from one of `first` along `next`, or just over the limit if it
+    /// is longer. The graph has no cycles.
     fn chain_length(&self, first: Vec<JobName>, next: impl Fn(&Node) -> Vec<JobName>) -> usize {
         let mut length = 0;
-        let mut layer: HashSet<JobName> = first.into_iter().collect();
-        while !layer.is_empty() && length <= self.limits.max_chain_length {
+        let mut level: HashSet<JobName> = first.into_iter().collect();
+        while !level.is_empty() && length <= self.limits.max_chain_length {
             length += 1;
-            layer = layer.iter().filter_map(|name| self.nodes.get(name)).flat_map(&next).collect();
+            level = level.iter().filter_map(|name| self.nodes.get(name)).flat_map(&next).collect();
         }
         length
     }
 }
 
-/// The cycle from `name` to itself whose last step but one is `last`.
+/// The cycle from `name` back to itself whose last dependency is that of `last` on `name`.
 fn trace_cycle(name: &JobName, last: &JobName, reached_from: &BTreeMap<JobName, JobName>) -> Vec<JobName> {
     let mut cycle = vec![name.clone(), last.clone()];
     while let Some(previous) = reached_from.get(&cycle[cycle.len() - 1]).filter(|previous| *previous != name)
--- a/crates/deferred-jobs/src/lib.rs
+++ b/crates/deferred-jobs/src/lib.rs
@@ -1,11 +1,12 @@
-//! Jobs that wait for other jobs or for a time: the decisions, without I/O or clock.
+//! Deferred jobs, which wait for other jobs or for a time: when to release which. This crate does no I/O and
+//! reads no clock.
 //!
 //! | file | concern |
 //! | --- | --- |
-//! | `dependency_graph` | which job waits for which, and what the end of one means for the others |
-//! | `add_error` | why a job is not accepted |
-//! | `release_queue` | the order of due jobs, and each tenant's share |
-//! | `release_window` | how many released jobs may be in progress |
+//! | `dependency_graph` | which job waits for which, and what a job's outcome means for its dependents |
+//! | `add_error` | why a job is not added |
+//! | `release_queue` | the order in which due jobs are released: priority aging and tenant shares |
+//! | `release_window` | how many released jobs may be in progress, by the load of the workers |
 //!
 //! ```
 //! use sorrelhaven_deferred_jobs::{
@@ -22,8 +23,8 @@
 //! let mut graph = DependencyGraph::new(limits);
 //! assert_eq!(graph.add(&"fee".into(), &[]), Ok(Readiness::Ready));
 //! assert_eq!(graph.add(&"licence".into(), &["fee".into()]), Ok(Readiness::Waiting));
-//! let consequences = graph.conclude(&"fee".into(), JobOutcome::Served);
-//! assert_eq!(consequences, [DependentUpdate::Released("licence".into())]);
+//! let updates = graph.conclude(&"fee".into(), JobOutcome::Served);
+//! assert_eq!(updates, [DependentUpdate::Released("licence".into())]);
 //! ```
 
 mod add_error;
--- a/crates/deferred-jobs/src/release_queue.rs
+++ b/crates/deferred-jobs/src/release_queue.rs
@@ -1,100 +1,104 @@
-//! In which order due jobs are released. No I/O, time passed in.
+//! The order in which due jobs are released.
 //!
-//! *Order.* A job's priority rises by one with each `aging_interval` that it has waited. As all rise alike, the
-//! order of two jobs never changes: a job of priority `p` that was due at `d` has the effective due time
-//! `d - p * aging_interval`. A job due at `d` can so be overtaken only by jobs due before
-//! `d + max_priority * aging_interval`.
+//! *Priority aging.* A job's priority rises by one for each `aging_interval` that it has waited. All waiting
+//! jobs age at the same rate, so the order of two jobs never changes: a job of priority `p` that was due at
+//! `d` has the effective due time `d - p * aging_interval`. Only jobs due before `d + max_priority *
+//! aging_interval` can overtake a job due at `d`.
 //!
-//! *Shares.* Each tenant has its own queue. The next job is taken from the tenant that has had the fewest
-//! releases, by its weight, while it had jobs. A tenant that was idle has no claim on the past: it starts
-//! level with the others.
+//! *Tenant shares.* This is start-time fair queueing. Each tenant has its own queue and a virtual start time,
+//! which advances with each release by the inverse of the tenant's weight. The next job is taken from the
+//! tenant with the lowest virtual start time. A tenant gets no credit for the time that it was idle: its
+//! virtual start time is raised to the queue's virtual time.
 
 use crate::release_window::{ReleaseOutcome, ReleaseWindow, WindowLimits};
 use std::collections::BTreeSet;
 
-/// A point in time, or a length of it, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = i64;
 
-/// A job that is due, numbered by the caller.
+/// The number of a due job, chosen by the caller. Of a tenant's jobs with the same effective due time the one
+/// with the lowest number is released first.
 pub type JobId = u64;
 
-/// The rules of a queue.
+/// The rules by which a [`ReleaseQueue`] releases jobs.
 #[derive(Clone, Debug)]
 pub struct ReleaseRules {
-    /// A job's priority rises by one with each of these that it has waited.
+    /// A waiting job's priority rises by one for each interval of this length.
     pub aging_interval: Micros,
-    /// The highest priority; a higher one counts as this.
+    /// The highest priority at enqueueing; a higher one counts as this.
     pub max_priority: u32,
-    /// The weight of each tenant, at least 1.
+    /// The weight of each tenant, by its index; 0 counts as 1.
     pub tenant_weights: Vec<u32>,
-    /// The range of the window of released jobs in progress.
+    /// The range of the number of released jobs in progress.
     pub window: WindowLimits,
 }
 
-/// The place of a job in its tenant's queue.
+/// The sort key of a job in its tenant's queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
-    effective_due: Micros,
+    effective_due_at: Micros,
     id: JobId,
 }
 
 #[derive(Debug, Default)]
 struct TenantQueue {
     jobs: BTreeSet<QueueKey>,
-    /// Releases so far, divided by the tenant's weight.
-    weighted_releases: f64,
+    /// Releases divided by the tenant's weight, and raised to the queue's virtual time after the tenant was
+    /// idle.
+    virtual_start: f64,
 }
 
-/// All jobs that are due and not released.
+/// All due jobs that were not released.
 #[derive(Debug)]
 pub struct ReleaseQueue {
     rules: ReleaseRules,
     tenants: Vec<TenantQueue>,
     waiting: usize,
     window: ReleaseWindow,
-    /// The weighted releases of the tenant that was chosen last: where idle ones start again.
-    level: f64,
+    /// The virtual start time of the last released job; a tenant that was idle starts at this or later.
+    virtual_time: f64,
 }
 
 impl ReleaseQueue {
-    /// An empty queue; its window is the smallest.
+    /// An empty queue with the smallest window.
     pub fn new(rules: ReleaseRules) -> ReleaseQueue {
         let tenants = rules.tenant_weights.iter().map(|_| TenantQueue::default()).collect();
         let window = ReleaseWindow::new(rules.window);
-        ReleaseQueue { rules, tenants, waiting: 0, window, level: 0.0 }
+        ReleaseQueue { rules, tenants, waiting: 0, window, virtual_time: 0.0 }
     }
 
-    /// A job that falls due more than this after another of its tenant never overtakes it.
+    /// The longest time between the due times of two jobs of a tenant at which the later one may be released
+    /// first.
     pub fn overtaking_limit(&self) -> Micros {
         self.rules.aging_interval.saturating_mul(i64::from(self.rules.max_priority))
     }
 
-    /// Adds a job that falls due. A tenant out of range counts as the last.
-    pub fn enqueue(&mut self, due: Micros, id: JobId, tenant: usize, priority: u32) {
-        let key = self.queue_key(due, id, priority);
-        let level = self.level;
+    /// Adds a due job. A tenant index out of range counts as the last tenant.
+    pub fn enqueue(&mut self, due_at: Micros, id: JobId, tenant: usize, priority: u32) {
+        let key = self.queue_key(due_at, id, priority);
+        let virtual_time = self.virtual_time;
         let Some(queue) = self.tenant_queue(tenant) else { return };
         if queue.jobs.is_empty() {
-            queue.weighted_releases = queue.weighted_releases.max(level);
+            queue.virtual_start = queue.virtual_start.max(virtual_time);
         }
         if queue.jobs.insert(key) {
             self.waiting += 1;
         }
     }
 
-    /// Removes a job that was not released, by what it was added with; false if it is not in the queue.
-    pub fn remove(&mut self, due: Micros, id: JobId, tenant: usize, priority: u32) -> bool {
-        let key = self.queue_key(due, id, priority);
+    /// Removes a job by the arguments with which it was enqueued; returns false if it is not in the queue.
+    pub fn remove(&mut self, due_at: Micros, id: JobId, tenant: usize, priority: u32) -> bool {
+        let key = self.queue_key(due_at, id, priority);
         let Some(queue) = self.tenant_queue(tenant) else { return false };
         let found = queue.jobs.remove(&key);
         self.waiting -= usize::from(found);
         found
     }
 
-    fn queue_key(&self, due: Micros, id: JobId, priority: u32) -> QueueKey {
+    fn queue_key(&self, due_at: Micros, id: JobId, priority: u32) -> QueueKey {
         let priority = i64::from(priority.min(self.rules.max_priority));
         let advance = self.rules.aging_interval.saturating_mul(priority);
-        QueueKey { effective_due: due.saturating_sub(advance), id }
+        QueueKey { effective_due_at: due_at.saturating_sub(advance), id }
     }
 
     fn tenant_queue(&mut self, tenant: usize) -> Option<&mut TenantQueue> {
@@ -102,34 +106,34 @@
         self.tenants.get_mut(tenant.min(last))
     }
 
-    /// Releases the next job, if there is one and the window has room.
+    /// Releases the next job; `None` if no job is waiting or the window is full.
     pub fn release_next(&mut self) -> Option<JobId> {
         if !self.window.has_room() {
             return None;
         }
         let with_jobs = self.tenants.iter_mut().enumerate().filter(|(_, queue)| !queue.jobs.is_empty());
         let (tenant, queue) = with_jobs.min_by(|(left_tenant, left), (right_tenant, right)| {
-            left.weighted_releases.total_cmp(&right.weighted_releases).then(left_tenant.cmp(right_tenant))
+            left.virtual_start.total_cmp(&right.virtual_start).then(left_tenant.cmp(right_tenant))
         })?;
         let released = queue.jobs.pop_first()?;
-        self.level = queue.weighted_releases;
-        queue.weighted_releases += 1.0 / f64::from(self.rules.tenant_weights[tenant].max(1));
+        self.virtual_time = queue.virtual_start;
+        queue.virtual_start += 1.0 / f64::from(self.rules.tenant_weights[tenant].max(1));
         self.waiting -= 1;
         self.window.record_release();
         Some(released.id)
     }
 
-    /// Records the end of a released job.
+    /// Records the outcome of a released job, which is then no longer in progress, and adapts the window.
     pub fn record_outcome(&mut self, outcome: ReleaseOutcome) {
         self.window.record_outcome(outcome);
     }
 
-    /// The number of jobs that are due and not released.
+    /// The number of due jobs that were not released.
     pub fn waiting_count(&self) -> usize {
         self.waiting
     }
 
-    /// The number of released jobs that may be in progress at once.
+    /// The number of released jobs that may be in progress at once; rounded down when it is applied.
     pub fn window_size(&self) -> f64 {
         self.window.size()
     }
--- a/crates/deferred-jobs/tests/release_queue.rs
+++ b/crates/deferred-jobs/tests/release_queue.rs
@@ -1,4 +1,4 @@
-//! Order, tenant shares and window on a simulated clock.
+//! Release order, tenant shares and window size on a simulated clock.
 
 use proptest::prelude::{prop, prop_assert, prop_assert_eq};
 use sorrelhaven_deferred_jobs::{ReleaseOutcome, ReleaseQueue, ReleaseRules, WindowLimits};
@@ -17,7 +17,7 @@
     }
 }
 
-/// A job is released before every job of its tenant that fell due more than the limit after it.
+/// A job is released before every job of its tenant that falls due more than the overtaking limit after it.
 #[test]
 fn no_job_overtakes_one_that_was_due_longer_before_it_than_the_limit() {
     let jobs = prop::collection::vec((0..3_000i64, 0usize..3, 0u32..8), 1..120);
@@ -39,13 +39,18 @@
             }
             now += interval as i64 * 7 * MS;
         }
-        prop_assert_eq!(released.len(), jobs.len(), "each is released once");
+        prop_assert_eq!(released.len(), jobs.len(), "a job was not released exactly once");
         let position: BTreeMap<usize, usize> =
             released.iter().enumerate().map(|(position, job)| (*job, position)).collect();
         for (old_index, old) in jobs.iter().enumerate() {
             for (new_index, new) in jobs.iter().enumerate() {
                 if old.1 == new.1 && new.0 * MS > old.0 * MS + limit {
-                    prop_assert!(position[&old_index] < position[&new_index], "{:?} before {:?}", new, old);
+                    prop_assert!(
+                        position[&old_index] < position[&new_index],
+                        "{:?} was released before {:?}",
+                        new,
+                        old
+                    );
                 }
             }
         }
@@ -66,14 +71,17 @@
         let id = queue.release_next().expect("the window has room");
         queue.record_outcome(ReleaseOutcome::InTime);
         if id == 0 {
-            assert!(now <= queue.overtaking_limit() + MS, "after {now} us");
+            assert!(
+                now <= queue.overtaking_limit() + MS,
+                "the low-priority job was released only after {now} us"
+            );
             return;
         }
     }
-    panic!("the job starves");
+    panic!("the low-priority job was never released");
 }
 
-/// Each tenant has its share by weight while it has jobs; one that was idle starts level.
+/// Tenants that have jobs share the releases by weight; a tenant that was idle gets no credit for that time.
 #[test]
 fn tenants_are_released_by_their_weights() {
     let mut queue = ReleaseQueue::new(ReleaseRules { tenant_weights: vec![1, 1, 3], ..rules(3, 1e6, 1e6) });
@@ -89,7 +97,7 @@
     let count_releases = |queue: &mut ReleaseQueue, count: usize| {
         let mut counts = [0; 3];
         for _ in 0..count {
-            counts[queue.release_next().expect("there are more jobs") as usize % 10] += 1;
+            counts[queue.release_next().expect("jobs are waiting") as usize % 10] += 1;
         }
         counts
     };
@@ -102,8 +110,8 @@
     );
 }
 
-/// The window finds the capacity of the workers and stays near it: 5,000 jobs are due at once, and the
-/// workers serve 40 at a time and reject the rest.
+/// The window converges to the capacity of the workers: 5,000 jobs are due at once, and the workers serve 40
+/// at a time and reject the rest.
 #[test]
 fn the_window_follows_the_capacity_of_the_workers() {
     let mut queue = ReleaseQueue::new(rules(4, 4.0, 1_000.0));
@@ -116,9 +124,9 @@
             in_progress += 1;
         }
         widest = widest.max(queue.window_size());
-        // In one round 40 jobs are in time, and those beyond them are rejected.
-        let ends = std::mem::take(&mut in_progress);
-        for number in 0..ends {
+        // In each round 40 jobs are served in time, and the others are rejected.
+        let released = std::mem::take(&mut in_progress);
+        for number in 0..released {
             queue.record_outcome(if number < 40 {
                 ReleaseOutcome::InTime
             } else {
@@ -128,14 +136,14 @@
         }
         rounds += 1;
     }
-    assert!(widest < 60.0, "{widest}");
-    assert!(rejected < 500, "{rejected} of 5,000 rejected");
-    assert!(rounds < 5_000 / 40 * 2, "{rounds} rounds, where 125 would be the least");
+    assert!(widest < 60.0, "the window grew to {widest} jobs");
+    assert!(rejected < 500, "{rejected} of 5,000 jobs were rejected");
+    assert!(rounds < 5_000 / 40 * 2, "{rounds} rounds, and 125 are the minimum");
 }
 
-/// A withdrawn job is not released; it is found by what it was added with.
+/// A removed job is not released, and can't be removed again.
 #[test]
-fn a_withdrawn_job_is_not_released() {
+fn a_removed_job_is_not_released() {
     let mut queue = ReleaseQueue::new(rules(2, 9.0, 9.0));
     queue.enqueue(5, 1, 1, 9);
     queue.enqueue(5, 2, 1, 9);
