--- a/crates/deferred-jobs/src/add_error.rs
+++ b/crates/deferred-jobs/src/add_error.rs
@@ -25,7 +25,7 @@
     DependencyFailed {
         /// The job that has concluded.
         dependency: JobName,
-        /// Its outcome.
+        /// Its outcome, which is not [`JobOutcome::Served`].
         outcome: JobOutcome,
     },
 }
--- a/crates/deferred-jobs/src/dependency_graph.rs
+++ b/crates/deferred-jobs/src/dependency_graph.rs
@@ -73,7 +73,7 @@
         job: JobName,
         /// The job whose outcome is the cause.
         cause: JobName,
-        /// The outcome of that job.
+        /// The outcome of that job, which is not [`JobOutcome::Served`].
         outcome: JobOutcome,
     },
 }
--- a/crates/membership/examples/table.rs
+++ b/crates/membership/examples/table.rs
@@ -161,8 +161,8 @@
         let times = scope.spawn(move || measure_detection(count));
         let runs = CONDITIONS.map(|condition| scope.spawn(move || measure_steady_state(count, condition)));
         (
-            times.join().expect("a measurement panicked"),
-            runs.map(|run| run.join().expect("a measurement panicked")),
+            times.join().expect("the measurement does not panic"),
+            runs.map(|run| run.join().expect("the measurement does not panic")),
         )
     })
 }
@@ -194,6 +194,6 @@
         measured.push(times);
     }
     if let Some(path) = std::env::var_os("SVG") {
-        std::fs::write(path, plot(&measured)).expect("the file named by SVG cannot be written");
+        std::fs::write(path, plot(&measured)).expect("the file named by SVG is writable");
     }
 }
