--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -43,7 +43,7 @@
     pub number: usize,
     /// The node to which the client connects.
     pub node: &'a NodeHistory,
-    /// The records of all clients.
+    /// Where this client records its requests, answers and lost requests.
     pub records: &'a ClientRecords,
     /// Determines the requests, pauses and disconnects of this client.
     pub rng: Rng,
--- a/crates/test-support/src/fake_workers.rs
+++ b/crates/test-support/src/fake_workers.rs
@@ -32,7 +32,7 @@
 struct State {
     /// The behaviours for the next requests, on any worker.
     script: VecDeque<WorkerBehavior>,
-    /// The behaviour of workers without one of their own, once the script has ended.
+    /// The behaviour of all workers that `worker_behaviors` does not name, once the script has ended.
     default_behavior: Option<WorkerBehavior>,
     /// The behaviour of single workers once the script has ended, by worker number.
     worker_behaviors: HashMap<usize, WorkerBehavior>,
--- a/crates/test-support/src/fault_proxy.rs
+++ b/crates/test-support/src/fault_proxy.rs
@@ -157,8 +157,8 @@
         FaultProxy::start(process_count, seed, Addressing::PerPair)
     }
 
-    /// As [`FaultProxy::new`], but with one address for each process, which other processes may tell each
-    /// other. The source address identifies the sender: each process must be registered with
+    /// As [`FaultProxy::new`], but with one address for each process, so that processes may send addresses to
+    /// each other. The source address identifies the sender: each process must be registered with
     /// [`FaultProxy::register_listener`] before it sends, and send from the address at which it listens.
     ///
     /// # Errors
