--- a/crates/config/src/hosts.rs
+++ b/crates/config/src/hosts.rs
@@ -21,9 +21,8 @@
 
 /// One worker of a [`DiscoveryList`].
 #[derive(Clone, Debug, Deserialize)]
-// Keeps the text of errors about a value of another type, which names the type.
-#[serde(expecting = "struct DiscoveryHost")]
-pub struct DiscoveryWorker {
+// Serde prints this type's name in errors, so a new name would change the output of `sorrelhaven check`.
+pub struct DiscoveryHost {
     /// The worker's name, which is the same in the lists of all nodes.
     #[serde(rename = "host")]
     pub name: String,
@@ -64,7 +63,7 @@
     pub complete: bool,
     /// All workers, or those that have changed.
     #[serde(rename = "hosts")]
-    pub workers: Vec<DiscoveryWorker>,
+    pub workers: Vec<DiscoveryHost>,
 }
 
 /// The names of zones and kinds of machine in the settings. Discovery refers to them by name, and the
@@ -90,7 +89,7 @@
     }
 
     /// Checks that each worker has an address, and a zone and kind that are in the settings. See
-    /// [`DiscoveryWorker::entry`] for the exceptions.
+    /// [`DiscoveryHost::entry`] for the exceptions.
     ///
     /// # Errors
     /// The error of the first invalid worker. It names the key at fault.
@@ -102,7 +101,7 @@
     }
 }
 
-impl DiscoveryWorker {
+impl DiscoveryHost {
     /// Converts the worker to the dispatcher's form, under the id `worker`.
     ///
     /// # Errors
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -32,7 +32,7 @@
 pub use body_settings::{BodyFiles, BodyMemory, BodySettings, NotStoredPolicy};
 pub use config::Config;
 pub use error::{ConfigError, ConfigErrors};
-pub use hosts::{DiscoveryList, DiscoveryWorker, WorkerHealth, ZoneAndKindNames, stable_hash};
+pub use hosts::{DiscoveryHost, DiscoveryList, WorkerHealth, ZoneAndKindNames, stable_hash};
 pub use membership_settings::{JoinParameters, MembershipSettings};
 pub use operator::OperatorSettings;
 pub use platform_file::listen_fd;
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -134,6 +134,10 @@
             format!("known.hosts[0]: invalid type: {found}, expected struct DiscoveryHost")
         );
     }
+    assert_eq!(
+        error_of(&file(SETTINGS).replace("\"hosts\":[", "\"hosts\":[[],")),
+        "known.hosts[0]: invalid length 0, expected struct DiscoveryHost with 8 elements"
+    );
 }
 
 #[test]
--- a/crates/engine/src/worker_registry.rs
+++ b/crates/engine/src/worker_registry.rs
@@ -1,7 +1,7 @@
 //! The workers that discovery's lists have named: their ids, their addresses, and whether they accept work.
 
 use crate::start_times::StartTimes;
-use sorrelhaven_config::{ConfigError, DiscoveryList, DiscoveryWorker, ZoneAndKindNames};
+use sorrelhaven_config::{ConfigError, DiscoveryHost, DiscoveryList, ZoneAndKindNames};
 use sorrelhaven_dispatcher::{Lifecycle, Micros, WorkerEntry, WorkerId};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -90,7 +90,7 @@
     /// Applies one entry of a list, and gives its worker an id if it is new.
     fn apply_host(
         &mut self,
-        host: &DiscoveryWorker,
+        host: &DiscoveryHost,
         names: &ZoneAndKindNames,
         now: Micros,
     ) -> Result<WorkerEntry, ConfigError> {
