--- a/crates/engine/src/tests/invariants.rs
+++ b/crates/engine/src/tests/invariants.rs
@@ -1,4 +1,5 @@
-//! A check that finds nothing proves nothing: each invariant, held and then violated.
+//! Tests the run-time checks of the invariants: each violation is counted, and nothing else is. Other tests
+//! fail on any counted violation, so a check that counts none would go unnoticed there.
 
 use crate::attempt_end::AttemptEnd;
 use crate::invariants::{Invariant, Invariants, RequestChecks, SentAttempt, WorkerDrain};
@@ -12,7 +13,7 @@
     }
 }
 
-/// The invariants that a request violates whose guard sees these steps.
+/// Returns the names of the invariants that a request violates by `steps`.
 fn violations(at_most_once: bool, steps: impl Fn(&RequestChecks, &Invariants)) -> Vec<&'static str> {
     let checks = RequestChecks::new(at_most_once, false);
     let invariants = Invariants::default();
@@ -34,11 +35,14 @@
     assert_eq!(send(|sent, at| sent.client_disconnected_at = at, 50), [""; 0]);
     assert_eq!(send(|sent, at| sent.client_disconnected_at = at, 120), ["no_attempt_for_gone_client"]);
     assert_eq!(
-        send(|sent, at| sent.send_by = at.expect("a time"), 100),
+        send(|sent, at| sent.send_by = at.expect("the clock started before that"), 100),
         [""; 0],
-        "the process may have been suspended"
+        "within the time that the process may be suspended"
+    );
+    assert_eq!(
+        send(|sent, at| sent.send_by = at.expect("the clock started before that"), 200),
+        ["no_attempt_after_deadline"]
     );
-    assert_eq!(send(|sent, at| sent.send_by = at.expect("a time"), 200), ["no_attempt_after_deadline"]);
     let drain = |sent: &mut SentAttempt, since: Option<Instant>| {
         sent.drain = since.map(|since| WorkerDrain { since, grace: Duration::from_secs(1) });
     };
--- a/crates/engine/src/tests/load_report_fields.rs
+++ b/crates/engine/src/tests/load_report_fields.rs
@@ -1,4 +1,4 @@
-//! Parsing of load reports.
+//! Tests the parsing of load reports.
 
 use crate::load_report::LoadReportFields;
 
@@ -9,8 +9,8 @@
 #[test]
 fn values_are_in_the_order_of_the_fields() {
     assert_eq!(parse(r#" {"util":0.61,"x0":2} "#), Some(vec![2.0, 0.61]));
-    let part = parse(r#"{"util":0}"#).expect("a report");
-    assert!(part[0].is_nan() && part[1] == 0.0);
+    let partial = parse(r#"{"util":0}"#).expect("one field makes a valid report");
+    assert!(partial[0].is_nan() && partial[1] == 0.0);
 }
 
 #[test]
@@ -32,11 +32,11 @@
         r#"{"x0":{"x0":2}}"#,
     ];
     for text in malformed {
-        assert_eq!(parse(text), None, "{text}");
+        assert_eq!(parse(text), None, "malformed report: {text:?}");
     }
     assert_eq!(
         LoadReportFields::new(Vec::new()).parse_text(r#"{"x0":2}"#),
         None,
-        "a deployment without reports has no fields"
+        "without fields in the settings every report is malformed"
     );
 }
--- a/crates/engine/src/tests/tasks.rs
+++ b/crates/engine/src/tests/tasks.rs
@@ -1,4 +1,4 @@
-//! Urgent and ordinary tasks side by side.
+//! Tests that urgent tasks do not starve ordinary ones.
 
 use crate::tasks::Tasks;
 use async_io::block_on;
@@ -6,17 +6,17 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Far more polls than any other task may have to wait for.
+/// The number of polls after which the urgent task ends; far more than an ordinary task may have to wait for.
 const MAX_POLLS: usize = 10_000;
 
-/// Urgent work that never ends, such as timers that are always due, must not keep ordinary tasks from their
-/// answers and deadlines.
+/// Endless urgent work, such as timers that are always due, must not prevent requests, whose tasks are
+/// ordinary, from being answered by their deadlines.
 #[test]
 fn urgent_work_without_end_lets_ordinary_tasks_run() {
     let tasks = Rc::<Tasks>::default();
     let ran = Rc::<Cell<bool>>::default();
-    let polls_before = Rc::<Cell<Option<usize>>>::default();
-    let (seen, polls) = (ran.clone(), polls_before.clone());
+    let urgent_polls_before = Rc::<Cell<Option<usize>>>::default();
+    let (seen, polls) = (ran.clone(), urgent_polls_before.clone());
     tasks.spawn_urgent(async move {
         for poll in 0..MAX_POLLS {
             if seen.get() {
@@ -33,6 +33,9 @@
         }
     };
     block_on(or(ended, async { match tasks.run().await {} }));
-    let polls = polls_before.get();
-    assert!(polls.is_some_and(|count| count < 100), "it ran after {polls:?} urgent polls");
+    let polls = urgent_polls_before.get();
+    assert!(
+        polls.is_some_and(|count| count < 100),
+        "the ordinary task ran after {polls:?} polls of the urgent one"
+    );
 }
