--- a/crates/engine/src/tests/attempt_ends.rs
+++ b/crates/engine/src/tests/attempt_ends.rs
@@ -1,5 +1,6 @@
-//! Each way an attempt can end, for an at-most-once request whose body can be read only once: one answer, no
-//! retry, and a rejection only where the protocol proves that the job never ran.
+//! Tests the dispatcher's answer after each way in which an attempt can end, for an at-most-once request
+//! whose body can be read only once: there is one answer and no retry, and the answer is a rejection only if
+//! the protocol proves that the job never ran.
 
 use super::fixtures;
 use crate::attempt_end::AttemptEnd;
@@ -7,8 +8,9 @@
 use sorrelhaven_body_store::{BodyEnd, BodyReadError};
 use sorrelhaven_dispatcher::{Arrival, Event, WorkerId};
 
-/// The end listed after this one; a new variant must be inserted here.
-fn next(end: &AttemptEnd) -> Option<AttemptEnd> {
+/// Returns the end that follows `end` in a list of all ends, or `None` after the last. The match is
+/// exhaustive, so that a new variant does not compile until it is inserted here.
+fn following_end(end: &AttemptEnd) -> Option<AttemptEnd> {
     Some(match end {
         AttemptEnd::Completed(_) => AttemptEnd::Failed,
         AttemptEnd::Failed => AttemptEnd::InvalidRequest,
@@ -48,9 +50,9 @@
     })
 }
 
-/// Whether the protocol proves that an attempt that ended so never ran: the worker reports it, or the
-/// request's last byte was not written.
-fn never_ran(end: &AttemptEnd) -> bool {
+/// Whether `end` proves that the job never ran: the worker reported it, or the request's last byte was not
+/// written.
+fn is_proven_not_run(end: &AttemptEnd) -> bool {
     match end {
         AttemptEnd::Rejected
         | AttemptEnd::Draining
@@ -73,9 +75,10 @@
     }
 }
 
-/// What the dispatcher answers where the only attempt at a request with a consumed body ends with `end`.
-fn answers_after(end: &AttemptEnd) -> Vec<RequestMessage> {
-    let engine = fixtures::engine_without_worker();
+/// Returns the messages that the dispatcher sends to an at-most-once request with a consumed body after its
+/// first attempt ended with `end`.
+fn messages_after(end: &AttemptEnd) -> Vec<RequestMessage> {
+    let engine = fixtures::engine_with_unreachable_worker();
     let dispatcher_loop = &engine.dispatcher_loop;
     let (sender, messages) = async_channel::unbounded();
     let request = dispatcher_loop.register_request(sender);
@@ -90,7 +93,10 @@
         body_sendable: true,
     }));
     let first = messages.try_recv();
-    assert!(matches!(first, Ok(RequestMessage::Send { worker: WorkerId(0), .. })), "{end:?}: {first:?}");
+    assert!(
+        matches!(first, Ok(RequestMessage::Send { worker: WorkerId(0), .. })),
+        "before {end:?}, no attempt was requested: {first:?}"
+    );
     dispatcher_loop.dispatch(Event::BodyConsumed(request));
     dispatcher_loop.dispatch(Event::AttemptEnded {
         request,
@@ -106,20 +112,20 @@
 
 #[test]
 fn an_at_most_once_request_with_a_consumed_body_is_rejected_only_if_it_never_ran() {
-    let mut ends = 0;
+    let mut end_count = 0;
     let mut next_end = Some(AttemptEnd::Completed("fine".into()));
     while let Some(end) = next_end {
-        next_end = next(&end);
-        ends += 1;
-        let answers = answers_after(&end);
+        next_end = following_end(&end);
+        end_count += 1;
+        let answers = messages_after(&end);
         let concluded = matches!(end, AttemptEnd::Completed(_));
-        let is_right = match (&answers[..], concluded, never_ran(&end)) {
+        let is_expected = match (&answers[..], concluded, is_proven_not_run(&end)) {
             ([], true, _) => true,
-            ([RequestMessage::Reject { .. }], false, never_ran) => never_ran,
-            ([RequestMessage::Fail], false, never_ran) => !never_ran,
+            ([RequestMessage::Reject { .. }], false, proven_not_run) => proven_not_run,
+            ([RequestMessage::Fail], false, proven_not_run) => !proven_not_run,
             _ => false,
         };
-        assert!(is_right, "{end:?}: {answers:?}");
+        assert!(is_expected, "a request whose attempt ended with {end:?} was answered with {answers:?}");
     }
-    assert_eq!(ends, 27);
+    assert_eq!(end_count, 27);
 }
--- a/crates/engine/src/tests/body_admission.rs
+++ b/crates/engine/src/tests/body_admission.rs
@@ -1,4 +1,4 @@
-//! Permits for long bodies: a few at once, in order, and none for long.
+//! Tests the permits for long bodies: how many there are, and when they are released.
 
 use super::fixtures;
 use futures_lite::future::{poll_once, zip};
@@ -6,37 +6,40 @@
 
 #[test]
 fn a_slow_body_loses_its_permit_after_a_second() {
-    let engine = fixtures::engine_without_worker();
-    let distant = Instant::now() + Duration::from_secs(60);
+    let engine = fixtures::engine_with_unreachable_worker();
+    let far_deadline = Instant::now() + Duration::from_secs(60);
     fixtures::run(&engine, async {
         let admission = &engine.body_admission;
         let started = Instant::now();
-        let mut slow = Vec::new();
-        while let Some(Some(permit)) = poll_once(admission.acquire(distant)).await {
-            slow.push(permit);
+        let mut held_permits = Vec::new();
+        while let Some(Some(permit)) = poll_once(admission.acquire(far_deadline)).await {
+            held_permits.push(permit);
         }
-        assert_eq!(slow.len(), 4, "a few at once");
+        assert_eq!(held_permits.len(), 4, "number of permits that are granted at once");
         assert!(
             admission.acquire(Instant::now() + Duration::from_millis(50)).await.is_none(),
-            "none in time"
+            "a permit was granted while all are held"
         );
-        drop(slow.pop());
-        let next = admission.acquire(distant).await;
+        drop(held_permits.pop());
+        let next = admission.acquire(far_deadline).await;
         assert!(
             next.is_some() && started.elapsed() < Duration::from_millis(900),
-            "a permit that is returned is free at once"
+            "a dropped permit is granted again at once"
         );
-        // The three slow ones lose their permits all the same, to those that wait.
-        let (first, second) = zip(admission.acquire(distant), admission.acquire(distant)).await;
+        // The three permits that are still held time out, and are granted to the callers that wait.
+        let (first, second) = zip(admission.acquire(far_deadline), admission.acquire(far_deadline)).await;
         assert!(first.is_some() && second.is_some());
         let elapsed = started.elapsed();
-        assert!(elapsed >= Duration::from_millis(990) && elapsed < Duration::from_secs(2), "{elapsed:?}");
-        // A permit that timed out and is then dropped frees one place, not two.
-        drop(slow);
-        let mut rest = Vec::new();
-        while let Some(Some(permit)) = poll_once(admission.acquire(distant)).await {
-            rest.push(permit);
+        assert!(
+            elapsed >= Duration::from_millis(990) && elapsed < Duration::from_secs(2),
+            "granted after {elapsed:?}"
+        );
+        // Dropping a permit that has timed out must not release it a second time.
+        drop(held_permits);
+        let mut remaining_permits = Vec::new();
+        while let Some(Some(permit)) = poll_once(admission.acquire(far_deadline)).await {
+            remaining_permits.push(permit);
         }
-        assert_eq!(rest.len(), 1, "next, first and second hold theirs");
+        assert_eq!(remaining_permits.len(), 1, "three of four permits are held: next, first and second");
     });
 }
--- a/crates/engine/src/tests/fixtures.rs
+++ b/crates/engine/src/tests/fixtures.rs
@@ -1,4 +1,5 @@
-//! What the tests of the engine share: an engine in the test's own thread, with jobs and attempts for it.
+//! Shared by the tests of the engine: an engine that runs in the test's own thread, and jobs and attempts for
+//! it.
 
 use crate::attempt;
 use crate::attempt_end::AttemptEnd;
@@ -15,22 +16,21 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// An engine that knows one worker, `s-1` at `address`.
+/// Creates an engine whose only worker is `s-1` at `address`, and whose only class is at-most-once.
 pub fn engine(address: SocketAddr) -> Rc<Engine> {
     engine_with_config(&sorrelhaven_test_support::single_worker_config(address, "at_most_once"))
 }
 
-/// An engine with this configuration.
 pub fn engine_with_config(text: &str) -> Rc<Engine> {
-    Engine::new(&Config::parse(text, |_| None).expect("a configuration"), None)
+    Engine::new(&Config::parse(text, |_| None).expect("the configuration is valid"), None)
 }
 
-/// An engine whose one worker is not to be reached.
-pub fn engine_without_worker() -> Rc<Engine> {
-    engine("127.0.0.1:1".parse().expect("an address"))
+/// Creates an engine whose only worker cannot be reached: nothing listens at its address.
+pub fn engine_with_unreachable_worker() -> Rc<Engine> {
+    engine("127.0.0.1:1".parse().expect("the text is an address"))
 }
 
-/// A first attempt at the one worker, which waits for `timeout`.
+/// The parameters of the first attempt of a request, at the only worker, with a deadline after `timeout`.
 pub fn attempt_spec(timeout: Duration) -> AttemptSpec {
     let deadline = Instant::now() + timeout;
     AttemptSpec {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Runs one attempt and returns its messages to the request.
+/// Runs one attempt to its end and returns the messages that it sent to its request.
 pub fn run_attempt(
     engine: &Rc<Engine>,
     payload: Rc<RequestPayload>,
@@ -54,15 +54,15 @@
     messages
 }
 
-/// How the attempt ended of which this is the next message; panics where it is another message, or none.
+/// Returns how the attempt ended. Panics unless the next message reports that.
 pub fn next_end(messages: &Receiver<RequestMessage>) -> AttemptEnd {
     match messages.try_recv() {
         Ok(RequestMessage::AttemptEnded { end, .. }) => end,
-        other => panic!("no outcome: {other:?}"),
+        other => panic!("the next message does not report the end of the attempt: {other:?}"),
     }
 }
 
-/// A job of the first class with this payload, whose client gives up at `deadline`.
+/// A job of the first class whose client stops waiting for the answer at `deadline`, in dispatcher time.
 pub fn job(
     payload: RequestPayload,
     deadline: Micros,
@@ -82,21 +82,21 @@
     }
 }
 
-/// Runs the engine's tasks until `work` is done.
+/// Runs `work` to its end while the engine's tasks run, and returns its result.
 pub fn run<T>(engine: &Rc<Engine>, work: impl Future<Output = T>) -> T {
     async_io::block_on(or(work, async { match engine.tasks.run().await {} }))
 }
 
-/// The payload of a request `r1` with this body, stored in memory.
+/// Stores `bytes` in memory as the body of a request `r1`, and returns the payload of that request.
 pub fn payload(engine: &Rc<Engine>, target: &str, bytes: &[u8]) -> RequestPayload {
     let mut writer =
-        engine.bodies.begin_upload(0, Some(bytes.len() as u64)).ok().expect("a body that is accepted");
+        engine.bodies.begin_upload(0, Some(bytes.len() as u64)).ok().expect("the body is not rejected");
     let body = writer.body();
-    let stored = async {
+    let upload = async {
         writer.push(bytes).await?;
         Ok::<BodyEnd, BodyEnd>(writer.finish().await)
     };
-    futures_lite::future::block_on(stored).expect("it is stored");
+    futures_lite::future::block_on(upload).expect("the whole body is stored");
     RequestPayload {
         id: "r1".into(),
         method: "POST".to_string(),
--- a/crates/engine/src/tests/mod.rs
+++ b/crates/engine/src/tests/mod.rs
@@ -1,5 +1,5 @@
-//! Tests of the engine: the network code against models with random steps from a fixed seed, and each part by
-//! itself.
+//! Tests of each part of the engine. Some run the network code against workers with random scripts, which are
+//! drawn from a fixed seed, and compare the results with a model.
 
 mod attempt_ends;
 mod backoff;
--- a/crates/engine/src/tests/pooled_connection.rs
+++ b/crates/engine/src/tests/pooled_connection.rs
@@ -1,4 +1,5 @@
-//! The worker's side of an upstream connection as a model: what a worker does, and how the attempt must end.
+//! Tests attempts against workers with random scripts. A model derives from each script how the attempt must
+//! end, and whether its connection can be reused. Further tests cover connections that fail.
 
 use super::fixtures::{self, attempt_spec, next_end, run_attempt};
 use crate::Engine;
@@ -14,23 +15,24 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A line longer than any that the protocol allows.
-const HUGE_LINE_BYTES: usize = 300_000;
-/// Long responses are written in pieces of this size, whatever the script says.
+/// The length of a line that is longer than the protocol allows.
+const OVERSIZED_LINE_BYTES: usize = 300_000;
+/// Responses longer than this are written in pieces of this size instead of the script's.
 const MAX_RESPONSE_PIECE_BYTES: usize = 10_000;
 
-/// One thing that a worker writes or does.
+/// A step of a script: the worker writes a line, or closes the connection.
 #[derive(Clone, Debug)]
 pub enum Step {
     Line(&'static str),
     BlankLine,
-    Huge,
+    OversizedLine,
     Close,
 }
 
-/// What a worker does with one request. After the last step it ends its response, or hangs.
+/// How a worker handles one request. After the last step the worker ends its response or, if it hangs, sends
+/// nothing more and keeps the connection open.
 #[derive(Clone, Debug)]
-pub struct ServerScript {
+pub struct WorkerScript {
     status: &'static str,
     steps: Vec<Step>,
     hangs: bool,
@@ -50,10 +52,14 @@
     "not json",
 ];
 
-pub fn server_script() -> impl Strategy<Value = ServerScript> {
+pub fn worker_script() -> impl Strategy<Value = WorkerScript> {
     let line = prop::sample::select(LINES.to_vec()).prop_map(Step::Line);
-    let step =
-        prop_oneof![12 => line, 1 => Just(Step::BlankLine), 1 => Just(Step::Huge), 1 => Just(Step::Close)];
+    let step = prop_oneof![
+        12 => line,
+        1 => Just(Step::BlankLine),
+        1 => Just(Step::OversizedLine),
+        1 => Just(Step::Close),
+    ];
     let status = prop::sample::select(vec![
         "200 OK",
         "200 OK",
@@ -68,11 +74,11 @@
         "nonsense",
     ]);
     (status, prop::collection::vec(step, 0..4), prop::bool::weighted(0.1), 1usize..60)
-        .prop_map(|(status, steps, hangs, piece_bytes)| ServerScript { status, steps, hangs, piece_bytes })
+        .prop_map(|(status, steps, hangs, piece_bytes)| WorkerScript { status, steps, hangs, piece_bytes })
 }
 
-/// How the attempt must end, and whether the connection can carry another.
-pub fn expected_end(script: &ServerScript) -> (AttemptEnd, bool) {
+/// How the attempt must end, and whether its connection can be reused.
+pub fn expected_end(script: &WorkerScript) -> (AttemptEnd, bool) {
     match script.status {
         "200 OK" => {}
         "nonsense" => return (AttemptEnd::Malformed, false),
@@ -86,7 +92,7 @@
         let end = match step {
             Step::BlankLine => continue,
             Step::Close => return (AttemptEnd::Truncated, false),
-            Step::Huge => return (AttemptEnd::ResponseTooLarge, false),
+            Step::OversizedLine => return (AttemptEnd::ResponseTooLarge, false),
             Step::Line(line) => match LINES.iter().position(|known| known == line) {
                 Some(0..=2) => continue,
                 Some(3) => AttemptEnd::Completed("ok\n".into()),
@@ -102,15 +108,16 @@
     (if script.hangs { AttemptEnd::ResponseTimeout } else { AttemptEnd::Truncated }, false)
 }
 
-/// Whether the rest of the response comes to its end.
-fn response_ends(script: &ServerScript, rest: &[Step]) -> bool {
-    !script.hangs && !rest.iter().any(|step| matches!(step, Step::Close | Step::Huge))
+/// Whether the worker completes its response after the remaining steps.
+fn response_ends(script: &WorkerScript, remaining_steps: &[Step]) -> bool {
+    !script.hangs && !remaining_steps.iter().any(|step| matches!(step, Step::Close | Step::OversizedLine))
 }
 
-/// Plays a worker for one request; false if there was none.
-pub fn play(
+/// Serves one request according to the script, and calls `on_request` once the request is complete. Returns
+/// false if the connection was closed before that.
+pub fn serve_request(
     stream: &mut TcpStream,
-    script: &ServerScript,
+    script: &WorkerScript,
     on_request: impl FnOnce(),
 ) -> std::io::Result<bool> {
     stream.set_nodelay(true)?;
@@ -130,7 +137,7 @@
         let line = match step {
             Step::Line(line) => format!("{line}\n"),
             Step::BlankLine => "\n".to_string(),
-            Step::Huge => "x".repeat(HUGE_LINE_BYTES),
+            Step::OversizedLine => "x".repeat(OVERSIZED_LINE_BYTES),
             Step::Close => {
                 closes = true;
                 break;
@@ -157,8 +164,8 @@
     Rc::new(fixtures::payload(engine, "/api?x=1", b"body"))
 }
 
-/// Runs one attempt at `address`; returns how it ended, and whether its connection is in the pool afterwards.
-fn end_and_reuse(address: SocketAddr, timeout: Duration) -> (AttemptEnd, bool) {
+/// Runs one attempt at `address`. Returns how it ended, and whether its connection is in the pool afterwards.
+fn end_and_in_pool(address: SocketAddr, timeout: Duration) -> (AttemptEnd, bool) {
     let engine = fixtures::engine(address);
     let messages = run_attempt(&engine, payload(&engine), attempt_spec(timeout));
     let ends: Vec<AttemptEnd> = std::iter::from_fn(|| messages.try_recv().ok())
@@ -167,91 +174,99 @@
             _ => None,
         })
         .collect();
-    assert_eq!(ends.len(), 1, "one outcome: {ends:?}");
+    assert_eq!(ends.len(), 1, "an attempt must report one end: {ends:?}");
     (ends[0].clone(), engine.upstreams.pool.checkout(WorkerId(0), address).is_some())
 }
 
 #[test]
 fn an_attempt_ends_as_the_model_says() {
-    check_cases(160, server_script(), |script| {
+    check_cases(160, worker_script(), |script| {
         let (expected, reusable) = expected_end(&script);
-        let is_silent = expected == AttemptEnd::ResponseTimeout;
+        let times_out = expected == AttemptEnd::ResponseTimeout;
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let (done, finished) = std::sync::mpsc::channel::<()>();
+        let (attempt_running, attempt_ended) = std::sync::mpsc::channel::<()>();
         let worker = std::thread::spawn(move || {
             let (mut stream, _) = listener.accept().expect("the node connects");
-            // A node that has closed the connection already makes the rest fail, as it should.
-            let _ = play(&mut stream, &script, || {});
+            // Writing fails if the node has already closed the connection, as it must for some scripts.
+            let _ = serve_request(&mut stream, &script, || {});
             if !script.steps.iter().any(|step| matches!(step, Step::Close)) {
-                let _ = finished.recv();
+                let _ = attempt_ended.recv();
             }
         });
-        let timeout = Duration::from_millis(if is_silent { 150 } else { 20_000 });
-        let (end, in_pool) = end_and_reuse(address, timeout);
-        drop(done);
-        worker.join().expect("the worker ends");
+        let timeout = Duration::from_millis(if times_out { 150 } else { 20_000 });
+        let (end, in_pool) = end_and_in_pool(address, timeout);
+        drop(attempt_running);
+        worker.join().expect("the worker has not panicked");
         prop_assert_eq!(end, expected);
         prop_assert_eq!(in_pool, reusable);
         Ok(())
     });
 }
 
-/// A refused connection proves that the job never ran.
+/// If a refused connection were not taken as proof that the job never ran, an at-most-once request could not
+/// be sent to another worker.
 #[test]
 fn an_attempt_at_a_refused_connection_never_ran() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("its address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    let address = listener.local_addr().expect("the listener has an address");
     drop(listener);
-    let (end, _) = end_and_reuse(address, Duration::from_secs(20));
+    let (end, _) = end_and_in_pool(address, Duration::from_secs(20));
     assert_eq!((end.clone(), end.outcome()), (AttemptEnd::Unreachable, Outcome::ConnectFailed));
 }
 
-/// The node's own lack of a descriptor says nothing of the worker.
+/// A lack of descriptors in the node must not count as a failure of the worker.
 #[test]
 fn an_attempt_without_a_descriptor_is_reported_as_not_sent() {
     assert_eq!(AttemptEnd::NoDescriptor.outcome(), Outcome::NotSent);
-    let engine = fixtures::engine_without_worker();
+    let engine = fixtures::engine_with_unreachable_worker();
     let permits: Vec<_> = std::iter::from_fn(|| engine.upstreams.pool.acquire_descriptor()).collect();
     let messages = run_attempt(&engine, payload(&engine), attempt_spec(Duration::from_secs(9)));
-    assert_eq!(next_end(&messages), AttemptEnd::NoDescriptor, "with {} permits out", permits.len());
+    assert_eq!(next_end(&messages), AttemptEnd::NoDescriptor, "while {} permits are in use", permits.len());
 }
 
-/// A pooled connection that breaks at the next request: that job may have run, so it is not sent again, but
-/// connections that have been idle as long are not used any more.
+/// If a worker closes idle connections earlier than the settings state, a reused connection breaks right
+/// after the request was written. The job may have run, so the request cannot be sent again. To prevent
+/// further failures, connections that have been idle as long must no longer be reused.
 #[test]
 fn a_stale_connection_shortens_the_idle_timeout() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("its address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    let address = listener.local_addr().expect("the listener has an address");
     let engine = fixtures::engine(address);
     let before = engine.upstreams.pool.idle_timeout();
     let worker = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("the node connects");
         let mut byte = [0];
-        stream.read_exact(&mut byte).expect("a request");
-        // What is left unread makes the close a reset.
+        stream.read_exact(&mut byte).expect("the node sends the request");
+        // Because the rest of the request is unread, closing the connection resets it.
     });
     fixtures::run(&engine, async {
-        let upstream = engine.upstreams.pool.connect(address).await.expect("a connection");
+        let upstream = engine.upstreams.pool.connect(address).await.expect("the node can connect");
         engine.upstreams.pool.check_in(WorkerId(0), upstream);
         async_io::Timer::after(Duration::from_millis(200)).await;
     });
     let messages = run_attempt(&engine, payload(&engine), attempt_spec(Duration::from_secs(9)));
-    worker.join().expect("the worker ends");
+    worker.join().expect("the worker has not panicked");
     let end = next_end(&messages);
     assert_eq!((end.clone(), end.outcome()), (AttemptEnd::StaleConnection, Outcome::Reset));
     let after = engine.upstreams.pool.idle_timeout();
-    assert!(before > Duration::from_secs(10) && after >= Duration::from_millis(100), "{before:?} {after:?}");
-    assert!(after < Duration::from_secs(5), "half of the time that it was idle: {after:?}");
+    assert!(
+        before > Duration::from_secs(10) && after >= Duration::from_millis(100),
+        "idle timeout before: {before:?}, after: {after:?}"
+    );
+    assert!(
+        after < Duration::from_secs(5),
+        "the idle timeout is half of the idle time of the stale connection: {after:?}"
+    );
 }
 
-/// A worker that does not read leaves the last byte unwritten: that, too, never ran.
+/// If the worker does not read, the request's last byte is not written, which proves that the job never ran.
 #[test]
 fn an_attempt_that_was_not_fully_sent_never_ran() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("its address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    let address = listener.local_addr().expect("the listener has an address");
     let engine = fixtures::engine(address);
-    // More than the buffers of both sockets take.
+    // More than the buffers of both sockets hold.
     let mut settings = BodySettings { largest_bytes: 64 << 20, ..BodySettings::default() };
     (settings.memory.each_bytes, settings.memory.total_bytes) = (64 << 20, 128 << 20);
     engine.bodies.configure(&settings, None);
@@ -261,14 +276,15 @@
     assert_eq!((end.clone(), end.outcome()), (AttemptEnd::TimeoutBeforeSent, Outcome::ConnectFailed));
 }
 
-/// Once written, a request whose connection breaks may have run: never "could not connect".
+/// A request that is written to such a connection fails, but may have run: unlike a failure to connect, this
+/// does not prove that the job never ran, so an at-most-once request could not be sent again.
 #[test]
 fn a_connection_that_the_worker_has_closed_is_not_reused() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("its address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    let address = listener.local_addr().expect("the listener has an address");
     let engine = fixtures::engine(address);
     fixtures::run(&engine, async {
-        let upstream = engine.upstreams.pool.connect(address).await.expect("a connection");
+        let upstream = engine.upstreams.pool.connect(address).await.expect("the node can connect");
         engine.upstreams.pool.check_in(WorkerId(0), upstream);
     });
     drop(listener.accept().expect("the node's connection"));
@@ -280,12 +296,12 @@
     assert!(Instant::now() < until, "a connection that the worker has closed stayed in the pool");
 }
 
-/// What drops a duplicate forgets the request at a stated time: a connection that is made in that moment must
-/// not carry it.
+/// Workers drop duplicates of a request only until its idempotency window ends. If the window ends while the
+/// attempt connects, sending the request could run the job twice.
 #[test]
 fn a_retry_whose_idempotency_window_has_expired_is_not_sent() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("its address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    let address = listener.local_addr().expect("the listener has an address");
     let engine = fixtures::engine(address);
     let spec = AttemptSpec { send_by: Instant::now(), ..attempt_spec(Duration::from_secs(9)) };
     let messages = run_attempt(&engine, payload(&engine), spec);
