--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -8,8 +8,9 @@
 //!
 //! [`Dispatcher`] passes each event to the module that handles it:
 //!
-//! - Workers: `worker_table`, `worker` and `machine_kind` hold their state. `observations`,
-//!   `worker_evidence`, `capacity`, `health` and `slow_start` derive it from the workers' responses.
+//! - Workers: `worker_list` applies updates of the list. `worker_table`, `worker` and `machine_kind` hold the
+//!   state of the workers, which `observations`, `worker_evidence`, `capacity` and `health` derive from start
+//!   notices, outcomes and load reports. `slow_start` limits the work for new processes.
 //! - Choice of a worker: `subset` and `ranking` reduce the worker list, `affinity` adds the workers of an
 //!   affinity key, `selection` compares them by `prediction` and uses only those that `permission` allows.
 //!   All of them read the state through `context`.
--- a/crates/dispatcher/src/dispatcher/affinity.rs
+++ b/crates/dispatcher/src/dispatcher/affinity.rs
@@ -10,8 +10,8 @@
 
 /// Number of recent arrivals from which the share of a key is computed.
 const SHARE_HISTORY_ARRIVALS: usize = 100;
-/// Lower bound of the number of arrivals by which a share is divided: a share of fewer arrivals is not
-/// significant.
+/// Lower bound of the number of arrivals that a key's arrivals are divided by: a share of fewer arrivals is
+/// not significant.
 const MIN_SHARE_ARRIVALS: usize = SHARE_HISTORY_ARRIVALS / 5;
 /// Size of an affinity set in a large zone, as a multiple of the number of workers that the key's jobs would
 /// keep busy.
@@ -53,7 +53,8 @@
         self.snapshot.nearest_matching(self.instance_key, limit, matches)
     }
 
-    /// Returns the share of a key in the recent arrivals, not counting the latest one.
+    /// Returns the share of a key in the recent arrivals. One arrival of the key, that of the request itself,
+    /// is not counted.
     fn key_share(&self, key: u64) -> f64 {
         let others = self.recent_keys.iter().filter(|&&recent| recent == key).count().saturating_sub(1);
         others as f64 / self.recent_keys.len().max(MIN_SHARE_ARRIVALS) as f64
@@ -65,8 +66,10 @@
 }
 
 impl Dispatcher {
-    /// Returns the members of the affinity set to which the request may be sent now, the nearest first. All
-    /// dispatchers of a zone compute the same set, which is as small as the key's share of the load permits.
+    /// Returns the members of the affinity set to which the request may be sent now, the nearest first. The
+    /// set is as small as the key's share of the load permits. All dispatchers of a zone take it from the
+    /// same order of workers, except that each uses its own part of a large set
+    /// ([`Snapshot::affinity_order`]).
     pub(super) fn affinity_set(&mut self, request: RequestId, now: Micros) -> Vec<WorkerId> {
         let Some(request) = self.requests.get(&request).filter(|request| request.affinity_key != 0) else {
             return Vec::new();
--- a/crates/dispatcher/src/dispatcher/arrival_statistics.rs
+++ b/crates/dispatcher/src/dispatcher/arrival_statistics.rs
@@ -7,7 +7,8 @@
 /// Quantile of the job sizes at which the size intervals end (S_max). With the largest size instead, one
 /// outlier would leave the intervals of the fastest workers empty.
 const SIZE_QUANTILE: f64 = 0.9;
-/// Change of the estimated quantile with one arrival, as a multiple of the mean size.
+/// Step of the estimated quantile with one arrival, as a multiple of the mean size. A larger job raises the
+/// estimate by [`SIZE_QUANTILE`] times the step, another one lowers it by the remaining fraction of the step.
 const SIZE_QUANTILE_STEP: f64 = 0.2;
 /// Upper bound of the time between two arrivals, in microseconds; a longer one is reduced to it.
 const MAX_GAP: Micros = 1_000_000;
--- a/crates/dispatcher/src/dispatcher/attempt.rs
+++ b/crates/dispatcher/src/dispatcher/attempt.rs
@@ -41,7 +41,7 @@
 /// End of an attempt, as the host reports it.
 pub(super) struct AttemptResult {
     pub(super) outcome: Outcome,
-    /// Time since the attempt was sent.
+    /// Time since the attempt was sent; for a long body, since its last byte was sent.
     pub(super) elapsed: Micros,
     /// Whether the request has its final answer.
     pub(super) request_concluded: bool,
--- a/crates/dispatcher/src/dispatcher/attempt_timeout.rs
+++ b/crates/dispatcher/src/dispatcher/attempt_timeout.rs
@@ -30,7 +30,8 @@
     }
 
     /// Cancels an attempt that has not started in time, if its request can be sent to another worker. If the
-    /// worker was active after the send, it is only slow, and the attempt is not cancelled.
+    /// worker was active after the send, it is only slow, and the attempt is not cancelled. After the value
+    /// deadline, answers the request instead.
     fn check_attempt(&mut self, now: Micros, id: AttemptId, actions: &mut Vec<Action>) {
         if !self.may_cancel_for_retry(now, id) {
             return;
--- a/crates/dispatcher/src/dispatcher/attempt_timers.rs
+++ b/crates/dispatcher/src/dispatcher/attempt_timers.rs
@@ -3,7 +3,8 @@
 use crate::interface::{Micros, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Upper bound of the delay of a host timer; several timers in a row cover a longer time.
+/// Upper bound of the delay of a host timer. If the first check is due later, its timer expires too early,
+/// and no other is set for it until an earlier check has been scheduled and made.
 const MAX_TIMER_DELAY: Micros = 3_600_000_000;
 
 /// Next check of each request, ordered by time; at most one per request.
@@ -52,8 +53,8 @@
         Some(request)
     }
 
-    /// Returns the delay of the host timer to set, at least `min_delay`; none if the one that is set expires
-    /// early enough.
+    /// Returns the delay of the host timer to set, at least `min_delay`; none if no check is scheduled, or if
+    /// the timer that is set expires early enough.
     pub(super) fn arm(&mut self, now: Micros, min_delay: Micros) -> Option<Micros> {
         let &(at, _) = self.by_time.first().filter(|(at, _)| *at < self.armed_for)?;
         self.armed_for = at;
--- a/crates/dispatcher/src/dispatcher/context.rs
+++ b/crates/dispatcher/src/dispatcher/context.rs
@@ -12,7 +12,7 @@
 /// Lower bound of a worker's weight before it is reduced for slow start and other zones.
 const MIN_WEIGHT: f64 = 1e-3;
 
-/// State that decisions depend on. The modules `prediction`, `slow_start` and `permission` add methods.
+/// State that decisions depend on. `prediction`, `slow_start`, `permission` and `ranking` add methods.
 #[derive(Clone, Copy)]
 pub(super) struct DecisionContext<'a> {
     pub(super) settings: &'a Settings,
--- a/crates/dispatcher/src/dispatcher/health.rs
+++ b/crates/dispatcher/src/dispatcher/health.rs
@@ -5,8 +5,8 @@
 
 /// Upper bound of the failures that are counted for a worker, so that it recovers quickly from a long outage.
 pub(super) const MAX_FAILURES: u32 = 4;
-/// Backoff after a failure or rejection, in microseconds, before it is doubled for each recent one. A failed
-/// worker gets no half-open probe until it has passed, and a rejected class is not sent to the worker.
+/// Backoff after a failure or rejection, in microseconds, before it is doubled for each recent one. Until it
+/// has passed, a failed worker gets no half-open probe, and a worker gets no job of a class that it rejected.
 const BASE_BACKOFF: Micros = 250_000;
 /// Further doublings of the backoff after a rejection of a job that can't be retried, since it may have been
 /// executed.
@@ -75,7 +75,7 @@
         self.rejections.iter().any(|backoff| backoff.until > now)
     }
 
-    /// Records a served job. An answer in time clears earlier failures, a late one does not. Returns whether
+    /// Records a served job. A response in time clears earlier failures, a late one does not. Returns whether
     /// there were failures to clear.
     pub(super) fn record_success(&mut self, class: usize, now: Micros, in_time: bool) -> bool {
         self.record_activity(now);
--- a/crates/dispatcher/src/dispatcher/machine_kind.rs
+++ b/crates/dispatcher/src/dispatcher/machine_kind.rs
@@ -4,8 +4,7 @@
 
 /// Number of starts over which the usual wait is averaged.
 const WAIT_HISTORY_STARTS: f64 = 20.0;
-/// Number of averages of the wait for a start: each class has its own, but the classes from the last average
-/// on share it.
+/// Number of averages of the wait for a start, one for each class; classes with a higher index use the last.
 const WAIT_CLASSES: usize = 4;
 /// Fewer free slots than this count as none.
 const MIN_FREE_SLOTS: f64 = 0.5;
--- a/crates/dispatcher/src/dispatcher/pending.rs
+++ b/crates/dispatcher/src/dispatcher/pending.rs
@@ -19,8 +19,8 @@
         self.pending.enqueue(now, id, start_by, margin);
     }
 
-    /// Returns the latest time at which a request must start to be answered before its value deadline by the
-    /// fastest worker.
+    /// Returns the latest time at which a request must start for the fastest worker to respond before its
+    /// value deadline.
     pub(super) fn latest_start(&self, id: RequestId) -> Micros {
         let Some(request) = self.requests.get(&id) else { return 0 };
         let fastest = self.ranking.of_class(request.class).first();
--- a/crates/dispatcher/src/dispatcher/prediction.rs
+++ b/crates/dispatcher/src/dispatcher/prediction.rs
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Returns the usual wait for workers of this kind, in microseconds; 0 in slow start, when the worker has
-    /// no queue yet.
+    /// Returns the usual wait of a job at workers of this kind, in microseconds; 0 in slow start, when the
+    /// worker has no queue yet.
     pub(super) fn expected_wait(&self, worker: &Worker, class: usize, now: Micros) -> f64 {
         if self.capacity_fraction(worker, now) < 1.0 {
             return 0.0;
@@ -84,9 +84,9 @@
             && self.workers.get(id).current_wait(request.class, now, expected) < START_GRACE as f64
     }
 
-    /// Returns whether a job that is sent now would be answered before its value deadline. With
-    /// `allow_hint_error`, a job that starts immediately may exceed it by the error of its work hint
-    /// ([`MAX_HINT_ERROR`]).
+    /// Returns whether a job that is sent now would end before its value deadline if it takes no longer than
+    /// the lower bound of its prediction. With `allow_hint_error`, a job that starts immediately may exceed
+    /// the time left by the error of its work hint ([`MAX_HINT_ERROR`]).
     pub(super) fn would_be_in_time(
         &self,
         request: &Request,
--- a/crates/dispatcher/src/dispatcher/rendezvous.rs
+++ b/crates/dispatcher/src/dispatcher/rendezvous.rs
@@ -71,7 +71,7 @@
     }
 
     /// Returns up to `limit` workers, the nearest to a key first. Each worker is the nearest to a share of
-    /// all keys in proportion to its weight, and to the same keys at every dispatcher.
+    /// all keys in proportion to its weight, and to the same keys at every dispatcher with the same weights.
     pub(super) fn nearest(&self, key: u64, limit: usize) -> Vec<WorkerId> {
         self.nearest_matching(key, limit, |_| true)
     }
@@ -153,7 +153,8 @@
     if workers <= SHORT_LIST_WORKERS { choices } else { choices.min(MAX_WORKERS_PER_KEY) }
 }
 
-/// Returns a pseudo-random number above 0 and up to 1, the same at every dispatcher for a key and a worker.
+/// Returns a pseudo-random number above 0 and up to 1, always the same for equal arguments. `worker` is the
+/// hash of a worker's name or, for an order of one dispatcher only, its id.
 fn uniform_hash(key: u64, worker: u64) -> f64 {
     let mut hash = key ^ worker.rotate_left(32).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     for _ in 0..2 {
--- a/crates/dispatcher/src/dispatcher/request.rs
+++ b/crates/dispatcher/src/dispatcher/request.rs
@@ -10,6 +10,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct FirstExecution {
     pub(super) worker: WorkerId,
+    /// Time of the send; for a long body, time at which its last byte was sent.
     pub(super) sent_at: Micros,
 }
 
@@ -39,7 +40,8 @@
     pub(super) cancel_requested: bool,
     /// Whether a worker has begun a streamed response.
     pub(super) is_streaming: bool,
-    /// Whether the body can't be sent to a worker, or not again.
+    /// Whether the body can't be sent any more: it could not be stored, or a part of it that is not stored
+    /// was sent already.
     pub(super) body_consumed: bool,
     pub(super) first_execution: Option<FirstExecution>,
     /// Workers that the request was sent to.
--- a/crates/dispatcher/src/dispatcher/requests.rs
+++ b/crates/dispatcher/src/dispatcher/requests.rs
@@ -10,7 +10,7 @@
 /// With [`MAX_FAILURES`] failures, at least half of T_init remains.
 const FAILURE_TIMEOUT_REDUCTION: f64 = 0.125;
 const _: () = assert!(FAILURE_TIMEOUT_REDUCTION * MAX_FAILURES as f64 <= 0.5);
-/// T_init as a fraction of a request's slack: the start timeout of an attempt at a worker without failures.
+/// T_init as a fraction of a request's slack: the start timeout at a worker without excess failures.
 const SLACK_SHARE: f64 = 0.5;
 /// Lower bound of the time after which an attempt that has not started is checked.
 const MIN_START_TIMEOUT: Micros = 3 * START_GRACE;
@@ -106,9 +106,9 @@
         self.timers.schedule(id, check_at);
     }
 
-    /// Returns the time at which an attempt is checked if it has not started: T = T_init − β·R from now.
-    /// T_init is half of the request's slack, the time that is left until the value deadline after the job
-    /// has run, so that another worker can still respond in time.
+    /// Returns the time at which an attempt is checked if it has not started: T = T_init − β·R from now,
+    /// within bounds. The slack of a request is the time that would be left before its value deadline if the
+    /// job started now. T_init is half of the slack, so that another worker can still respond in time.
     fn start_timeout_at(&self, now: Micros, request: &Request, worker_id: WorkerId) -> Micros {
         let context = self.context();
         let worker = self.workers.get(worker_id);
@@ -152,8 +152,8 @@
         }
     }
 
-    /// Answers a request that gets no response from a worker: rejects it if a repeat is harmless or it never
-    /// ran, otherwise fails it.
+    /// Answers a request that no worker has served. Rejects it if it never ran, or if a repeat is harmless
+    /// and its body can still be sent; otherwise fails it.
     pub(super) fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let repeat_is_harmless = matches!(
@@ -171,7 +171,8 @@
         self.remove_request(id, actions);
     }
 
-    /// Removes a request that has its final answer, and cancels its outstanding attempt.
+    /// Removes a request that has its final answer or whose client has disconnected. Cancels its outstanding
+    /// attempt if attempts may be cancelled, unless the response is being streamed.
     pub(super) fn remove_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(&id) else { return };
         self.timers.cancel(id);
--- a/crates/dispatcher/src/dispatcher/selection.rs
+++ b/crates/dispatcher/src/dispatcher/selection.rs
@@ -35,7 +35,7 @@
     context: DecisionContext<'a>,
     request: &'a Request,
     affinity_set: &'a [WorkerId],
-    /// Whether no pending request is more urgent than this one.
+    /// Whether the request is the first of the pending ones, or no request is pending.
     is_most_urgent: bool,
     now: Micros,
 }
@@ -71,8 +71,8 @@
         if untried.is_empty() { permitted } else { untried }
     }
 
-    /// Returns a failed worker that is due for a half-open probe, if the request can be sent again when the
-    /// probe fails.
+    /// Returns a failed worker that is due for a half-open probe, if this is the first attempt of a request
+    /// that may be repeated: it can be sent again when the probe fails.
     fn worker_to_probe(&self, permitted: &[WorkerId]) -> Option<WorkerId> {
         let may_repeat = self.context.class(self.request).idempotency != Idempotency::NotIdempotent;
         if !may_repeat || self.request.attempts > 0 {
@@ -176,9 +176,9 @@
             && self.context.would_be_in_time(self.request, id, self.now, false)
     }
 
-    /// Returns the cheapest worker that has room, among the candidates and the affinity set. If it would
-    /// respond late, it is returned only if the request is the most urgent one and could be in time within
-    /// the error of its work hint.
+    /// Returns the cheapest worker, among the candidates and the affinity set, that has room and satisfies
+    /// the affinity. If it would respond late, it is returned only if the request is the most urgent one,
+    /// would start immediately, and could be in time within the error of its work hint.
     fn best_with_room(&self, mut candidates: Vec<WorkerId>) -> Option<WorkerId> {
         let members = self.context.subset.members();
         candidates.extend(self.affinity_set.iter().filter(|worker| !members.contains(worker)));
@@ -190,8 +190,8 @@
         self.context.would_be_in_time(self.request, best, self.now, self.is_most_urgent).then_some(best)
     }
 
-    /// Returns whether a worker is acceptable for the request's affinity key: it probably has the data, which
-    /// would cost more to fetch than to wait for such a worker. In a large zone, a worker that can serve the
+    /// Returns whether a worker is acceptable for the request's affinity key: it probably has the data. To
+    /// fetch the data costs more than to wait for such a worker. In a large zone, a worker that can serve the
     /// request immediately is acceptable without the data.
     fn satisfies_affinity(&self, worker: WorkerId) -> bool {
         let key = self.request.affinity_key;
--- a/crates/dispatcher/src/dispatcher/subset.rs
+++ b/crates/dispatcher/src/dispatcher/subset.rs
@@ -178,7 +178,7 @@
         self.affinity.nearest_to_instance(limit, |id| context.runs_class(id, class))
     }
 
-    /// Chooses the subset from the nearest workers.
+    /// Chooses the subset from the nearest workers. A worker with a recent rejection counts as ejected here.
     pub(super) fn choose_subset(&mut self, now: Micros) {
         let (workers, health) = (&self.workers, &self.health);
         let is_ejected = |id| {
--- a/crates/dispatcher/src/dispatcher/worker_evidence.rs
+++ b/crates/dispatcher/src/dispatcher/worker_evidence.rs
@@ -29,7 +29,7 @@
 }
 
 impl WorkerEvidence {
-    /// Interprets the outcome of an attempt, considering the worker's activity since the send.
+    /// Interprets the outcome of an attempt, considering when the worker was last active.
     pub(super) fn from_outcome(
         worker: &Worker,
         attempt: &Attempt,
--- a/crates/dispatcher/src/interface/actions.rs
+++ b/crates/dispatcher/src/interface/actions.rs
@@ -15,7 +15,7 @@
         /// Timeout of this attempt; 0 if only the request's deadline applies.
         timeout: Micros,
         /// Time from which the attempt must not be sent any more: workers may have dropped the request's
-        /// idempotency key and would execute a repeat.
+        /// idempotency key and would execute a repeat. [`Micros::MAX`] if there is no such time.
         send_by: Micros,
     },
     /// Cancel an outstanding attempt.
--- a/crates/dispatcher/src/interface/events.rs
+++ b/crates/dispatcher/src/interface/events.rs
@@ -86,7 +86,8 @@
         worker: WorkerId,
         /// How the attempt ended.
         outcome: Outcome,
-        /// Time since the attempt was sent.
+        /// Time since the attempt was sent; if [`Event::RequestSent`] was reported for it, time since that
+        /// event.
         elapsed: Micros,
         /// Whether the request has its final answer, so that no further attempt is needed.
         request_concluded: bool,
--- a/crates/dispatcher/src/interface/settings.rs
+++ b/crates/dispatcher/src/interface/settings.rs
@@ -41,7 +41,7 @@
     pub latency_objective: Micros,
     /// Variable part of the latency objective, as a multiple of the running time of the job.
     pub objective_stretch: f64,
-    /// Time that a client waits, over all of its attempts.
+    /// Time that a client waits for an answer, including its own retries.
     pub deadline: Micros,
     /// Value of an answer in time, relative to other classes.
     pub priority_weight: f64,
--- a/crates/dispatcher/src/interface/status.rs
+++ b/crates/dispatcher/src/interface/status.rs
@@ -27,7 +27,7 @@
 }
 
 impl WorkerCounts {
-    /// Returns the number of workers that get no new work.
+    /// Returns the number of workers that get no new work, apart from half-open probes.
     pub fn unavailable(&self) -> u64 {
         self.draining + self.ejected + self.saturated
     }
