--- a/crates/simulator/src/error.rs
+++ b/crates/simulator/src/error.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::io;
 
-/// Why a batch cannot be handled. The messages name the simulator's message type and field.
+/// Why a batch cannot be handled. The error texts use the simulator's names of messages and fields.
 #[derive(Debug)]
 pub enum BatchError {
     /// The line is not JSON of the form of a [`Batch`](crate::wire::Batch).
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -28,7 +28,7 @@
 }
 
 impl Host {
-    /// Handles the messages of one batch in order, and returns the resulting commands. Instances without
+    /// Handles the messages of one batch in order, and returns the resulting commands. Groups without
     /// commands are left out of the reply.
     ///
     /// # Errors
--- a/crates/simulator/src/instance.rs
+++ b/crates/simulator/src/instance.rs
@@ -18,7 +18,7 @@
 const UPDATE_DELTA: u8 = 0;
 /// `mode` of an `update` message: the list is complete.
 const UPDATE_FULL: u8 = 1;
-/// `mode` of an `update` message: the list is complete, but may be out of date.
+/// `mode` of an `update` message: the list is complete, but may be outdated.
 const UPDATE_CACHED: u8 = 2;
 /// `mode` of an `update` message: discovery failed, there is no list.
 const UPDATE_FAILED: u8 = 3;
@@ -32,7 +32,7 @@
 }
 
 impl Instance {
-    /// A dispatcher with these settings, without workers and requests.
+    /// An instance with these settings, without workers and requests.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Instance {
             dispatcher: Dispatcher::new(settings, seed),
--- a/crates/simulator/src/names.rs
+++ b/crates/simulator/src/names.rs
@@ -79,14 +79,15 @@
         }
     }
 
-    /// Marks the request as concluded.
+    /// Records that the request is concluded: it has its answer, or its client has disconnected.
     pub fn conclude(&mut self, id: RequestId) {
         if let Some(request) = self.by_id.get_mut(&id) {
             request.concluded = true;
         }
     }
 
-    /// Removes the request if it is concluded and has no outstanding attempt.
+    /// Removes the request if it is concluded and has no outstanding attempt. Its name then has no id,
+    /// even if a newer request has the same name.
     pub fn remove_if_complete(&mut self, id: RequestId) {
         let is_complete =
             self.by_id.get(&id).is_some_and(|request| request.concluded && request.outstanding_attempts == 0);
--- a/crates/simulator/src/wire.rs
+++ b/crates/simulator/src/wire.rs
@@ -1,5 +1,5 @@
 //! The simulator's messages: one JSON value per line. Requests, workers and instances are identified by name;
-//! classes, zones and kinds of machine by their index in the settings. The simulator's names of messages and
+//! classes, zones and worker kinds by their index in the settings. The simulator's names of messages and
 //! fields are mapped to Rust names by serde attributes in this module only.
 
 mod commands;
--- a/crates/simulator/src/wire/commands.rs
+++ b/crates/simulator/src/wire/commands.rs
@@ -24,13 +24,13 @@
 /// One action of a dispatcher. Requests and workers are identified by name.
 #[derive(Serialize)]
 pub enum Command {
-    /// Start an attempt: send the request to the worker.
+    /// Send an attempt of a request to a worker.
     #[serde(rename = "relay")]
     Send {
         /// The request to send.
         #[serde(rename = "call")]
         request: String,
-        /// When the attempt times out, in microseconds after its start; 0: at the request's deadline.
+        /// The timeout of the attempt, in microseconds; 0: only the request's deadline applies.
         timeout: i64,
         /// The worker to send it to.
         worker: String,
@@ -45,7 +45,7 @@
         #[serde(rename = "try")]
         attempt: u32,
     },
-    /// Answer a request as rejected: no worker has executed it.
+    /// Answer a request as rejected: it was not executed, or a retry is harmless.
     #[serde(rename = "turnAway")]
     Reject {
         /// The request to answer.
@@ -55,7 +55,7 @@
         #[serde(rename = "retryIn")]
         retry_after: i64,
     },
-    /// Answer a request as failed.
+    /// Answer a request as failed: it may have taken effect.
     #[serde(rename = "error")]
     Fail {
         /// The request to answer.
@@ -81,7 +81,7 @@
     /// Send an `update` message for each change of the worker list.
     #[serde(rename = "streamChanges")]
     WatchWorkerList {
-        /// Always true: a subscription is never ended.
+        /// Always true: a watch is never ended.
         enable: bool,
     },
     /// Write a line to the simulator's log.
--- a/crates/simulator/src/wire/messages.rs
+++ b/crates/simulator/src/wire/messages.rs
@@ -83,10 +83,10 @@
         #[serde(default, rename = "try")]
         attempt: u32,
     },
-    /// The first part of a streamed response has arrived.
+    /// A worker has begun a streamed response.
     #[serde(rename = "begun")]
     ResponseStreaming {
-        /// The request that is answered.
+        /// The request that the attempt belongs to.
         #[serde(borrow, rename = "call")]
         request: Cow<'a, str>,
         /// The worker that sends the response.
@@ -118,7 +118,7 @@
         #[serde(default, rename = "metrics")]
         load_report: Vec<f64>,
     },
-    /// The timer of a `sleep` command has fired.
+    /// The timer of a `sleep` command has expired.
     #[serde(rename = "wakeup")]
     Timer {
         /// The token of that command.
@@ -142,7 +142,7 @@
     /// The simulated time at which the client stops waiting, in microseconds.
     #[serde(rename = "due")]
     pub deadline: i64,
-    /// The expected running time of the job, in microseconds; `None` if unknown.
+    /// The expected running time of the job on a standard core, in microseconds; `None` if unknown.
     #[serde(default, rename = "cost")]
     pub work_hint: Option<i64>,
     /// How many of a worker's slots the job occupies; `None` means 1.
@@ -196,7 +196,7 @@
     /// The simulated time of its last start, in microseconds; 0 if that was long ago.
     #[serde(default, rename = "born")]
     pub started_at: i64,
-    /// The index of its kind of machine in the settings.
+    /// The index of its worker kind in the settings.
     #[serde(default, rename = "machine")]
     pub kind: usize,
     /// The index of its zone in the settings.
