--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Reports each job line as it arrives, up to the end of the job, with the worker's load report.
+    /// Reports the job's start and progress as they arrive, and then its end with the worker's load report.
     async fn follow_job(
         &self,
         response: &mut ResponseReader,
--- a/crates/engine/src/attempt_end.rs
+++ b/crates/engine/src/attempt_end.rs
@@ -31,7 +31,8 @@
     /// The request's body could not be read to its end, so the last byte was not written. Says nothing about
     /// the worker.
     BodyUnavailable(BodyReadError),
-    /// The node had no file descriptor or memory for a connection. Says nothing about the worker.
+    /// The node lacked a file descriptor or another resource (memory, a local port, a route) for a
+    /// connection. Says nothing about the worker.
     NoDescriptor,
     /// The connection was refused or failed before it was established.
     Unreachable,
--- a/crates/engine/src/attempt_spec.rs
+++ b/crates/engine/src/attempt_spec.rs
@@ -52,8 +52,8 @@
 
     /// Checks whether the request may be sent now.
     ///
-    /// If the client has closed its connection, waits until this is reported to the request. The front end
-    /// reports it after it has read all input that the client sent before, which may take some time.
+    /// If the client has closed its connection, waits until this is reported to the request. Before the front
+    /// end notices, it may have to read all input that the client sent earlier, which takes some time.
     ///
     /// # Errors
     ///
--- a/crates/engine/src/backoff.rs
+++ b/crates/engine/src/backoff.rs
@@ -24,7 +24,7 @@
 /// Draws the random delays between polls of discovery.
 ///
 /// Each delay after a failure is uniform between zero and an upper bound that doubles. Without jitter, nodes
-/// that start at the same time after a common failure would poll in step: discovery would answer as many as
+/// that start at the same time after a common failure would poll in step: discovery would serve as many as
 /// it can, and reject the same others each time.
 #[derive(Clone)]
 pub struct Backoff {
@@ -37,10 +37,10 @@
 impl Backoff {
     /// Starts with the initial bound. Equal seeds draw equal delays.
     ///
-    /// `drain_grace`: how long requests may still be sent to a worker after the node was notified that it
-    /// drains. `max_list_staleness`: a node is assumed to know a change this long after discovery published
-    /// it, or four times as long after a failed poll. A delay takes at most half of the latter; the rest is
-    /// left for the poll.
+    /// `drain_grace`: how long requests may still be sent to a worker after the node was notified that the
+    /// worker drains. `max_list_staleness`: the platform treats a node as notified of a change this long
+    /// after discovery published it, or four times as long if a poll has failed. A delay takes at most half
+    /// of the latter; the rest is left for the poll.
     pub fn new(seed: u64, drain_grace: Micros, max_list_staleness: Micros) -> Backoff {
         Backoff {
             rng: fastrand::Rng::with_seed(seed),
@@ -63,9 +63,9 @@
     /// Draws the delay before an agent on the node's own machine is polled again while earlier polls are
     /// outstanding.
     ///
-    /// Polls of such an agent are cheap, and the node counts as notified of a change as soon as the agent
-    /// could report it. After an outage of the agent, that change may be a drain whose grace period has
-    /// already begun, so the delay is a fraction of that period.
+    /// Polls of such an agent are cheap, and the platform treats the node as notified of a change as soon as
+    /// the agent could report it. After an outage of the agent, that change may be a drain whose grace period
+    /// has already begun, so the delay is a fraction of that period.
     pub fn hedge_delay(&mut self) -> Duration {
         let share = MIN_HEDGE_SHARE + (MAX_HEDGE_SHARE - MIN_HEDGE_SHARE) * self.rng.f64();
         self.drain_grace.mul_f64(share)
--- a/crates/engine/src/connection_pool.rs
+++ b/crates/engine/src/connection_pool.rs
@@ -11,9 +11,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// An idle connection is closed this long before the worker's keep-alive timeout. A request that is sent
-/// while the worker closes the connection ends in a reset, and an at-most-once request could then not be
-/// retried.
+/// An idle connection is closed this long before the worker's keep-alive timeout, or after half of that
+/// timeout if that is later. A request that is sent while the worker closes the connection ends in a reset,
+/// and an at-most-once request could then not be retried.
 const KEEPALIVE_MARGIN: Duration = Duration::from_secs(2);
 /// The least idle timeout, even if connections become stale sooner.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(50);
@@ -53,7 +53,7 @@
 
 /// Keeps idle connections to workers for reuse.
 pub struct ConnectionPool {
-    /// The budget of descriptors that upstream and downstream connections share.
+    /// The budget of descriptors that upstream connections, downstream connections and body files share.
     pub descriptors: Rc<DescriptorBudget>,
     /// The workers' keep-alive timeout from the settings, less the margin.
     configured_idle_timeout: Duration,
@@ -122,8 +122,8 @@
     ///
     /// # Errors
     ///
-    /// [`AttemptEnd::NoDescriptor`] if the node is short of descriptors or memory, which says nothing about
-    /// the worker; [`AttemptEnd::Unreachable`] if the connection fails.
+    /// [`AttemptEnd::NoDescriptor`] if the node lacks a descriptor or another resource, which says nothing
+    /// about the worker; [`AttemptEnd::Unreachable`] if the connection fails.
     pub async fn connect(&self, address: SocketAddr) -> Result<PooledConnection, AttemptEnd> {
         let permit = self.acquire_descriptor().ok_or(AttemptEnd::NoDescriptor)?;
         self.counters.upstream_connections.increment();
--- a/crates/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -48,7 +48,7 @@
     pub upstream_connections: Counter,
     /// Probes started.
     pub probes: Counter,
-    /// Worker lists applied, both complete lists and updates.
+    /// Worker lists from discovery that were applied, both complete lists and updates.
     pub worker_lists: Counter,
     /// Discovery watches that failed for any reason.
     pub discovery_watches_failed: Counter,
--- a/crates/engine/src/discovery_poll.rs
+++ b/crates/engine/src/discovery_poll.rs
@@ -13,9 +13,9 @@
 
 /// Discovery sends at least one byte every 2 s. A poll that receives nothing for this long has failed.
 pub const READ_TIMEOUT: Duration = Duration::from_secs(3);
-/// A list that has begun must be complete within this time, even if its bytes keep arriving. The node counts
-/// as notified of a change 6 s after its watch failed, and a list that arrives slowly delays the notice just
-/// as a failed watch does.
+/// A list that has begun must be complete within this time, even if its bytes keep arriving. The platform
+/// treats the node as notified of a change 6 s after the watch failed, and a list that arrives slowly delays
+/// the notice just as a failed watch does.
 const LIST_TIMEOUT: Duration = Duration::from_secs(6);
 /// The most outstanding polls of an agent. The agent may still respond to an older poll, so it is not
 /// cancelled as soon as a newer one is sent.
@@ -107,8 +107,8 @@
 }
 
 /// Polls an agent until a poll receives a response or fails. While the agent does not respond, further polls
-/// are sent without cancelling the outstanding ones, because the node counts as notified of a change as soon
-/// as the agent could report it.
+/// are sent without cancelling the outstanding ones, because the platform treats the node as notified of a
+/// change as soon as the agent could report it.
 ///
 /// # Errors
 ///
--- a/crates/engine/src/discovery_watch.rs
+++ b/crates/engine/src/discovery_watch.rs
@@ -96,8 +96,9 @@
         match (self.mode, error) {
             // No delay here: hedged polls are delayed by `poll_hedged`.
             (DiscoveryMode::LocalAgent, WatchError::Stalled | WatchError::NoResponse) => Duration::ZERO,
-            // The node counts as notified 6 s after the response stalled, and 3 s of that have passed, so the
-            // delay starts again from the initial bound, whatever failed before this watch.
+            // The platform treats the node as notified of a change 6 s after the response stalled, and 3 s of
+            // that have passed, so the delay starts again from the initial bound, whatever failed before this
+            // watch.
             (DiscoveryMode::SharedService, WatchError::Stalled) => {
                 self.backoff.reset();
                 self.backoff.retry_delay(false)
--- a/crates/engine/src/dispatcher_loop.rs
+++ b/crates/engine/src/dispatcher_loop.rs
@@ -35,7 +35,7 @@
 
 /// The dispatcher, and the channels through which its actions are carried out.
 pub struct DispatcherLoop {
-    /// The clock that dates the events.
+    /// The clock of dispatcher events.
     pub clock: Clock,
     state: RefCell<State>,
     timer_sender: Sender<NewTimer>,
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -40,11 +40,11 @@
 pub struct Engine {
     /// The executor of all tasks.
     pub tasks: Rc<Tasks>,
-    /// The dispatcher, with the routes of its actions.
+    /// Passes events to the dispatcher, and routes its actions to requests, timers, probes and the log.
     pub dispatcher_loop: Rc<DispatcherLoop>,
     /// The known workers and the pooled connections to them.
     pub upstreams: Rc<Upstreams>,
-    /// Stores the bodies of requests until they have been sent.
+    /// Stores the bodies of requests, so that a request can be sent again after a failed attempt.
     pub bodies: Rc<BodyStore>,
     /// Limits how many long bodies are sent to workers at once.
     pub body_admission: BodyAdmission,
@@ -192,16 +192,16 @@
     }
 }
 
-/// Creates the body store. Each tenant in each class has a share of it, and its files take descriptors from
-/// the node's budget.
+/// Creates the body store. Each pair of class and tenant is a budget group of it, and its files take
+/// descriptors from the node's budget.
 fn new_body_store(config: &Config, disk: Option<Arc<dyn Disk>>, upstreams: &Rc<Upstreams>) -> Rc<BodyStore> {
-    let shares = config.classes.len() * config.tenants.len().max(1);
+    let budget_groups = config.classes.len() * config.tenants.len().max(1);
     let upstreams = upstreams.clone();
     let acquire_descriptor = move || {
         let permit = upstreams.pool.acquire_descriptor()?;
         Some(Box::new(permit) as FilePermit)
     };
-    BodyStore::new(&config.operator.bodies, shares, disk, acquire_descriptor)
+    BodyStore::new(&config.operator.bodies, budget_groups, disk, acquire_descriptor)
 }
 
 /// For each class in the order of the settings: whether its requests must not run twice.
--- a/crates/engine/src/invariants.rs
+++ b/crates/engine/src/invariants.rs
@@ -22,7 +22,8 @@
 pub enum Invariant {
     /// Each request gets a final answer, unless its client disconnects.
     OneFinalAnswer,
-    /// No attempt is fully sent `MAX_SEND_AFTER_DISCONNECT` or more after its client disconnected.
+    /// No attempt is fully sent `MAX_SEND_AFTER_DISCONNECT` or more after its client's disconnect was
+    /// reported.
     NothingSentAfterDisconnect,
     /// No attempt is fully sent `MAX_SCHEDULING_DELAY` or more after its deadline or the end of its
     /// idempotency window.
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -15,7 +15,7 @@
 pub struct Job {
     /// The index of the request's class in the settings.
     pub class: usize,
-    /// When the client stops waiting for the answer, in dispatcher time.
+    /// When the answer must be sent to the client, in dispatcher time.
     pub deadline: Micros,
     /// The client's estimate of the job's running time, if it gave one.
     pub work_hint: Option<Micros>,
@@ -98,7 +98,7 @@
 pub enum Answer {
     /// A worker's result.
     Served(String),
-    /// The job did not run, and a retry is harmless.
+    /// A rejection: the job did not run, or it may run more than once, so a retry is harmless.
     Rejected {
         /// How long the client should wait before it retries, in microseconds; 0 for no advice.
         retry_after: Micros,
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -14,7 +14,7 @@
 //! | `request_writer`, `response_reader` | writes the request to a worker; reads its response |
 //! | `attempt_spec` | the limits of one attempt, and whether it may be sent |
 //! | `upstreams` | the registry, connection pool and limits that attempts and probes share |
-//! | `connection_pool`, `descriptor_budget` | idle upstream connections; descriptors of all connections |
+//! | `connection_pool`, `descriptor_budget` | idle upstream connections; limit of file descriptors |
 //! | `worker_registry`, `start_times` | worker addresses and states from discovery; worker start times |
 //! | `load_report` | parses the load reports of workers |
 //! | `discovery_watch`, `discovery_poll` | the watch on the worker list; one poll of discovery |
--- a/crates/engine/src/request_task.rs
+++ b/crates/engine/src/request_task.rs
@@ -48,7 +48,7 @@
 
 /// The parts of the node that the tasks of all requests share.
 pub struct RequestContext {
-    /// The dispatcher, with the routes of its actions.
+    /// Passes events to the dispatcher, and routes its actions to requests, timers, probes and the log.
     pub dispatcher_loop: Rc<DispatcherLoop>,
     /// The known workers and the pooled connections to them.
     pub upstreams: Rc<Upstreams>,
@@ -66,7 +66,7 @@
     pub id: RequestId,
     /// The index of the request's class in the settings.
     pub class: usize,
-    /// When the client stops waiting for the answer, in dispatcher time.
+    /// When the answer must be sent to the client, in dispatcher time.
     pub deadline: Micros,
     /// The request that is sent to workers.
     pub payload: Rc<RequestPayload>,
@@ -221,7 +221,8 @@
         }
     }
 
-    /// Releases the body permit and restarts the elapsed time, as the last byte of a long body was written.
+    /// The last byte of a long body was written: releases the body permit, counts the attempt's elapsed time
+    /// from now, and notifies the dispatcher.
     fn request_sent(&mut self, attempt: u32) {
         self.request.body_permit = None;
         let now = self.now();
@@ -232,8 +233,8 @@
         self.dispatch(Event::RequestSent { request: self.request.id, attempt, worker });
     }
 
-    /// Records the outcome of an attempt. If it ends while a cancellation is queued, only the first message
-    /// has an effect.
+    /// Records the outcome of an attempt. If the attempt ends and is also cancelled, the message that is
+    /// handled first determines the outcome, and the other one has no effect.
     fn end_attempt(&mut self, attempt: u32, end: AttemptEnd, load_report: Vec<f64>) {
         let Some(RunningAttempt { worker, timed_from, fully_sent, task }) = self.attempts.remove(&attempt)
         else {
@@ -293,7 +294,7 @@
         }
     }
 
-    /// Sends the answer to the client, unless the request is already concluded.
+    /// Passes the answer to the front end, unless the request is already concluded.
     fn answer(&mut self, answer: Answer) {
         if self.request.state.concluded.replace(true) {
             return;
--- a/crates/engine/src/request_writer.rs
+++ b/crates/engine/src/request_writer.rs
@@ -63,7 +63,7 @@
                 return Err(self.end_after_write_error(connection).await);
             }
             // Once the last byte is written, the worker may run the job, so the attempt must not end as
-            // unsent. Returning here skips the checks of another iteration.
+            // unsent. Returning here skips the wait below and the checks of another iteration.
             if length == Some(body_bytes) {
                 return Ok(());
             }
--- a/crates/engine/src/response_reader.rs
+++ b/crates/engine/src/response_reader.rs
@@ -44,7 +44,7 @@
 
 /// The meaning of the next line of a response for the attempt.
 pub enum ResponseStep {
-    /// None: a blank line, which the worker sends to keep the connection alive.
+    /// A blank line, which the worker sends to keep the connection alive; it says nothing about the job.
     KeepAlive,
     /// The worker has started the job.
     Started,
@@ -130,8 +130,8 @@
         }
     }
 
-    /// Ends the attempt after a response that violates the protocol. Its end cannot be found on
-    /// the connection, which is therefore not reused.
+    /// Ends the attempt after a response that broke off or violates the protocol. Where the next response
+    /// would begin on the connection is unknown, so the connection is not reused.
     fn end_and_close(&mut self, end: AttemptEnd) -> ResponseStep {
         self.keeps_alive = false;
         ResponseStep::Ended(end)
--- a/crates/engine/src/start_times.rs
+++ b/crates/engine/src/start_times.rs
@@ -33,8 +33,8 @@
 #[derive(Default)]
 pub struct StartTimes {
     starts: HashMap<WorkerId, RecordedStart>,
-    /// The greatest difference between the newest reported start of a list and the node's clock when the list
-    /// was read. The node's clock is behind the clock of the reports by at least this.
+    /// The most by which the newest reported start of any list was ahead of the node's clock when that list
+    /// was read; negative if none was. The node's clock is behind the clock of the reports by at least this.
     max_clock_lag: Option<Micros>,
     /// The number of lists read so far, including the current one.
     lists_read: u64,
--- a/crates/engine/src/upstreams.rs
+++ b/crates/engine/src/upstreams.rs
@@ -22,7 +22,7 @@
     pub counters: Rc<Counters>,
     /// Parses load reports according to the settings.
     pub load_report_fields: LoadReportFields,
-    /// How long requests may still be sent to a worker after the node was notified that it drains.
+    /// How long requests may still be sent to a worker after the node was notified that the worker drains.
     pub drain_grace: Duration,
     /// The time limit for connecting to a worker.
     pub connect_timeout: Duration,
