--- a/crates/admin/src/caller.rs
+++ b/crates/admin/src/caller.rs
@@ -17,8 +17,8 @@
 /// The most input that is drained after the reply.
 const MAX_LINGER_BYTES: usize = 64 * 1024;
 
-/// Reads one command from `stream`, executes it and sends the reply. Closes the connection without a reply if
-/// the client has closed it before it sent anything, or if it fails.
+/// Reads one command from `stream`, executes it and sends the reply. Sends no reply if the client closes the
+/// connection before it has sent anything, or if the connection fails.
 pub async fn serve_connection(service: &AdminService, stream: TcpStream) {
     let Ok(mut connection) = Connection::accepted(stream).await else { return };
     let read_deadline = Instant::now() + COMMAND_READ_TIMEOUT;
@@ -36,8 +36,8 @@
     }
 }
 
-/// Reads the command, or why the line is not a command. Returns `None` if the client has closed the
-/// connection before it sent anything, or if the connection failed.
+/// Reads the line and returns the command, or why the line is not a command. Returns `None` if the client has
+/// closed the connection before it sent anything, or if the connection failed.
 async fn read_command(connection: &mut Connection) -> Option<Result<AdminCommand, CommandError>> {
     let mut reader = CommandReader::default();
     loop {
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -57,8 +57,8 @@
 }
 
 impl AdminConnections {
-    /// Waits until there is room for one more connection. Closes the oldest one if none has ended by the time
-    /// of its eviction.
+    /// Waits until there is room for one more connection. If no connection has ended by the time that
+    /// [`next_eviction_at`] returns, closes the oldest one.
     async fn make_room(&mut self) {
         self.remove_finished();
         while let Some(evict_at) = self.next_eviction_at() {
--- a/crates/frontend-http1/src/body_reader.rs
+++ b/crates/frontend-http1/src/body_reader.rs
@@ -24,7 +24,7 @@
     pub client_deadline: Instant,
 }
 
-/// How reading a body, up to its end or until it can be streamed, has ended.
+/// The result of reading a body until it is complete or can be streamed.
 pub enum BodyProgress {
     /// The body has been read to its end.
     Complete,
--- a/crates/frontend-http1/src/counters.rs
+++ b/crates/frontend-http1/src/counters.rs
@@ -1,4 +1,5 @@
 //! The counters of the front end.
+
 use sorrelhaven_engine::Counter;
 
 /// The events that the front end counts itself; what becomes of jobs is in the engine's counters.
--- a/crates/frontend-http1/src/downstream.rs
+++ b/crates/frontend-http1/src/downstream.rs
@@ -12,7 +12,8 @@
 #[derive(Default)]
 pub struct DownstreamConnections {
     open: Cell<usize>,
-    /// Each notification closes one unused connection, on which no job has been submitted yet: the oldest.
+    /// Each notification closes one unused connection, on which no job has been submitted yet: the one that
+    /// has been idle for the longest time.
     pub evict_unused: Event,
     /// Each notification closes one connection on which a job has been submitted: the one that has been idle
     /// for the longest time.
--- a/crates/frontend-http1/src/exchange.rs
+++ b/crates/frontend-http1/src/exchange.rs
@@ -22,7 +22,7 @@
 }
 
 impl Exchange {
-    /// An exchange without a job, after which the connection is closed.
+    /// An exchange in which no job was submitted, and after which the connection is closed.
     pub fn closing(response: Response) -> Exchange {
         Exchange { response, reusable: false, submitted_job: false }
     }
--- a/crates/frontend-http1/src/frontend.rs
+++ b/crates/frontend-http1/src/frontend.rs
@@ -33,7 +33,7 @@
     pub(crate) accept_failing: Cell<bool>,
     /// The phase of the node (starting, serving, drained, stopping), with notification of changes.
     pub(crate) lifecycle: Rc<LifecycleHandle>,
-    /// The longest deadline of any request class.
+    /// The longest time that a client of any request class waits for its answer, according to the settings.
     longest_client_timeout: Duration,
 }
 
--- a/crates/frontend-http1/src/lib.rs
+++ b/crates/frontend-http1/src/lib.rs
@@ -1,4 +1,4 @@
-//! The HTTP/1.1 front end: accepts client connections and answers `POST /api` and `GET /health/ready`.
+//! The HTTP/1.1 front end: accepts client connections and serves `POST /api` and `GET /health/ready`.
 //!
 //! A downstream connection is one accepted from a client; its requests are served one after the other. Each
 //! valid `POST /api` request becomes a `Job` for the engine, and its `Answer` becomes status 200 (served),
--- a/crates/frontend-http1/src/listen.rs
+++ b/crates/frontend-http1/src/listen.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-/// How long opening the listener is retried while the machine lacks memory or buffers.
+/// How long opening the listener is retried while the machine lacks a resource such as memory or buffers.
 const LISTEN_RETRY_TIMEOUT: Duration = Duration::from_secs(3);
 /// The pause between two attempts to listen.
 const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(10);
@@ -14,8 +14,8 @@
 /// dropped retransmits it a second later. This length spares a burst of hundreds of clients that delay.
 const ACCEPT_QUEUE_LENGTH: i32 = 1024;
 
-/// Listens on `address`. Retries for up to 3 s if the machine lacks memory or buffers: a transient shortage
-/// must not prevent the node's start. Blocks the thread meanwhile.
+/// Listens on `address`. Retries for up to 3 s if the machine lacks a resource such as memory or buffers: a
+/// transient shortage must not prevent the node's start. Blocks the thread meanwhile.
 ///
 /// # Errors
 /// The error of the last `bind` or `listen` call.
--- a/crates/frontend-http1/src/parsed_request.rs
+++ b/crates/frontend-http1/src/parsed_request.rs
@@ -13,7 +13,7 @@
 const ROUND_TRIP_ALLOWANCE_MICROS: Micros = 3_000;
 /// The longest client timeout that is accepted, one hour. A longer one counts as this.
 const MAX_TIMEOUT_MICROS: f64 = 3_600e6;
-/// The number of slots that a job occupies on a worker if its request does not state one.
+/// The number of slots that a job occupies at a worker if its request does not state one.
 const DEFAULT_SLOTS: f64 = 1.0;
 const READINESS_PATH: &str = "/health/ready";
 const JOB_PATH: &str = "/api";
@@ -172,8 +172,8 @@
 }
 
 /// Parses the slots that a job occupies: `slots=`, or its alias `width=`, among the comma-separated fields of
-/// `Request-Info`. [`DEFAULT_SLOTS`] where neither is present; `None` where it or a field before it is
-/// malformed.
+/// `Request-Info`. Returns [`DEFAULT_SLOTS`] if neither is present, and `None` if that field or one before it
+/// is malformed.
 fn parse_slots(info: &str) -> Option<f64> {
     for field in info.split(',').filter(|field| !field.trim().is_empty()) {
         let (name, value) = field.split_once('=')?;
--- a/crates/frontend-http1/src/request_draft.rs
+++ b/crates/frontend-http1/src/request_draft.rs
@@ -17,7 +17,7 @@
     pub deadline: Micros,
     /// The client's estimate of the job's running time.
     pub work_hint: Option<Micros>,
-    /// The number of slots that the job occupies on a worker.
+    /// The number of slots that the job occupies at a worker.
     pub slots: f64,
     /// Whether the client marks the request as a retry.
     pub is_retry: bool,
