--- a/crates/body-store/src/blocking_pool.rs
+++ b/crates/body-store/src/blocking_pool.rs
@@ -7,7 +7,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The number of calls that may run at the same time. A disk that hangs blocks at most this many threads.
+/// The number of calls that may run at the same time. A disk that hangs blocks at most this many threads,
+/// apart from those that close files, which do not use the pool.
 const MAX_CONCURRENT_CALLS: usize = 4;
 
 /// Limits the number of blocking calls that run at the same time.
--- a/crates/body-store/src/body.rs
+++ b/crates/body-store/src/body.rs
@@ -35,7 +35,8 @@
     pub(crate) id: BodyId,
     pub(crate) declared_length: Option<u64>,
     pub(crate) state: RefCell<BodyState>,
-    /// Notified after each change of the state; the writer and the readers wait for it.
+    /// Notified when bytes have arrived, bytes were consumed, or the upload has ended; the writer and the
+    /// readers wait for it.
     pub(crate) changed: Event,
 }
 
@@ -156,7 +157,7 @@
         ReaderId(state.reader_count)
     }
 
-    /// Wakes the writer and all readers that wait for a change of the state.
+    /// Wakes the writer and all readers that wait for [`SharedBody::changed`].
     pub(crate) fn notify(&self) {
         self.changed.notify(usize::MAX);
     }
--- a/crates/body-store/src/body_end.rs
+++ b/crates/body-store/src/body_end.rs
@@ -13,11 +13,13 @@
     /// The whole body has arrived, but only its first part, if any, is stored. A single reader receives the
     /// rest.
     Streamed,
-    /// The client closed or reset its connection before the whole body had arrived.
+    /// The client closed or reset its connection before the whole body had arrived, or sent a body whose
+    /// framing is malformed.
     ClientDisconnected,
-    /// The body is longer than the largest accepted body, or than its declared length.
+    /// The body is longer than the largest accepted body.
     TooLarge,
-    /// The rest of the body had not arrived by the deadline that the front end enforces.
+    /// The next bytes of the body had not arrived by a deadline that the front end enforces, such as the one
+    /// that follows from the minimum upload rate.
     TooSlow,
     /// Rejected by the settings, since the body could not be stored: the disk was full.
     DiskFull,
--- a/crates/body-store/src/body_file.rs
+++ b/crates/body-store/src/body_file.rs
@@ -1,5 +1,5 @@
-//! The file of a body: a sequence of blocks, whose checksums are kept in memory. Reads and writes block, and
-//! run on the threads of the pool.
+//! The file of a body: a sequence of blocks, whose checksums are kept in memory. Blocks are read and written
+//! by blocking calls on the threads of the pool.
 
 use crate::body_end::BodyReadError;
 use crate::disk::DiskFile;
@@ -62,7 +62,7 @@
 }
 
 impl StoredBlock {
-    /// The offset of the first byte after the block.
+    /// The offset of the first byte after the block, which is the same in the file and in the body.
     pub(crate) fn end(&self) -> u64 {
         self.offset + self.length as u64
     }
--- a/crates/body-store/src/budget.rs
+++ b/crates/body-store/src/budget.rs
@@ -38,7 +38,8 @@
         self.unused_guarantees = self.used_by_group.iter().map(|&used| guarantee.saturating_sub(used)).sum();
     }
 
-    /// The bytes that each group can reserve whatever the others use.
+    /// The bytes that each group can reserve whatever the others use, unless they have reserved more than a
+    /// total that [`Budget::resize`] has lowered.
     pub fn guaranteed_per_group(&self) -> u64 {
         self.total / 2 / self.used_by_group.len() as u64
     }
--- a/crates/body-store/src/counters.rs
+++ b/crates/body-store/src/counters.rs
@@ -24,7 +24,7 @@
 pub(crate) struct Counters {
     /// Ended uploads, in the order of [`BodyEnd::ALL`].
     ends: [Counter; BodyEnd::ALL.len()],
-    /// Bodies that were not stored, or not to their end, in the order of [`NotStoredReason::ALL`].
+    /// Bodies of which nothing or only the first part was stored, in the order of [`NotStoredReason::ALL`].
     not_stored: [Counter; NotStoredReason::ALL.len()],
     pub(crate) files_created: Counter,
     /// Complete bodies that were moved from memory to a file because memory was short.
--- a/crates/body-store/src/directory.rs
+++ b/crates/body-store/src/directory.rs
@@ -97,8 +97,8 @@
     /// full file system is not an error, since it may have room later.
     ///
     /// # Errors
-    /// The path does not exist, is not a directory, is a symbolic link, or leads through a symbolic link of
-    /// another user; or the directory can't be opened or written to.
+    /// The path does not exist, is not a directory, is a symbolic link, or leads through a symbolic link of a
+    /// user other than root and the node's own; or the directory can't be opened or written to.
     pub fn open(path: &Path, node_name: &str) -> Result<Directory, DirectoryError> {
         let error = |kind| DirectoryError { path: path.to_path_buf(), kind };
         check_symbolic_links(path).map_err(error)?;
--- a/crates/body-store/src/disk_health.rs
+++ b/crates/body-store/src/disk_health.rs
@@ -3,12 +3,13 @@
 use crate::decision::{NotStoredReason, Timestamp};
 use std::time::Duration;
 
-/// The backoff after the first failure. Doubles with each further failure.
+/// The backoff after the first failure. Doubles with each failure that follows once it has elapsed.
 const MIN_BACKOFF: Duration = Duration::from_secs(1);
 /// The upper limit of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(30);
 
-/// Disables the disk for a backoff after each failure, and enables it again on the first success.
+/// Disables the disk after a failure, until the backoff has elapsed or a write succeeds. A success also
+/// resets the backoff.
 #[derive(Debug, Default)]
 pub(crate) struct DiskHealth {
     /// `None` if no call has failed since the last success.
--- a/crates/body-store/src/plan.rs
+++ b/crates/body-store/src/plan.rs
@@ -133,8 +133,8 @@
     }
 
     /// Adds a body that counts against the budgets of `budget_group`; an index beyond the last group counts
-    /// as the last. A declared length, in bytes, that memory can't hold decides the tier before any byte
-    /// has arrived.
+    /// as the last. A declared length, in bytes, that exceeds the limit for one body in memory decides the
+    /// tier before any byte has arrived.
     pub fn register(
         &mut self,
         now: Timestamp,
@@ -236,9 +236,10 @@
         free_bytes >= min_free_bytes.saturating_add(needed_bytes)
     }
 
-    /// Records that a disk call for a body has failed or timed out. Disables the disk for its backoff, and
-    /// stores nothing more of the body. A body that was being spilled is complete, so it stays stored, partly
-    /// in its file and partly in memory.
+    /// Records that the disk could not be used for a body: a call failed or timed out, the writes were too
+    /// slow, or there is too little free space. Disables the disk for its backoff, and stores nothing more of
+    /// the body. A body that was being spilled is complete, so it stays stored, partly in its file and partly
+    /// in memory.
     pub fn record_disk_failure(
         &mut self,
         now: Timestamp,
@@ -300,6 +301,7 @@
     /// Chooses a complete body to move from memory to a file, if memory is short: of the budget group that
     /// uses the most memory, the largest body that is not small. The body is reserved in its file at once,
     /// and the caller releases its memory as the blocks are written. Ends with [`StoragePlan::finish_spill`].
+    /// `None` also if another spill is in progress or no file can hold the chosen body.
     pub fn begin_spill(&mut self, now: Timestamp) -> Option<BodyId> {
         if !self.has_memory_pressure() || self.active_spills >= MAX_CONCURRENT_SPILLS {
             return None;
--- a/crates/body-store/src/resources.rs
+++ b/crates/body-store/src/resources.rs
@@ -81,7 +81,7 @@
         self.rejects_unstorable.get()
     }
 
-    /// Records that a disk call for a body has failed or timed out. Logs only the first failure since the
+    /// Records a failure as [`StoragePlan::record_disk_failure`] does. Logs only the first failure since the
     /// last successful write, as each body in progress may report one.
     pub(crate) fn record_disk_failure(&self, id: BodyId, reason: NotStoredReason, error: &str) {
         let failure = self.plan().record_disk_failure(self.now(), id, reason);
--- a/crates/body-store/src/store.rs
+++ b/crates/body-store/src/store.rs
@@ -45,11 +45,12 @@
         self.resources.configure(settings, disk);
     }
 
-    /// The time by which the next byte of a body must arrive: `first_byte_at`, plus `grace`, plus the time that
-    /// the received bytes take at the configured minimum upload rate.
-    pub fn upload_deadline(&self, first_byte_at: Instant, grace: Duration, received_bytes: u64) -> Instant {
+    /// The time by which the next byte of a body must arrive: `read_started_at`, when reading the request
+    /// started, plus `grace`, plus the time that the received bytes take at the configured minimum upload
+    /// rate.
+    pub fn upload_deadline(&self, read_started_at: Instant, grace: Duration, received_bytes: u64) -> Instant {
         let bytes_per_second = self.min_upload_bytes_per_second.get().max(1);
-        first_byte_at + grace + Duration::from_secs_f64(received_bytes as f64 / bytes_per_second as f64)
+        read_started_at + grace + Duration::from_secs_f64(received_bytes as f64 / bytes_per_second as f64)
     }
 
     /// The bytes that all bodies together hold in memory and in files.
@@ -62,7 +63,8 @@
     ///
     /// # Errors
     /// The declared length exceeds the limit, or a body of that length can't be stored and the settings
-    /// reject such bodies. The upload has then ended as the returned [`BodyEnd`] says.
+    /// reject such bodies. The upload has then ended as the returned [`BodyEnd`] says; the [`RequestBody`] is
+    /// the handle of the rejected body, for its request.
     pub fn begin_upload(
         &self,
         budget_group: usize,
--- a/crates/body-store/src/writer.rs
+++ b/crates/body-store/src/writer.rs
@@ -13,10 +13,11 @@
 use std::time::{Duration, Instant};
 use tracing::info;
 
-/// Once this many bytes that are not stored are unread, the writer waits for the reader. Bounds the memory of
-/// such bodies, which no budget limits.
+/// Once this many bytes that are not stored are unread, the writer waits for the reader. Bounds the memory
+/// that these bytes take, which no budget limits.
 const MAX_UNREAD_BYTES: u64 = BLOCK_BYTES as u64;
-/// A disk call that has not returned after this time, including its wait for a thread, disables the disk.
+/// The timeout for creating a file and for writing a block, including the wait for a thread. A call that has
+/// not returned by then disables the disk.
 const DISK_CALL_TIMEOUT: Duration = Duration::from_millis(250);
 /// The writes for one body may take this long in total, plus the time that the written bytes take at
 /// [`MIN_DISK_BYTES_PER_SECOND`]. Beyond that, the disk is disabled.
@@ -183,7 +184,7 @@
     fn unread_bytes(&self) -> u64 {
         let state = self.shared.state.borrow();
         match state.consumer {
-            // The bytes before that offset are stored, and accounted for.
+            // The bytes before `not_stored_from` are stored, and accounted for.
             None => state.received_bytes - state.not_stored_from.unwrap_or(0),
             Some(_) => state.received_bytes - state.memory.start(),
         }
