--- a/crates/config/src/hosts.rs
+++ b/crates/config/src/hosts.rs
@@ -78,7 +78,8 @@
 }
 
 impl DiscoveryList {
-    /// Reads a list from JSON. The workers' zones, kinds and addresses are not checked.
+    /// Reads a list from JSON. Does not check whether the workers have addresses, nor whether their zones and
+    /// kinds are in the settings; [`DiscoveryList::check`] does.
     ///
     /// # Errors
     /// The text is not JSON of this form. The error names the key at fault.
--- a/crates/config/src/load.rs
+++ b/crates/config/src/load.rs
@@ -17,7 +17,7 @@
     /// over its keys, and the operators' file named by the variable `SORRELHAVEN_OPERATOR`, if that is set.
     ///
     /// # Errors
-    /// All errors of both files.
+    /// The errors of both files, as far as they can be found in one run.
     pub fn load(env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigErrors> {
         Config::from_files(platform_file::read_file(&env), &env)
     }
@@ -28,7 +28,8 @@
     /// `RELAY_DISCOVERY`, which cannot change while the program runs.
     ///
     /// # Errors
-    /// All errors of both files. The node is to keep its present configuration then.
+    /// The errors of both files, as far as they can be found in one run. The node is to keep its present
+    /// configuration then.
     pub fn reloaded(
         &self,
         env: impl Fn(&str) -> Option<String>,
@@ -65,7 +66,7 @@
     /// its keys. The operators' settings have their defaults.
     ///
     /// # Errors
-    /// All errors in the text and the variables.
+    /// The errors in the text and the variables, as far as they can be found in one run.
     pub fn parse(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigErrors> {
         let env = |variable: &str| if variable == OPERATOR_FILE_VARIABLE { None } else { env(variable) };
         Config::from_files(platform_file::parse_json(text), &env)
--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -24,7 +24,8 @@
 }
 
 impl OperatorSettings {
-    /// Reads the file at `path`. The values are not checked against each other.
+    /// Reads the file at `path`. Checks neither the range of each value nor the values against each other;
+    /// [`OperatorSettings::check`] does.
     ///
     /// # Errors
     /// An error that names `SORRELHAVEN_OPERATOR` if the file cannot be read or is not JSON; otherwise one
@@ -36,7 +37,8 @@
         OperatorSettings::parse(&text)
     }
 
-    /// Reads the text of a file. The values are not checked against each other.
+    /// Reads the text of a file. Checks neither the range of each value nor the values against each other;
+    /// [`OperatorSettings::check`] does.
     ///
     /// # Errors
     /// An error that names `SORRELHAVEN_OPERATOR` if the text is not JSON; otherwise one error for each
@@ -64,7 +66,8 @@
     }
 
     /// Checks the range of each value and the values against each other, for a process that may use
-    /// `memory_mb` megabytes. Also reads the file with the membership key. Returns all errors.
+    /// `memory_mb` megabytes. Also reads the file with the membership key. Returns all errors, but only the
+    /// first one in the addresses and the key of membership.
     pub fn check(&self, memory_mb: u64) -> Vec<ConfigError> {
         let mut errors = self.membership.check();
         errors.extend(self.bodies.check(memory_mb).into_iter().map(|error| error.within("bodies")));
--- a/crates/config/src/platform_file.rs
+++ b/crates/config/src/platform_file.rs
@@ -77,7 +77,9 @@
 /// their defaults.
 ///
 /// # Errors
-/// All errors in the file and the variables.
+/// If `settings` is missing, or a key other than `seed`, `settings` and `known` has a value of the wrong type,
+/// that error only. Otherwise all errors in the file and the variables, but only the first one within
+/// `settings` and the first within `known`.
 pub(crate) fn check(
     platform_json: Value,
     env: &impl Fn(&str) -> Option<String>,
--- a/crates/config/src/settings_file.rs
+++ b/crates/config/src/settings_file.rs
@@ -24,8 +24,8 @@
     DEFAULT_MAX_LIST_STALENESS
 }
 
-/// The settings of one dispatcher. A field without a description is described where the dispatcher's
-/// [`Settings`](sorrelhaven_dispatcher::Settings) or [`Config`](crate::Config) have it.
+/// The settings of one dispatcher. For a field without a description, see the field of the same name in
+/// [`Settings`](sorrelhaven_dispatcher::Settings) or [`Config`](crate::Config), or the type of the field.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct SettingsFile {
@@ -85,7 +85,7 @@
     #[serde(rename = "effect")]
     pub(crate) idempotency: String,
     /// The workers that recognise a repeated idempotency key of a `deduplicated` class: `all`, or those in
-    /// the same `zone` or `cell`.
+    /// the `zone` or the `cell` of the worker that received the request first.
     #[serde(default)]
     pub(crate) dedup_scope: String,
     #[serde(rename = "repeatWindow", default)]
@@ -104,7 +104,7 @@
 }
 
 /// What the platform permits. See [`Limits`](sorrelhaven_dispatcher::Limits) for the fields without a
-/// description.
+/// description, and [`Config`](crate::Config) for `idle_timeout`.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct LimitsEntry {
@@ -126,11 +126,14 @@
     pub(crate) hedging: bool,
 }
 
-/// The parameters of the platform's rules: slow start of workers, draining, and staleness of the worker list.
+/// The parameters of the platform's rules: slow start of workers, draining, staleness of the worker list, and
+/// whether a rejected job may have run. See [`SlowStartRules`](sorrelhaven_dispatcher::SlowStartRules),
+/// [`Limits`](sorrelhaven_dispatcher::Limits) and [`Config`](crate::Config) for the fields without a
+/// description.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct RulesEntry {
-    /// The duration of the slow start of a worker whose process has just started.
+    /// The longest time from the start of a worker's process until the worker has its full capacity.
     #[serde(rename = "cold", default)]
     pub(crate) slow_start: Micros,
     #[serde(rename = "askWithin", default = "default_max_list_staleness")]
@@ -147,7 +150,8 @@
     pub(crate) rejection_may_have_run: bool,
 }
 
-/// Properties of the service that the workers provide.
+/// Properties of the service that the workers provide. See [`Settings`](sorrelhaven_dispatcher::Settings) for
+/// the fields without a description.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct ServiceEntry {
