--- a/crates/handover/src/inherited_listener.rs
+++ b/crates/handover/src/inherited_listener.rs
@@ -19,7 +19,7 @@
         /// The descriptor's number.
         descriptor: RawFd,
     },
-    /// No open descriptor has this number.
+    /// No open descriptor has this number, or the descriptor cannot be duplicated.
     NotOpen {
         /// The descriptor's number.
         descriptor: RawFd,
@@ -81,8 +81,9 @@
 }
 
 /// Duplicates the inherited `descriptor`, and returns the duplicate as a listener. The inherited descriptor
-/// itself stays open. Must be called before this process opens any descriptor of its own, since that could
-/// get the number of an inherited descriptor that is missing.
+/// itself stays open. Must be called before this process opens any descriptor of its own: if the platform
+/// passed no descriptor of this number, one that this process opened could have the number and would be
+/// adopted instead.
 ///
 /// # Errors
 /// The descriptor is not open, is a standard stream, or is not a listening TCP socket.
--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -20,9 +20,9 @@
 /// no attempt to begin more than 0.1 s after the client has disconnected; the difference allows for the
 /// node's own delays.
 const PEER_CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How much input after the current request is buffered while the request waits for its answer: two requests
-/// with the largest body. More input is discarded, since unread input would hide the client's close; the
-/// connection must then be closed after the answer.
+/// How much input after the current request is buffered while the request waits for its answer: twice the
+/// largest body. More input is discarded, since unread input would hide the client's close; the connection
+/// must then be closed after the answer.
 const MAX_READ_AHEAD_BYTES: usize = 2 * MAX_BODY_BYTES;
 /// The greatest number of bytes in one read of a body.
 const BODY_READ_BYTES: usize = 64 * 1024;
@@ -261,9 +261,9 @@
         Ok(())
     }
 
-    /// Closes the connection gracefully (lingering close, RFC 9112, section 9.6): closes the sending side,
-    /// then reads and discards input until the peer closes too, up to about `max_bytes`. Closing a socket
-    /// with unread input would reset the connection, and the peer could lose the last response.
+    /// Prepares the connection to be dropped (lingering close, RFC 9112, section 9.6): closes the sending
+    /// side, then reads and discards input until the peer closes too, up to about `max_bytes`. Closing a
+    /// socket with unread input would reset the connection, and the peer could lose the last response.
     pub async fn drain_input(&mut self, max_bytes: usize) {
         if self.close_sending().await.is_err() {
             return;
--- a/crates/wire/src/errno.rs
+++ b/crates/wire/src/errno.rs
@@ -1,5 +1,5 @@
-//! Classifies the errors of system calls on sockets. No other module compares the error numbers of such
-//! calls: it passes the error to [`classify`] and acts on the [`SocketFailure`].
+//! Classifies the errors of system calls on sockets. Other modules pass such an error to [`classify`] and act
+//! on the [`SocketFailure`]; they do not decide by the error number whether and when to repeat a call.
 //!
 //! The classification follows the table of calls and errors in `docs/errnos.md`.
 
--- a/crates/wire/src/json_objects.rs
+++ b/crates/wire/src/json_objects.rs
@@ -35,7 +35,7 @@
         JsonObjectReader { decoder, input: Vec::new(), consumed: 0, splitter }
     }
 
-    /// Whether the last input read ended inside an object.
+    /// Whether the input consumed so far ends inside an object.
     pub fn is_inside_object(&self) -> bool {
         self.splitter.is_inside_object()
     }
