--- a/crates/body-store/src/plan.rs
+++ b/crates/body-store/src/plan.rs
@@ -201,7 +201,7 @@
         StorageDecision::Store(StorageTier::File)
     }
 
-    /// Moves a body that memory can't hold to a file that can hold the whole body, or stops storing the body.
+    /// Moves a body that memory can't hold to a file, or stops storing the body if no file can hold it.
     /// `expected_length` is the declared length, or else the number of bytes that have arrived.
     fn move_out_of_memory(&mut self, now: Timestamp, id: BodyId, expected_length: u64) -> StorageDecision {
         let files_usable = self.check_files_usable(now);
--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -29,7 +29,7 @@
     pub operator: OperatorSettings,
     /// The last worker list of this node's previous run, which it uses until discovery sends one.
     pub known_workers: DiscoveryList,
-    /// The names of the zones and of the kinds of machine.
+    /// The names of the zones and of the worker kinds.
     pub names: ZoneAndKindNames,
     /// The request classes, in the order of [`Settings::classes`].
     pub classes: Vec<RequestClass>,
--- a/crates/config/src/hosts.rs
+++ b/crates/config/src/hosts.rs
@@ -32,7 +32,7 @@
     /// The name of the worker's zone, as the settings have it.
     #[serde(rename = "site", default)]
     pub zone: String,
-    /// The name of the worker's kind of machine, as the settings have it.
+    /// The name of the worker's kind (its machine type), as the settings have it.
     #[serde(rename = "class", default)]
     pub kind: String,
     /// The number of the worker's cell.
@@ -66,13 +66,13 @@
     pub workers: Vec<DiscoveryHost>,
 }
 
-/// The names of zones and kinds of machine in the settings. Discovery refers to them by name, and the
+/// The names of zones and worker kinds in the settings. Discovery refers to them by name, and the
 /// dispatcher by their index in these lists.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneAndKindNames {
     /// The names of the zones; empty if the settings distinguish none.
     pub zones: Vec<String>,
-    /// The names of the kinds of machine; empty if the settings distinguish none.
+    /// The names of the worker kinds; empty if the settings distinguish none.
     pub kinds: Vec<String>,
 }
 
--- a/crates/config/src/platform_file.rs
+++ b/crates/config/src/platform_file.rs
@@ -77,8 +77,8 @@
 /// their defaults.
 ///
 /// # Errors
-/// If `settings` is missing, or a key other than `seed`, `settings` and `known` has a value of the wrong type,
-/// that error only. Otherwise all errors in the file and the variables, but only the first one within
+/// If `settings` is missing, or a key other than `seed`, `settings` and `known` has a value of the wrong
+/// type, that error only. Otherwise all errors in the file and the variables, but only the first one within
 /// `settings` and the first within `known`.
 pub(crate) fn check(
     platform_json: Value,
--- a/crates/wire/src/connect.rs
+++ b/crates/wire/src/connect.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a call is retried that fails because the system lacks resources.
+/// How long to retry a call that fails because this machine lacks resources.
 const SHORTAGE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A socket that is registered with the event loop. The stream is shared with each
--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -50,16 +50,16 @@
 }
 
 impl Connection {
-    /// Registers an accepted connection with the event loop. While the system lacks resources, retries for
+    /// Registers an accepted connection with the event loop. While this machine lacks resources, retries for
     /// 200 ms.
     ///
     /// # Errors
-    /// The registration fails, or the system still lacks resources after 200 ms.
+    /// The registration fails, or this machine still lacks resources after 200 ms.
     pub async fn accepted(stream: TcpStream) -> io::Result<Connection> {
         Ok(Connection::new(register(stream).await?))
     }
 
-    /// Connects to a peer. While the system lacks resources, retries for 200 ms.
+    /// Connects to a peer. While this machine lacks resources, retries for 200 ms.
     ///
     /// # Errors
     /// The error of the last try. `classify` with [`SocketCall::Connect`] tells whether it concerns the peer
--- a/crates/wire/src/retry.rs
+++ b/crates/wire/src/retry.rs
@@ -1,11 +1,12 @@
-//! Retries system calls after transient failures: an interrupt by a signal, or a lack of system resources.
+//! Retries system calls after transient failures: a signal interrupted the call, or this machine lacks
+//! resources.
 
 use crate::errno::{SocketCall, SocketFailure, classify};
 use async_io::Timer;
 use std::io;
 use std::time::{Duration, Instant};
 
-/// The pause before a call is repeated that failed because the system lacked resources.
+/// The pause before repeating a call that failed because this machine lacked resources.
 const SHORTAGE_PAUSE: Duration = Duration::from_millis(5);
 
 /// How to proceed after a failed call that may be repeated.
@@ -13,7 +14,7 @@
 pub enum RetryDecision {
     /// Repeat the call at once, because a signal interrupted it.
     Immediately,
-    /// Repeat the call after a pause, because the system lacks resources.
+    /// Repeat the call after a pause, because this machine lacks resources.
     AfterPause,
     /// Report the error: it is permanent, or the time for retries is over.
     GiveUp,
@@ -34,7 +35,7 @@
     }
 }
 
-/// Runs `operation`, and repeats it for up to `timeout` while it is interrupted or the system lacks
+/// Runs `operation`, and repeats it for up to `timeout` while it is interrupted or this machine lacks
 /// resources.
 ///
 /// # Errors
@@ -58,7 +59,7 @@
     }
 }
 
-/// Waits for 5 ms, after which a call that failed for lack of system resources may be repeated.
+/// Waits for 5 ms, after which a call that failed because this machine lacked resources may be repeated.
 pub async fn shortage_pause() {
     Timer::after(SHORTAGE_PAUSE).await;
 }
