--- a/crates/admin/src/service.rs
+++ b/crates/admin/src/service.rs
@@ -1,4 +1,4 @@
-//! Executes the operators' commands.
+//! Executes the commands of the operators.
 
 use crate::command::{AdminCommand, CommandError};
 use crate::metrics::{ClassMetrics, END_OF_TEXT, Metric, Metrics};
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Executes commands on one node.
+/// Executes admin commands on one node.
 pub struct AdminService {
     engine: Rc<Engine>,
     lifecycle: Rc<LifecycleHandle>,
@@ -17,8 +17,8 @@
 }
 
 impl AdminService {
-    /// A service that shows the counters of `engine`, controls `lifecycle`, and shows the other nodes where
-    /// `membership` is on.
+    /// Creates a service that shows the counters of `engine`, controls `lifecycle`, and shows the members of
+    /// the cluster if `membership` is on.
     pub fn new(
         engine: Rc<Engine>,
         lifecycle: Rc<LifecycleHandle>,
@@ -27,7 +27,7 @@
         AdminService { engine, lifecycle, membership }
     }
 
-    /// Executes a command that arrived at `now`, and returns the reply in complete lines.
+    /// Executes a command that arrived at `now`, and returns the reply: one or more complete lines.
     pub fn execute(&self, command: Result<AdminCommand, CommandError>, now: Instant) -> String {
         match command {
             Ok(AdminCommand::Lifecycle(command)) => match self.lifecycle.execute(command, now) {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The metrics at this moment.
+    /// The current values of all metrics.
     pub fn metrics(&self) -> Metrics {
         let counters = &self.engine.counters;
         let workers = self.engine.dispatcher_loop.worker_counts();
@@ -51,8 +51,8 @@
             known_workers: workers.known,
             unavailable_workers: workers.unavailable(),
             invariant_violations: counters.invariants.counts().collect(),
-            longest_step_us: counters.responsiveness.longest_step.micros(),
-            longest_timer_lag_us: counters.responsiveness.longest_timer_lag.micros(),
+            longest_step_us: counters.responsiveness.longest_step.as_micros(),
+            longest_timer_lag_us: counters.responsiveness.longest_timer_lag.as_micros(),
             long_steps: counters.responsiveness.long_steps.get(),
             answered_late: counters.answered_late.get(),
             membership: self.membership_metrics(),
@@ -74,7 +74,7 @@
         let table = membership.borrow().table();
         let totals = membership.borrow().metrics();
         let members_in = |state| table.iter().filter(|member| member.state == state).count() as u64;
-        let dropped = totals.malformed + totals.unauthenticated + totals.replayed + totals.undecodable;
+        let dropped = totals.malformed + totals.unauthenticated + totals.replayed + totals.protocol_errors;
         vec![
             Metric::gauge("members_alive", members_in(MemberState::Alive)),
             Metric::gauge("members_suspect", members_in(MemberState::Suspect)),
@@ -82,15 +82,16 @@
             Metric::gauge("members_left", members_in(MemberState::Left)),
             Metric::counter("member_probes", totals.probes),
             Metric::counter("member_suspicions", totals.suspicions),
-            Metric::counter("member_refuted", totals.refuted),
+            Metric::counter("member_refuted", totals.refutations),
             Metric::counter("member_declared_dead", totals.declared_dead),
             Metric::counter("member_pauses", totals.pauses),
-            Metric::counter("member_bytes_sent", totals.bytes),
+            Metric::counter("member_bytes_sent", totals.bytes_sent),
             Metric::counter("member_dropped", dropped),
         ]
     }
 
-    /// This node and the others, a line each: name, incarnation, address, state.
+    /// The reply to `members`: a line for this node and each other member, with name, incarnation, address
+    /// and state.
     fn members(&self) -> String {
         let Some(membership) = &self.membership else { return "FAILURE membership is off\n".to_string() };
         let mut members = membership.borrow().table();
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,78 +1,80 @@
-//! Checks the platform's settings, and converts them to those of the decision module.
+//! Checks the object `settings` of the platform's file, and converts it to the settings of the dispatcher and
+//! of the rest of the node. Times are in microseconds.
 
 use crate::deserialize::deserialize;
 use crate::error::ConfigError;
-use crate::hosts::SettingNames;
+use crate::hosts::ZoneAndKindNames;
 use crate::settings_file::{ClassEntry, LimitsEntry, RulesEntry, SettingsFile};
 use serde_json::Value;
 use sorrelhaven_dispatcher::{
-    Class, Idempotency, Limits, Micros, Penalties, ReportFields, Scope, Settings, SlowStartRules,
+    Class, DedupScope, Idempotency, Limits, Micros, Penalties, ReportFields, Settings, SlowStartRules,
 };
 
-/// A request class as the protocol names it.
+/// A request class, as far as the front end needs it. The dispatcher has its own [`Class`] for each.
 #[derive(Clone, Debug)]
-pub struct ClassName {
-    /// Its name in a request.
+pub struct RequestClass {
+    /// The name by which requests select the class.
     pub name: String,
-    /// Whether its requests carry an idempotency key.
-    pub keyed: bool,
+    /// Whether a request without an idempotency key is invalid.
+    pub requires_idempotency_key: bool,
 }
 
-/// What the settings mean to the decision module and to the rest of the node.
+/// The checked settings, for the dispatcher (`settings`) and the rest of the node (all other fields).
 pub(crate) struct NodeSettings {
-    pub(crate) names: SettingNames,
-    pub(crate) classes: Vec<ClassName>,
+    pub(crate) names: ZoneAndKindNames,
+    pub(crate) classes: Vec<RequestClass>,
     pub(crate) tenants: Vec<String>,
     pub(crate) idle_timeout: Micros,
     pub(crate) drain_grace: Micros,
-    pub(crate) implied_notice_delay: Micros,
+    pub(crate) max_list_staleness: Micros,
     pub(crate) load_fields: Vec<String>,
     pub(crate) settings: Settings,
 }
 
 impl NodeSettings {
-    /// Checks the settings.
+    /// Checks and converts the settings.
     ///
     /// # Errors
-    /// The first error; its path begins at the object that holds `settings`.
+    /// The first error found. The path of its key begins with `settings`.
     pub(crate) fn new(file: SettingsFile) -> Result<NodeSettings, ConfigError> {
         let settings = settings(&file).map_err(|error| error.within("settings"))?;
-        let classes = class_names(&file, &settings)?;
+        let classes = request_classes(&file, &settings)?;
         Ok(NodeSettings {
             classes,
             tenants: file.tenants.into_iter().map(|tenant| tenant.name).collect(),
             idle_timeout: file.limits.idle_timeout,
             drain_grace: file.rules.drain_grace,
-            implied_notice_delay: file.rules.implied_notice_delay,
+            max_list_staleness: file.rules.max_list_staleness,
             load_fields: file.load_report.fields_in_responses(),
-            names: SettingNames { zones: file.zones, kinds: file.worker_kinds },
+            names: ZoneAndKindNames { zones: file.zones, kinds: file.worker_kinds },
             settings,
         })
     }
 }
 
-/// The names of the classes, in the settings' order. A node needs them, and the simulator does not.
-fn class_names(file: &SettingsFile, settings: &Settings) -> Result<Vec<ClassName>, ConfigError> {
+/// The classes for the front end, in the order of the settings. Only a node requires that each has a name: in
+/// the simulator's messages requests select their class by index.
+fn request_classes(file: &SettingsFile, settings: &Settings) -> Result<Vec<RequestClass>, ConfigError> {
     if let Some(index) = file.classes.iter().position(|class| class.name.is_empty()) {
         return Err(ConfigError::new(format!("settings.grades[{index}].name"), "missing"));
     }
-    let name = |(entry, class): (&ClassEntry, &Class)| ClassName {
+    let request_class = |(entry, class): (&ClassEntry, &Class)| RequestClass {
         name: entry.name.clone(),
-        keyed: matches!(class.idempotency, Idempotency::Keyed { .. }),
+        requires_idempotency_key: matches!(class.idempotency, Idempotency::Keyed { .. }),
     };
-    Ok(file.classes.iter().zip(&settings.classes).map(name).collect())
+    Ok(file.classes.iter().zip(&settings.classes).map(request_class).collect())
 }
 
-/// Reads the settings of the decision module from JSON.
+/// Reads the dispatcher's settings from an object with the keys of `settings` in the platform's file.
 ///
 /// # Errors
-/// The first error; its path begins at `parent`.
-pub fn settings_from(parent: &str, value: Value) -> Result<Settings, ConfigError> {
+/// The first error found. The path of its key begins with `parent`.
+pub fn settings_from_json(parent: &str, value: Value) -> Result<Settings, ConfigError> {
     let file: SettingsFile = deserialize(parent, value)?;
     settings(&file).map_err(|error| error.within(parent))
 }
 
-/// The settings of the decision module.
+/// Checks the settings, and converts them to those of the dispatcher.
 fn settings(file: &SettingsFile) -> Result<Settings, ConfigError> {
     check_times(file)?;
     check_ranges(file)?;
@@ -88,11 +90,11 @@
             wasted_work: file.penalties.wasted_work,
             cross_zone: file.penalties.cross_zone,
         },
-        marks_retry: file.clients.marks_retry,
-        polls_discovery: file.discovery == "subscribe",
-        reports_start: file.service.reports_start,
+        clients_mark_retries: file.clients.marks_retry,
+        worker_list_needs_watch: file.discovery == "subscribe",
+        workers_report_start: file.service.workers_report_start,
         progress_interval: file.service.progress_interval,
-        tick: file.tick,
+        min_timer_delay: file.min_timer_delay,
         weights_include_load: file.weights == "live",
         report_fields: report_fields(file),
     })
@@ -103,12 +105,12 @@
         ("ceilings.dialTimeout", file.limits.connect_timeout),
         ("ceilings.keepalive", file.limits.idle_timeout),
         ("ceilings.maxRetryAfter", file.limits.max_retry_after),
-        ("invariants.askWithin", file.rules.implied_notice_delay),
+        ("invariants.askWithin", file.rules.max_list_staleness),
         ("invariants.cold", file.rules.slow_start),
         ("invariants.drainGrace", file.rules.drain_grace),
         ("invariants.fall", file.rules.overload_window),
         ("familyInfo.progress", file.service.progress_interval),
-        ("round", file.tick),
+        ("round", file.min_timer_delay),
     ];
     times.into_iter().try_for_each(|(key, time)| check_not_negative(key, time))
 }
@@ -147,7 +149,8 @@
     classes.collect()
 }
 
-/// A class. `stretch` and `kind` are what the service's facts say about it.
+/// Converts a class. `stretch` and `kind` are its entries in
+/// [`ServiceEntry`](crate::settings_file::ServiceEntry), if there are any.
 fn class(entry: &ClassEntry, stretch: Option<f64>, kind: Option<i64>) -> Result<Class, ConfigError> {
     let idempotency = idempotency(entry)?;
     check_not_negative("aim", entry.latency_objective)?;
@@ -161,7 +164,7 @@
         objective_stretch: stretch.or(entry.objective_stretch).unwrap_or(0.0),
         deadline: entry.deadline,
         priority_weight: entry.priority_weight,
-        late_fraction: entry.late_fraction,
+        late_value_fraction: entry.late_value_fraction,
         worker_kind: kind.and_then(|kind| usize::try_from(kind).ok()),
     })
 }
@@ -170,18 +173,19 @@
     match entry.idempotency.as_str() {
         "idempotent" => Ok(Idempotency::Idempotent),
         "at_most_once" => Ok(Idempotency::NotIdempotent),
-        "deduplicated" => {
-            Ok(Idempotency::Keyed { scope: scope(&entry.dedup_scope)?, window: entry.idempotency_window })
-        }
+        "deduplicated" => Ok(Idempotency::Keyed {
+            scope: dedup_scope(&entry.dedup_scope)?,
+            window: entry.idempotency_window,
+        }),
         other => Err(ConfigError::new("effect", format!("unknown effect {other:?}"))),
     }
 }
 
-fn scope(text: &str) -> Result<Scope, ConfigError> {
+fn dedup_scope(text: &str) -> Result<DedupScope, ConfigError> {
     match text {
-        "all" => Ok(Scope::All),
-        "zone" => Ok(Scope::Zone),
-        "cell" => Ok(Scope::Cell),
+        "all" => Ok(DedupScope::All),
+        "zone" => Ok(DedupScope::Zone),
+        "cell" => Ok(DedupScope::Cell),
         other => Err(ConfigError::new("dedupScope", format!("unknown scope {other:?}"))),
     }
 }
@@ -207,11 +211,12 @@
     }
 }
 
-/// The load report's fields that the decision module uses.
+/// The indexes of those values of a load report that the dispatcher uses. The field `x0` counts only if the
+/// settings describe it as the free slots.
 fn report_fields(file: &SettingsFile) -> ReportFields {
     let x0_is_free_slots = file.service.report_x0.contains("free slots");
     ReportFields {
-        util: file.load_report.field_index("cpu_share"),
+        cpu_utilization: file.load_report.field_index("cpu_share"),
         free_slots: file.load_report.field_index("x0").filter(|_| x0_is_free_slots),
     }
 }
--- a/crates/dispatcher/src/dispatcher/prediction.rs
+++ b/crates/dispatcher/src/dispatcher/prediction.rs
@@ -1,4 +1,4 @@
-//! Predictions of how long a job would take at a worker: the work ahead of it, and its own running time.
+//! Predictions of the time that a job takes at a worker: the work ahead of it and its own running time.
 
 use crate::dispatcher::attempt::{Attempt, START_GRACE};
 use crate::dispatcher::cached_keys::KEY_FETCH_COST;
@@ -7,30 +7,31 @@
 use crate::dispatcher::worker::Worker;
 use crate::interface::{Micros, WorkerId};
 
-/// The paper's α: with 1, one failure halves a worker's capacity.
+/// Penalty for a failure (the paper's α): with 1, one failure halves a worker's capacity.
 const FAILURE_PENALTY: f64 = 1.0;
-/// A job that runs for more than this multiple of its expected time counts as a failure.
+/// A job that runs for more than this multiple of its expected time counts as a failure of its worker.
 const OVERDUE_FACTOR: f64 = 3.0;
-/// The cost of a zone crossing for a penalty of 1, in mean job sizes.
+/// Cost of a send to another zone at a cross-zone penalty of 1, as a multiple of the mean job size.
 const ZONE_CROSSING_COST: f64 = 2.0;
-/// Lower bound of the remaining work of a running job, relative to its size.
+/// Lower bound of the remaining work of an outstanding job, as a fraction of its size.
 const MIN_REMAINING_SHARE: f64 = 0.1;
-/// Lower bound of a weight that is divided by.
+/// Lower bound of a listed weight, which is used as a divisor.
 const MIN_WEIGHT: f64 = 1e-6;
 
-/// The predicted duration of a job that is sent now, in microseconds.
+/// Predicted time from the send of a job to its end, in microseconds.
 pub(super) struct Prediction {
-    /// Includes the expected wait and the work ahead of the job.
+    /// Includes the usual wait of the worker's kind where none was measured recently, and the work ahead of
+    /// the job.
     expected: f64,
-    /// Includes measured waits only, and no work ahead of the job where a slot is free.
-    least: f64,
-    /// The worker has free slots for the job.
+    /// Includes measured waits only, and no work ahead of the job if a slot is free.
+    lower_bound: f64,
+    /// Whether the worker has free slots for the job.
     has_free_slot: bool,
 }
 
 impl DecisionContext<'_> {
-    /// Returns c' = c/(1+α·R): the estimated capacity at present, reduced for failures beyond those of the
-    /// median worker. Overdue jobs count as failures until the worker shows a sign of life.
+    /// Returns c' = c/(1+α·R): the estimated capacity at `now`, reduced for failures beyond those of the
+    /// median worker. An overdue job counts as a failure until the worker is active again.
     pub(super) fn penalised_capacity(&self, worker: &Worker, class: usize, now: Micros) -> f64 {
         let capacity = worker.capacity.of_class(class) * self.capacity_fraction(worker, now);
         let overdue =
@@ -39,29 +40,29 @@
         capacity / (1.0 + FAILURE_PENALTY * failures)
     }
 
-    /// Predicts the duration of a job that is sent now: the wait for its start, and the work ahead of it
-    /// and its own, over the worker's capacity.
+    /// Predicts the duration of a job that is sent now: the wait for its start, the work ahead of it and its
+    /// own at the worker's capacity, and the fetch of its key.
     pub(super) fn predict(&self, request: &Request, id: WorkerId, now: Micros) -> Prediction {
         let worker = self.workers.get(id);
         let class = request.class;
         let capacity = self.penalised_capacity(worker, class, now);
         let slots = self.workers.kind(worker).slots();
-        let ahead = remaining_work(worker, capacity, now);
+        let outstanding_work = remaining_work(worker, capacity, now);
         let must_fetch = request.affinity_key != 0 && !worker.has_key(request.affinity_key);
         let fetch = if must_fetch { KEY_FETCH_COST * self.arrivals.mean_size() } else { 0.0 };
         let run = request.size / capacity + fetch;
-        let queue_and_run = ahead / (capacity * slots) + run;
+        let queue_and_run = outstanding_work / (capacity * slots) + run;
         let has_free_slot = worker.outstanding_slots() + request.slots <= slots;
-        let least_work = if has_free_slot { run } else { queue_and_run };
+        let min_queue_and_run = if has_free_slot { run } else { queue_and_run };
         Prediction {
             expected: worker.current_wait(class, now, self.expected_wait(worker, class, now)) + queue_and_run,
-            least: worker.current_wait(class, now, 0.0) + least_work,
+            lower_bound: worker.current_wait(class, now, 0.0) + min_queue_and_run,
             has_free_slot,
         }
     }
 
-    /// Returns the usual wait at workers of this kind, in microseconds; 0 in slow start, when nothing is
-    /// queued yet.
+    /// Returns the usual wait of a job at workers of this kind, in microseconds; 0 in slow start, when the
+    /// worker has no queue yet.
     pub(super) fn expected_wait(&self, worker: &Worker, class: usize, now: Micros) -> f64 {
         if self.capacity_fraction(worker, now) < 1.0 {
             return 0.0;
@@ -69,39 +70,46 @@
         self.workers.kind(worker).expected_wait(class)
     }
 
-    /// Returns whether a job that is sent now would start at once, with `expected` in place of a wait that
-    /// was not measured recently.
-    pub(super) fn starts_at_once(&self, request: &Request, id: WorkerId, now: Micros, expected: f64) -> bool {
+    /// Returns whether a job that is sent now would start immediately. `expected` replaces a wait that was
+    /// not measured recently.
+    pub(super) fn starts_immediately(
+        &self,
+        request: &Request,
+        id: WorkerId,
+        now: Micros,
+        expected: f64,
+    ) -> bool {
         self.predict(request, id, now).has_free_slot
             && self.has_room(id, now)
             && self.workers.get(id).current_wait(request.class, now, expected) < START_GRACE as f64
     }
 
-    /// Returns whether a job that is sent now would be in time. With `accepts_late`, a job that starts at
-    /// once may be late by the error of its hint.
-    pub(super) fn would_be_useful(
+    /// Returns whether a job that is sent now would end before its value deadline if it takes no longer than
+    /// the lower bound of its prediction. With `allow_hint_error`, a job that starts immediately may exceed
+    /// the time left by the error of its work hint ([`MAX_HINT_ERROR`]).
+    pub(super) fn would_be_in_time(
         &self,
         request: &Request,
         id: WorkerId,
         now: Micros,
-        accepts_late: bool,
+        allow_hint_error: bool,
     ) -> bool {
-        let least = self.predict(request, id, now).least;
-        let time_left = (request.useful_until - now) as f64;
-        least <= time_left
-            || accepts_late
-                && least <= MAX_HINT_ERROR * time_left
-                && self.starts_at_once(request, id, now, 0.0)
+        let lower_bound = self.predict(request, id, now).lower_bound;
+        let time_left = (request.value_deadline - now) as f64;
+        lower_bound <= time_left
+            || allow_hint_error
+                && lower_bound <= MAX_HINT_ERROR * time_left
+                && self.starts_immediately(request, id, now, 0.0)
     }
 
-    /// Returns whether a worker has room for a further job. A job that has not started indicates a queue or
-    /// a hang.
+    /// Returns whether a worker has room for another job. A job that has not started within [`START_GRACE`]
+    /// indicates a queue or a worker that hangs.
     pub(super) fn has_room(&self, id: WorkerId, now: Micros) -> bool {
         let worker = self.workers.get(id);
-        if !worker.health.probe_pause_is_over(now) {
+        if !worker.health.probe_backoff_elapsed(now) {
             return false;
         }
-        if !self.settings.reports_start {
+        if !self.settings.workers_report_start {
             return self.has_reported_room(worker);
         }
         let free = (self.workers.kind(worker).slots() - worker.running_slots()).max(1.0);
@@ -109,34 +117,33 @@
             && worker.unstarted().all(|attempt| now - attempt.sent_at < START_GRACE)
     }
 
-    /// Returns whether this dispatcher's share of the slots, according to load reports, has room for a
-    /// further job.
+    /// Returns whether another job fits into this dispatcher's share of the slots, according to load reports.
     fn has_reported_room(&self, worker: &Worker) -> bool {
         if self.settings.report_fields.free_slots.is_none() {
             return true;
         }
         let kind = self.workers.kind(worker);
-        let slots = kind.slots().max(self.workers.rated_weight(worker));
+        let slots = kind.slots().max(self.workers.unloaded_weight(worker));
         let limit = (slots * kind.available_share(self.fair_share())).max(1.0);
         worker.outstanding_slots() + 1.0 <= limit
     }
 
-    /// Returns the wait for jobs of other dispatchers, in microseconds, inferred from a weight that
-    /// includes the load. It counts only where one job, which may always be sent, is more than this
-    /// dispatcher's share of the slots.
-    pub(super) fn hidden_wait(&self, request: &Request, id: WorkerId, now: Micros) -> f64 {
+    /// Returns the wait for jobs of other dispatchers, in microseconds, derived from a listed weight that
+    /// includes the load. One job may always be sent; the wait counts only to the extent that one job exceeds
+    /// this dispatcher's share of the slots.
+    pub(super) fn external_wait(&self, request: &Request, id: WorkerId, now: Micros) -> f64 {
         let worker = self.workers.get(id);
         let slots_per_instance =
             self.workers.kind(worker).slots() / f64::from(self.settings.instances.max(1));
         let excess = (1.0 - slots_per_instance).max(0.0);
-        let rated = self.workers.rated_weight(worker);
-        let jobs_per_core = (rated / worker.entry.weight.max(MIN_WEIGHT) - 1.0).max(0.0);
+        let unloaded = self.workers.unloaded_weight(worker);
+        let jobs_per_core = (unloaded / worker.entry.weight.max(MIN_WEIGHT) - 1.0).max(0.0);
         jobs_per_core * excess * self.arrivals.mean_size()
             / self.penalised_capacity(worker, request.class, now)
     }
 
-    /// Returns the expected duration of a job that is sent now, in microseconds, plus the penalty for a
-    /// zone crossing.
+    /// Returns the expected duration of a job that is sent now, in microseconds, plus the penalty for another
+    /// zone.
     pub(super) fn cost_of_send(&self, request: &Request, id: WorkerId, now: Micros) -> f64 {
         let crosses_zones = self.workers.get(id).entry.zone != self.settings.zone;
         let penalty = if crosses_zones {
@@ -148,12 +155,12 @@
     }
 }
 
-/// Returns whether an attempt has run far longer than expected, and the worker has shown no sign of life
-/// since it should have ended.
+/// Returns whether an attempt has run far longer than expected, and its worker has not been active since it
+/// should have ended.
 fn is_overdue(worker: &Worker, attempt: &Attempt, capacity: f64, now: Micros) -> bool {
     let Some(started_at) = attempt.started_at else { return false };
     let latest_end = started_at + (OVERDUE_FACTOR * attempt.size / capacity) as Micros + START_GRACE;
-    now > latest_end && !worker.health.has_shown_life_since(latest_end)
+    now > latest_end && !worker.health.was_active_after(latest_end)
 }
 
 /// Returns the remaining work of all outstanding attempts of a worker, in slots times microseconds on a
--- a/crates/dispatcher/src/interface.rs
+++ b/crates/dispatcher/src/interface.rs
@@ -1,6 +1,6 @@
-//! The interface of the decision module: settings, events and actions as plain types.
+//! The types that a dispatcher and its host exchange: settings, events, actions and status counts.
 //!
-//! No type here knows how it is transported, and nothing here decides. Times are microseconds on one clock.
+//! They are plain data, independent of how they are transported. All times are in microseconds on one clock.
 
 mod actions;
 mod events;
@@ -12,6 +12,8 @@
 pub use actions::Action;
 pub use events::{Arrival, Event, Outcome};
 pub use ids::{Micros, RequestId, WorkerId};
-pub use settings::{Class, Idempotency, Limits, Penalties, ReportFields, Scope, Settings, SlowStartRules};
+pub use settings::{
+    Class, DedupScope, Idempotency, Limits, Penalties, ReportFields, Settings, SlowStartRules,
+};
 pub use status::{WorkerCounts, WorkerStatus};
 pub use worker_list::{Lifecycle, WorkerEntry, WorkerListUpdate};
--- a/crates/engine/src/discovery_watch.rs
+++ b/crates/engine/src/discovery_watch.rs
@@ -1,8 +1,8 @@
-//! Watches discovery's list of workers for as long as the node runs, and retries where the watch fails.
+//! Watches the worker list of discovery while the node runs, and retries after failures.
 
 use crate::backoff::Backoff;
 use crate::counters::Counters;
-use crate::discovery_poll::{DiscoveryMode, ListStream, SILENCE_TIMEOUT, poll_hedged};
+use crate::discovery_poll::{DiscoveryMode, ListStream, READ_TIMEOUT, poll_hedged};
 use crate::watch_error::WatchError;
 use async_channel::Receiver;
 use async_io::Timer;
@@ -14,24 +14,25 @@
 use std::time::{Duration, Instant};
 use tracing::{debug, info, warn};
 
-/// A watch that lasted this long ends a series of failures.
-const STABLE_WATCH_DURATION: Duration = SILENCE_TIMEOUT.saturating_mul(2);
+/// The failure of a watch that lasted longer than this starts a new series of failures: the retry delay is
+/// short again, and the failure is logged as a warning.
+const STABLE_WATCH_DURATION: Duration = READ_TIMEOUT.saturating_mul(2);
 
-/// The watch on discovery. The last list stays in force while the watch fails and after a move, until a new
-/// one comes.
+/// The watch on discovery. While it fails, and after a change of the address, the last list stays in use
+/// until a new one arrives.
 pub struct DiscoveryWatch<'a> {
     counters: &'a Counters,
     mode: DiscoveryMode,
     backoff: Backoff,
     address: SocketAddr,
-    /// The version of the last list; `None` where the next one must be complete.
+    /// The version of the last list; `None` if the next one must be complete.
     version: Option<u64>,
-    /// The last failure of the current series.
+    /// The text of the last failure in the current series; `None` at the start of one.
     last_error: Option<String>,
 }
 
 impl<'a> DiscoveryWatch<'a> {
-    /// A watch at `address` that continues from `version`.
+    /// Creates a watch at `address` for the changes after the list `version`.
     pub fn new(
         counters: &'a Counters,
         mode: DiscoveryMode,
@@ -42,11 +43,12 @@
         DiscoveryWatch { counters, mode, backoff, address, version: Some(version), last_error: None }
     }
 
-    /// Watches for ever, at the address that `moves` names last; each list goes to `apply`.
-    pub async fn run(mut self, moves: Receiver<SocketAddr>, apply: impl Fn(&DiscoveryList)) {
+    /// Watches at the address that was last received from `address_changes`, and calls `apply` with each
+    /// list. Never returns.
+    pub async fn run(mut self, address_changes: Receiver<SocketAddr>, apply: impl Fn(&DiscoveryList)) {
         loop {
-            let moved = async {
-                match moves.recv().await {
+            let changed_address = async {
+                match address_changes.recv().await {
                     Ok(address) => Some(address),
                     Err(_) => std::future::pending().await,
                 }
@@ -55,15 +57,14 @@
                 self.watch_until_retry(&apply).await;
                 None
             };
-            if let Some(address) = or(moved, watched).await {
-                self.move_to(address);
+            if let Some(address) = or(changed_address, watched).await {
+                self.change_address(address);
             }
         }
     }
 
-    /// Continues at another address. Versions there may be counted differently, so a complete list is
-    /// fetched.
-    fn move_to(&mut self, address: SocketAddr) {
+    /// Continues at another address. List versions there may be unrelated, so the complete list is fetched.
+    fn change_address(&mut self, address: SocketAddr) {
         info!(%address, "discovery address changed");
         self.address = address;
         self.version = None;
@@ -71,14 +72,14 @@
         self.last_error = None;
     }
 
-    /// Watches until the watch fails, and waits until it is to be retried.
+    /// Watches until the watch fails, then waits for the retry delay.
     async fn watch_until_retry(&mut self, apply: &impl Fn(&DiscoveryList)) {
         let started = Instant::now();
         let error = match self.watch(apply).await {
             Ok(never) => match never {},
             Err(error) => error,
         };
-        self.counters.discovery_watches_failed.add();
+        self.counters.discovery_watches_failed.increment();
         if started.elapsed() > STABLE_WATCH_DURATION {
             self.backoff.reset();
             self.last_error = None;
@@ -93,24 +94,26 @@
 
     fn retry_delay(&mut self, error: &WatchError) -> Duration {
         match (self.mode, error) {
-            // Retried at once: the hedged polls have delays of their own.
-            (DiscoveryMode::Push, WatchError::Silent | WatchError::NoResponse) => Duration::ZERO,
-            // The node counts as notified 6 s after the silence began, and half of that has passed: the delay
-            // must not grow by polls that failed before the watch.
-            (DiscoveryMode::Poll, WatchError::Silent) => {
+            // No delay here: hedged polls are delayed by `poll_hedged`.
+            (DiscoveryMode::LocalAgent, WatchError::Stalled | WatchError::NoResponse) => Duration::ZERO,
+            // The platform treats the node as notified of a change 6 s after the response stalled, and 3 s of
+            // that have passed, so the delay starts again from the initial bound, whatever failed before this
+            // watch.
+            (DiscoveryMode::SharedService, WatchError::Stalled) => {
                 self.backoff.reset();
                 self.backoff.retry_delay(false)
             }
-            // The agent or its machine restarts, and may answer at any moment.
+            // The agent or its machine is restarting and may respond again at any moment, so the delay is
+            // short.
             (
-                DiscoveryMode::Push,
+                DiscoveryMode::LocalAgent,
                 WatchError::Unreachable | WatchError::Unreadable(WireError::Closed | WireError::Broken),
             ) => self.backoff.hedge_delay(),
-            _ => self.backoff.retry_delay(matches!(error, WatchError::Rejected(_))),
+            _ => self.backoff.retry_delay(matches!(error, WatchError::ErrorStatus(_))),
         }
     }
 
-    /// Logs a failure; the same one in a row is a warning only once.
+    /// Logs a failure: as a warning, or at the debug level if it repeats the previous failure.
     fn log_failure(&mut self, error: &WatchError, delay: Duration) {
         let error = error.to_string();
         let retry_in_ms = delay.as_millis();
@@ -122,13 +125,13 @@
         self.last_error = Some(error);
     }
 
-    /// Runs one watch until it fails. Without a version to continue from, the complete list is fetched first,
-    /// and the watch goes on from it on the same connection.
+    /// Runs one watch until it fails. If there is no version to continue from, fetches the complete list
+    /// first, then watches on the same connection for the changes after it.
     async fn watch(&mut self, apply: &impl Fn(&DiscoveryList)) -> Result<Infallible, WatchError> {
         let mut stream = self.poll().await?;
         loop {
             let connection = self.apply_lists(stream, apply).await?;
-            let deadline = Instant::now() + SILENCE_TIMEOUT;
+            let deadline = Instant::now() + READ_TIMEOUT;
             stream = ListStream::request(connection, self.address, &self.query(), deadline).await?;
         }
     }
@@ -136,12 +139,12 @@
     async fn poll(&mut self) -> Result<ListStream, WatchError> {
         let query = self.query();
         match self.mode {
-            DiscoveryMode::Poll => ListStream::open(self.address, &query).await,
-            DiscoveryMode::Push => poll_hedged(self.address, &query, &mut self.backoff).await,
+            DiscoveryMode::SharedService => ListStream::open(self.address, &query).await,
+            DiscoveryMode::LocalAgent => poll_hedged(self.address, &query, &mut self.backoff).await,
         }
     }
 
-    /// Asks for the changes after the known version, or for the complete list.
+    /// The query for the changes after the last version, or for the complete list if there is none.
     fn query(&self) -> String {
         match self.version {
             Some(version) => format!("?watch=1&after={version}"),
@@ -149,8 +152,8 @@
         }
     }
 
-    /// Applies the lists of a response. Returns its connection once a fetched list is complete; the response
-    /// to a watch has no valid end.
+    /// Applies the lists of a response. Returns the connection after the response to a fetch of the complete
+    /// list; the response to a watch must not end.
     async fn apply_lists(
         &mut self,
         mut stream: ListStream,
@@ -159,7 +162,7 @@
         let is_fetch = self.version.is_none();
         loop {
             match stream.next().await? {
-                JsonObjectEvent::Part => {}
+                JsonObjectEvent::Incomplete => {}
                 JsonObjectEvent::Object(text) => self.apply_list(&text, apply).await?,
                 JsonObjectEvent::End if is_fetch && self.version.is_some() => {
                     return Ok(stream.into_connection());
@@ -172,8 +175,8 @@
     async fn apply_list(&mut self, text: &[u8], apply: &impl Fn(&DiscoveryList)) -> Result<(), WatchError> {
         let started = Instant::now();
         let list = DiscoveryList::read(text).map_err(WatchError::InvalidList)?;
-        self.counters.responsiveness.part_ended("parsing a worker list", started);
-        // A long list takes some milliseconds to parse, and some more to apply.
+        self.counters.responsiveness.record_part("parsing a worker list", started);
+        // Parsing a long list and applying it take some milliseconds each, so other tasks run in between.
         yield_now().await;
         info!(
             seq = list.version,
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of one node together, without its front ends.
+//! Creates the parts of one node, without its front ends, and starts its tasks.
 
 use crate::backoff::Backoff;
 use crate::body_admission::BodyAdmission;
@@ -19,7 +19,7 @@
 use crate::worker_registry::WorkerRegistry;
 use async_channel::Receiver;
 use async_io::Timer;
-use sorrelhaven_body_store::{BodyStore, Disk, Permit as FilePermit};
+use sorrelhaven_body_store::{BodyStore, Disk, FilePermit};
 use sorrelhaven_config::{Config, DiscoveryList};
 use sorrelhaven_dispatcher::{Event, Idempotency, Lifecycle, WorkerId, WorkerListUpdate};
 use std::cell::RefCell;
@@ -31,22 +31,22 @@
 
 /// How often expired upstream connections are closed.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(500);
-/// The protocol's allowance on each time limit, added to a worker's drain grace.
+/// The protocol allows each time limit to be exceeded by this much. Added to a worker's drain grace.
 const DRAIN_GRACE_ALLOWANCE: Duration = Duration::from_millis(50);
-/// The limit on making a connection where the settings have none.
+/// The connect timeout if the settings have none.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One node without its front ends: takes jobs and answers each once.
+/// One node without its front ends: accepts jobs and answers each once.
 pub struct Engine {
     /// The executor of all tasks.
     pub tasks: Rc<Tasks>,
-    /// The dispatcher and its event queue.
+    /// Passes events to the dispatcher, and routes its actions to requests, timers, probes and the log.
     pub dispatcher_loop: Rc<DispatcherLoop>,
-    /// The workers and the connections to them.
+    /// The known workers and the pooled connections to them.
     pub upstreams: Rc<Upstreams>,
-    /// The bodies of requests.
+    /// Stores the bodies of requests, so that a request can be sent again after a failed attempt.
     pub bodies: Rc<BodyStore>,
-    /// The permits for long bodies that are sent to workers.
+    /// Limits how many long bodies are sent to workers at once.
     pub body_admission: BodyAdmission,
     /// The node's counters.
     pub counters: Rc<Counters>,
@@ -57,8 +57,8 @@
 }
 
 impl Engine {
-    /// An engine that has loaded the configuration's list of workers; nothing runs yet. `disk` stores bodies
-    /// in files; without it they stay in memory.
+    /// Creates an engine that knows the workers of the configuration; no task runs until [`Engine::start`].
+    /// Bodies are spilled to files on `disk`; without a disk they stay in memory.
     pub fn new(config: &Config, disk: Option<Arc<dyn Disk>>) -> Rc<Engine> {
         let (probe_requests, probes) = async_channel::unbounded();
         let counters = Rc::new(Counters::new(config.classes.iter().map(|class| class.name.clone())));
@@ -77,7 +77,7 @@
             upstreams: upstreams.clone(),
             counters: counters.clone(),
             tasks: tasks.clone(),
-            open_ids: RefCell::new(HashSet::new()),
+            ids_in_progress: RefCell::new(HashSet::new()),
         });
         let request_admission = RequestAdmission::new(
             request_context,
@@ -95,17 +95,25 @@
             counters,
             request_admission,
             probes,
-            backoff: Backoff::new(config.seed, config.drain_grace, config.implied_notice_delay),
+            backoff: Backoff::new(config.seed, config.drain_grace, config.max_list_staleness),
             discovery_mode: discovery_mode(config),
         })
     }
 
-    /// Starts the tasks that run as long as the node: the discovery watch, which continues from version `seq`
-    /// at `discovery` and moves to the addresses from `moves`; the dispatcher's timers and probes; the
-    /// spilling of bodies to disk; and the eviction of expired connections.
-    pub fn start(self: &Rc<Self>, discovery: SocketAddr, seq: u64, moves: Receiver<SocketAddr>) {
+    /// Starts the tasks that run as long as the node: the discovery watch, the dispatcher's timers and
+    /// probes, the spilling of bodies to disk, and the eviction of expired connections.
+    ///
+    /// The watch polls the address `discovery` for the changes after the worker list `version`, and continues
+    /// at each address that `address_changes` delivers.
+    pub fn start(
+        self: &Rc<Self>,
+        discovery: SocketAddr,
+        version: u64,
+        address_changes: Receiver<SocketAddr>,
+    ) {
         let engine = self.clone();
-        self.tasks.spawn_urgent(async move { engine.watch(discovery, seq, moves).await });
+        self.tasks
+            .spawn_urgent(async move { engine.watch_discovery(discovery, version, address_changes).await });
         let dispatcher_loop = self.dispatcher_loop.clone();
         self.tasks.spawn_urgent(async move { dispatcher_loop.run_timers().await });
         let engine = self.clone();
@@ -115,38 +123,44 @@
         self.tasks.spawn(async move { evict_expired_connections(&upstreams.pool).await });
     }
 
-    /// Admits a job as a request.
+    /// Admits a job and starts the task of its request.
     ///
     /// # Errors
-    /// A request of the same id is in progress.
+    /// [`DuplicateRequestId`] if a request with the same id is in progress.
     pub fn submit(&self, job: Job) -> Result<RequestHandle, DuplicateRequestId> {
         self.request_admission.admit(job)
     }
 
-    /// Watches discovery's list of workers, for ever; the parameters are those of [`Engine::start`].
-    pub async fn watch(&self, discovery: SocketAddr, seq: u64, moves: Receiver<SocketAddr>) {
+    /// Watches the worker list of discovery. Never returns; the parameters are those of [`Engine::start`].
+    pub async fn watch_discovery(
+        &self,
+        discovery: SocketAddr,
+        version: u64,
+        address_changes: Receiver<SocketAddr>,
+    ) {
         let backoff = self.backoff.clone();
-        let watch = DiscoveryWatch::new(&self.counters, self.discovery_mode, backoff, discovery, seq);
-        watch.run(moves, |list| self.apply_worker_list(list)).await;
+        let watch = DiscoveryWatch::new(&self.counters, self.discovery_mode, backoff, discovery, version);
+        watch.run(address_changes, |list| self.apply_worker_list(list)).await;
     }
 
-    /// Applies a list, closes the idle connections to workers that are gone, and notifies the dispatcher.
+    /// Applies a worker list: updates the registry, closes idle connections to workers that are gone, and
+    /// passes the list to the dispatcher.
     fn apply_worker_list(&self, list: &DiscoveryList) {
         let started = Instant::now();
         let entries = self.upstreams.registry.apply(list, self.dispatcher_loop.clock.now());
-        self.counters.responsiveness.part_ended("applying a worker list", started);
+        self.counters.responsiveness.record_part("applying a worker list", started);
         for entry in &entries {
             if entry.lifecycle == Lifecycle::Gone {
                 self.upstreams.pool.evict_worker(entry.worker);
             }
         }
-        self.counters.worker_lists.add();
+        self.counters.worker_lists.increment();
         let update =
             if list.complete { WorkerListUpdate::Full(entries) } else { WorkerListUpdate::Delta(entries) };
         self.dispatcher_loop.dispatch(Event::WorkerList(update));
     }
 
-    /// Runs the probes that the dispatcher asks for, each in a task of its own.
+    /// Starts a task for each probe that the dispatcher requests.
     async fn run_probes(&self) {
         while let Ok(worker) = self.probes.recv().await {
             self.tasks.spawn(probe::run(self.dispatcher_loop.clone(), self.upstreams.clone(), worker));
@@ -172,30 +186,34 @@
         pool: ConnectionPool::new(descriptors, to_duration(config.idle_timeout), counters.clone()),
         tasks: tasks.clone(),
         counters: counters.clone(),
-        load_fields: LoadReportFields::new(config.load_fields.clone()),
+        load_report_fields: LoadReportFields::new(config.load_fields.clone()),
         drain_grace: to_duration(config.drain_grace) + DRAIN_GRACE_ALLOWANCE,
         connect_timeout,
     }
 }
 
-/// A body store with a share for each tenant in each class, whose files take descriptors from the node's
-/// budget.
+/// Creates the body store. Each pair of class and tenant is a budget group of it, and its files take
+/// descriptors from the node's budget.
 fn new_body_store(config: &Config, disk: Option<Arc<dyn Disk>>, upstreams: &Rc<Upstreams>) -> Rc<BodyStore> {
-    let shares = config.classes.len() * config.tenants.len().max(1);
+    let budget_groups = config.classes.len() * config.tenants.len().max(1);
     let upstreams = upstreams.clone();
     let acquire_descriptor = move || {
         let permit = upstreams.pool.acquire_descriptor()?;
         Some(Box::new(permit) as FilePermit)
     };
-    BodyStore::new(&config.operator.bodies, shares, disk, acquire_descriptor)
+    BodyStore::new(&config.operator.bodies, budget_groups, disk, acquire_descriptor)
 }
 
-/// Whether the requests of each class must not run twice, in the order of the settings.
+/// For each class in the order of the settings: whether its requests must not run twice.
 fn at_most_once_classes(config: &Config) -> Vec<bool> {
     let classes = config.settings.classes.iter();
     classes.map(|class| class.idempotency == Idempotency::NotIdempotent).collect()
 }
 
 fn discovery_mode(config: &Config) -> DiscoveryMode {
-    if config.settings.polls_discovery { DiscoveryMode::Poll } else { DiscoveryMode::Push }
+    if config.settings.worker_list_needs_watch {
+        DiscoveryMode::SharedService
+    } else {
+        DiscoveryMode::LocalAgent
+    }
 }
--- a/crates/wire/src/body.rs
+++ b/crates/wire/src/body.rs
@@ -1,86 +1,92 @@
-//! Decodes bodies as RFC 9112 frames them: a length, chunks, or all input until the connection closes.
+//! Decodes message bodies framed as in RFC 9112, section 6: by a length, in chunks, or by the end of the
+//! connection.
 
 use crate::error::WireError;
 
-/// The longest line that a chunk's size or the trailer may have.
+/// The greatest length of a chunk's size line and of a line of the trailer section.
 const MAX_CHUNK_LINE_BYTES: usize = 1024;
 
-/// The state of decoding a body.
+/// A decoder of one body. Its variant says what the next byte of input belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Body {
-    /// This many bytes follow.
+pub enum BodyDecoder {
+    /// The content of a body with a `Content-Length`, of which this many bytes remain.
     Length(usize),
-    /// Everything until the connection closes follows.
+    /// The content of a body that ends when the peer closes the connection.
     UntilClosed,
-    /// The size line of a chunk follows.
+    /// The size line of a chunk.
     ChunkSize,
-    /// This many bytes of a chunk follow.
+    /// The content of a chunk, of which this many bytes remain.
     Chunk(usize),
-    /// The line end after a chunk follows.
+    /// The line end after the content of a chunk.
     ChunkEnd,
-    /// The lines of the trailer follow.
+    /// A line of the trailer section.
     Trailer,
     /// The body is complete.
     Done,
 }
 
-impl Body {
-    /// Appends the content that `input` holds to `out`, and returns how many bytes of `input` were consumed.
-    /// A line that is incomplete at the end of `input` is not consumed.
+impl BodyDecoder {
+    /// Appends the content that `input` holds to `content`, and returns how many bytes of `input` were
+    /// consumed. A framing line that is incomplete at the end of `input` is not consumed; it must be passed
+    /// again with more input. Bytes after the body are not consumed.
     ///
     /// # Errors
-    /// The framing is malformed, or a chunk's size exceeds the address space.
-    pub fn decode(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<usize, WireError> {
+    /// `Malformed` if the framing is invalid. `BodyTooLarge` if a chunk's size exceeds the address space.
+    pub fn decode(&mut self, input: &[u8], content: &mut Vec<u8>) -> Result<usize, WireError> {
         let mut used = 0;
         loop {
-            if matches!(self, Body::Done | Body::Length(0)) {
-                *self = Body::Done;
+            if matches!(self, BodyDecoder::Done | BodyDecoder::Length(0)) {
+                *self = BodyDecoder::Done;
                 return Ok(used);
             }
             let rest = &input[used..];
             if rest.is_empty() {
                 return Ok(used);
             }
-            match self.decode_part(rest, out)? {
+            match self.decode_part(rest, content)? {
                 Some(length) => used += length,
                 None => return Ok(used),
             }
         }
     }
 
-    /// Decodes one part of the framing from `input`, which is not empty, and returns its length; `None` while
-    /// its line is incomplete.
-    fn decode_part(&mut self, input: &[u8], out: &mut Vec<u8>) -> Result<Option<usize>, WireError> {
+    /// Decodes one framing line, or the available content, from the beginning of `input`, which must not be
+    /// empty. Returns the number of bytes consumed, or `None` if a framing line is incomplete.
+    fn decode_part(&mut self, input: &[u8], content: &mut Vec<u8>) -> Result<Option<usize>, WireError> {
         match *self {
-            Body::Done => Ok(None),
-            Body::Length(remaining) => {
-                let length = copy_content(input, remaining, out);
-                *self = Body::Length(remaining - length);
+            BodyDecoder::Done => Ok(None),
+            BodyDecoder::Length(remaining) => {
+                let length = copy_content(input, remaining, content);
+                *self = BodyDecoder::Length(remaining - length);
                 Ok(Some(length))
             }
-            Body::UntilClosed => {
-                out.extend_from_slice(input);
+            BodyDecoder::UntilClosed => {
+                content.extend_from_slice(input);
                 Ok(Some(input.len()))
             }
-            Body::ChunkSize => self.decode_chunk_size(input),
-            Body::Chunk(remaining) => {
-                let length = copy_content(input, remaining, out);
-                *self = if length == remaining { Body::ChunkEnd } else { Body::Chunk(remaining - length) };
+            BodyDecoder::ChunkSize => self.decode_chunk_size(input),
+            BodyDecoder::Chunk(remaining) => {
+                let length = copy_content(input, remaining, content);
+                *self = if length == remaining {
+                    BodyDecoder::ChunkEnd
+                } else {
+                    BodyDecoder::Chunk(remaining - length)
+                };
                 Ok(Some(length))
             }
-            Body::ChunkEnd => self.decode_chunk_end(input),
-            Body::Trailer => self.decode_trailer_line(input),
+            BodyDecoder::ChunkEnd => self.decode_chunk_end(input),
+            BodyDecoder::Trailer => self.decode_trailer_line(input),
         }
     }
 
     fn decode_chunk_size(&mut self, input: &[u8]) -> Result<Option<usize>, WireError> {
         match httparse::parse_chunk_size(input) {
             Ok(httparse::Status::Complete((length, 0))) => {
-                *self = Body::Trailer;
+                *self = BodyDecoder::Trailer;
                 Ok(Some(length))
             }
             Ok(httparse::Status::Complete((length, size))) => {
-                *self = Body::Chunk(usize::try_from(size).map_err(|_| WireError::BodyTooLarge)?);
+                *self = BodyDecoder::Chunk(usize::try_from(size).map_err(|_| WireError::BodyTooLarge)?);
                 Ok(Some(length))
             }
             Ok(httparse::Status::Partial) if input.len() < MAX_CHUNK_LINE_BYTES => Ok(None),
@@ -91,7 +97,7 @@
     fn decode_chunk_end(&mut self, input: &[u8]) -> Result<Option<usize>, WireError> {
         match input {
             [b'\r', b'\n', ..] => {
-                *self = Body::ChunkSize;
+                *self = BodyDecoder::ChunkSize;
                 Ok(Some(2))
             }
             [b'\r'] => Ok(None),
@@ -99,12 +105,12 @@
         }
     }
 
-    /// Skips a line of the trailer; an empty line ends the body.
+    /// Skips a line of the trailer section; an empty line ends the body.
     fn decode_trailer_line(&mut self, input: &[u8]) -> Result<Option<usize>, WireError> {
         match input.iter().position(|&byte| byte == b'\n') {
             Some(end) => {
                 if matches!(&input[..end], [] | [b'\r']) {
-                    *self = Body::Done;
+                    *self = BodyDecoder::Done;
                 }
                 Ok(Some(end + 1))
             }
@@ -114,9 +120,9 @@
     }
 }
 
-/// Appends up to `remaining` bytes of `input` to `out`, and returns how many.
-fn copy_content(input: &[u8], remaining: usize, out: &mut Vec<u8>) -> usize {
+/// Appends up to `remaining` bytes of `input` to `content`, and returns how many.
+fn copy_content(input: &[u8], remaining: usize, content: &mut Vec<u8>) -> usize {
     let length = remaining.min(input.len());
-    out.extend_from_slice(&input[..length]);
+    content.extend_from_slice(&input[..length]);
     length
 }
--- a/crates/wire/src/retry.rs
+++ b/crates/wire/src/retry.rs
@@ -1,25 +1,27 @@
-//! Repeats system calls that fail for a reason that passes by itself.
+//! Retries system calls after transient failures: a signal interrupted the call, or this machine lacks
+//! resources.
 
 use crate::errno::{SocketCall, SocketFailure, classify};
 use async_io::Timer;
 use std::io;
 use std::time::{Duration, Instant};
 
-/// The pause before a call is repeated for which the system lacked resources.
+/// The pause before repeating a call that failed because this machine lacked resources.
 const SHORTAGE_PAUSE: Duration = Duration::from_millis(5);
 
 /// How to proceed after a failed call that may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Repeat the call at once: a signal interrupted it.
+    /// Repeat the call at once, because a signal interrupted it.
     Immediately,
-    /// Repeat the call after a pause: the system lacks resources.
+    /// Repeat the call after a pause, because this machine lacks resources.
     AfterPause,
-    /// Report the error.
+    /// Report the error: it is permanent, or the time for retries is over.
     GiveUp,
 }
 
-/// How to proceed after `call` failed with `error`, where it may be repeated until `retry_until`.
+/// Decides how to proceed after a call of the group `call` failed with `error`. The call is not repeated
+/// after `retry_until`.
 pub fn retry_decision(call: SocketCall, error: &io::Error, retry_until: Instant) -> RetryDecision {
     if Instant::now() >= retry_until {
         return RetryDecision::GiveUp;
@@ -33,11 +35,12 @@
     }
 }
 
-/// Repeats `operation` for up to `timeout` while it is interrupted or the system lacks resources.
+/// Runs `operation`, and repeats it for up to `timeout` while it is interrupted or this machine lacks
+/// resources.
 ///
 /// # Errors
-/// The error of the last repetition.
-pub(crate) async fn retry_while_short<T>(
+/// The error of the last try.
+pub(crate) async fn retry_on_shortage<T>(
     call: SocketCall,
     timeout: Duration,
     mut operation: impl AsyncFnMut() -> io::Result<T>,
@@ -56,7 +59,7 @@
     }
 }
 
-/// Waits until a call that failed for lack of resources may be repeated.
+/// Waits for 5 ms, after which a call that failed because this machine lacked resources may be repeated.
 pub async fn shortage_pause() {
     Timer::after(SHORTAGE_PAUSE).await;
 }
