--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -168,7 +168,7 @@
         sends(&self.dispatch(now, Event::Arrival(arrival))).first().map(|send| send.worker)
     }
 
-    /// Handles the end of an attempt 10 ms after its send.
+    /// Handles the end of an attempt at `now`. Its elapsed time is given as 10 ms, whenever it was sent.
     pub fn end_attempt(
         &mut self,
         now: Micros,
--- a/crates/dispatcher/tests/large_worker_lists.rs
+++ b/crates/dispatcher/tests/large_worker_lists.rs
@@ -1,5 +1,5 @@
-//! Long worker lists: 1025 workers of 1024 kinds, for 1024 dispatchers. None of these lists
-//! may be limited to fewer entries.
+//! Guards against a fixed limit on the number of workers, worker kinds or dispatchers: 1025 workers of 1024
+//! kinds, at the first and the last of 1024 dispatchers.
 
 mod common;
 use common::*;
--- a/crates/dispatcher/tests/worker_health.rs
+++ b/crates/dispatcher/tests/worker_health.rs
@@ -101,8 +101,8 @@
     assert_eq!(sends(&harness.arrive(8 * SEC, 1, 400 * MS).1).len(), 1, "sends of class 1 after its backoff");
 }
 
-/// Guards against the ejection of a worker whose response was lost on the way: since the job should have
-/// ended, the worker has served another job.
+/// Guards against the ejection of a worker whose response was lost on the way, although the worker has served
+/// another job after the lost one should have ended.
 #[test]
 fn lost_response_does_not_eject_a_worker_that_served_since() {
     let ejected_where = |served_since: bool| {
