--- a/crates/engine/src/tests/backoff.rs
+++ b/crates/engine/src/tests/backoff.rs
@@ -103,8 +103,9 @@
     }
 }
 
-/// If the settings allow a staleness of the worker list of less than 8 s, the delays after failures and
-/// rejections are limited to twice that staleness, so that the next poll is in time.
+/// After a failed poll, the platform treats a node as notified of a change after four times the staleness of
+/// the worker list that the settings allow. Delays after failures and rejections take at most half of that
+/// time, and the rest is left for the poll; their bound is never below 1 s or above 16 s.
 #[test]
 fn no_delay_exceeds_the_time_within_which_a_list_must_be_polled() {
     for (max_list_staleness, max_delay_s) in
--- a/crates/engine/src/tests/discovery_watch.rs
+++ b/crates/engine/src/tests/discovery_watch.rs
@@ -49,7 +49,8 @@
 fn a_watch_that_ends_is_retried_and_the_last_list_stays_in_force() {
     let engine = watch(|agent| {
         let accept = || agent.accept().expect("the node connects").0;
-        // The watch starts after the version of the configured list. An invalid entry of a list is ignored.
+        // The watch starts after the version of the configured list. An entry without an address is skipped,
+        // and the other entries of its list are applied.
         let mut stream = accept();
         assert_eq!(read_request_target(&mut stream), "/registry/instances?watch=1&after=1");
         stream.write_all(CHUNKED_RESPONSE_HEAD.as_bytes()).expect("the node reads");
--- a/crates/engine/src/tests/pooled_connection.rs
+++ b/crates/engine/src/tests/pooled_connection.rs
@@ -276,8 +276,9 @@
     assert_eq!((end.clone(), end.outcome()), (AttemptEnd::TimeoutBeforeSent, Outcome::ConnectFailed));
 }
 
-/// A request that is written to such a connection fails, but may have run: unlike a failure to connect, this
-/// does not prove that the job never ran, so an at-most-once request could not be sent again.
+/// A request that is written to a connection that the worker has closed fails, but may have run: unlike a
+/// failure to connect, this does not prove that the job never ran, so an at-most-once request could not be
+/// sent again.
 #[test]
 fn a_connection_that_the_worker_has_closed_is_not_reused() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
