--- a/crates/body-store/tests/compatibility.rs
+++ b/crates/body-store/tests/compatibility.rs
@@ -1,5 +1,6 @@
-//! Compatibility with an earlier release: the content of a body's file is the same byte for byte, and the
-//! file names that a crash of that release has left in the directory are recognised.
+//! Compatibility with an earlier release: the content of its file for a body can be read, and is written the
+//! same byte for byte, and the file names that a crash of that release has left in the directory are
+//! recognised.
 
 use futures_lite::future::block_on;
 use sorrelhaven_body_store::{BodyEnd, BodyReadError, BodyStore, Directory, Disk, DiskFile, RequestBody};
--- a/crates/body-store/tests/plan.rs
+++ b/crates/body-store/tests/plan.rs
@@ -195,8 +195,8 @@
 }
 
 /// After any sequence of operations, the usage exceeds a limit only by bytes reserved before the limit was
-/// lowered, no body has moved from a file back to memory or been stored again, and removing all bodies
-/// releases all bytes.
+/// lowered, no body has moved from a file back to memory, none that was not stored has been stored later, and
+/// removing all bodies releases all bytes.
 #[test]
 fn usage_stays_within_limits_and_tiers_only_go_up() {
     check_cases(
--- a/crates/body-store/tests/store.rs
+++ b/crates/body-store/tests/store.rs
@@ -65,7 +65,7 @@
     (body, end)
 }
 
-/// Waits until all files are deleted, which a thread of the pool does.
+/// Waits until all files are deleted, which a thread of the `blocking` pool does.
 fn wait_until_empty(disk: &FakeDisk) {
     let deadline = Instant::now() + Duration::from_secs(5);
     while disk.file_count() > 0 {
@@ -348,6 +348,8 @@
     let body = writer.body();
     let sent = sample_bytes(BLOCK_BYTES, 1);
     block_on(async {
+        // Three blocks are accepted without a reader: the one that memory can hold, the one that outgrows it
+        // and stays in memory since no file can be created, and one unread block that is not stored.
         for _ in 0..3 {
             writer.push(&sent).await.expect("the body is not rejected");
         }
