--- a/crates/node/tests/bodies/clients.rs
+++ b/crates/node/tests/bodies/clients.rs
@@ -55,8 +55,10 @@
     stream
 }
 
-/// 500 clients that send 1 byte a second of large bodies must be answered or disconnected within 3 s, and
-/// the stored bytes must stay within the limits. Other clients must be served within 0.3 s meanwhile.
+/// 500 clients send a byte of a large body at a time, after each eighth request of another client. Each must
+/// be answered with 408 or disconnected: the node's limit is 3 s after the accept, and all of them must have
+/// ended 5 s after the first one connects. The stored bytes must stay within the limits, and the other client
+/// must be served within 0.3 s meanwhile.
 #[test]
 fn five_hundred_slow_clients_delay_no_other_client() {
     let _running_alone = run_alone();
--- a/crates/node/tests/bodies/limits.rs
+++ b/crates/node/tests/bodies/limits.rs
@@ -49,8 +49,8 @@
     assert_eq!(response.status, 413);
     let mut request = TestRequest::new("q-2", "fee-charge", sample_bytes(2 * MIB, 1));
     request.chunked = true;
-    // The node closes the connection with unread bytes, which resets it and could lose the answer. A run of
-    // the request would still be noticed below.
+    // The client is still sending when the node answers. A close with unread bytes would reset the connection
+    // and could lose the answer, so the node reads on for a while before it closes.
     assert!(request.send(&node.address).is_ok_and(|response| response.status == 413));
     thread::sleep(Duration::from_millis(50));
     assert_eq!(installation.workers.executed_requests(), []);
--- a/crates/node/tests/bodies/signals.rs
+++ b/crates/node/tests/bodies/signals.rs
@@ -16,7 +16,7 @@
 }
 
 impl PreparedRequest {
-    /// A request with a body of 3 MiB, or of less than 1 MiB from the eighth request on.
+    /// A request with a body of 3 MiB, or of 900 KiB from the ninth request on.
     fn new(number: u64) -> PreparedRequest {
         let length = if number < 8 { 3 * MIB } else { 900 * KIB };
         let body = sample_bytes(length, number);
--- a/crates/node/tests/large_fleet.rs
+++ b/crates/node/tests/large_fleet.rs
@@ -32,8 +32,8 @@
 const FAULT_END: Duration = Duration::from_secs(8);
 /// Updates of the worker list that the rollout consists of.
 const ROLLOUT_PARTS: usize = 10;
-/// A hanging server is silent, and resets its connections after 5.3 s. The hang ends after 5 s, and most
-/// clients have given up by then.
+/// A hanging server is silent, and resets a connection 5.3 s after the request: after the hang, which takes
+/// 5 s, and when most clients have given up.
 const HANG_BEHAVIOR: WorkerBehavior = WorkerBehavior::SilentThenReset(5_300);
 /// The node's share of a core, in multiples of its mean use in the baseline measurement.
 const MULTIPLE_OF_BASELINE_USE: f64 = 1.5;
--- a/crates/node/tests/large_lists.rs
+++ b/crates/node/tests/large_lists.rs
@@ -1,5 +1,5 @@
-//! Worker lists of a thousand entries on a node with the smallest limits on memory and descriptors, and a
-//! known list that is mostly out of date at the start.
+//! Worker lists of a thousand entries on a node with the smallest limit on memory and with 256 descriptors,
+//! and a known list that is mostly out of date at the start.
 
 use sorrelhaven_test_support::{
     FakeWorkers, Program, RefusingPort, ScratchDir, TestRequest, begin_chunked_response, open_listener,
@@ -159,7 +159,8 @@
         node.wait_for_skipped(skipped);
         node.send_requests(version..version + 100);
     }
-    // A list with an invalid entry is not applied: the node logs the entry's key, and polls the full list.
+    // A list in which an entry has an unknown health is not applied: the node logs the entry's key, and polls
+    // the full list.
     let mut invalid = node.entries("terminating");
     invalid[700] = invalid[700].replace("terminating", "asleep");
     send_chunk(&mut watch, &indented(&worker_list(version + 1, true, &invalid)));
--- a/crates/node/tests/members.rs
+++ b/crates/node/tests/members.rs
@@ -133,7 +133,7 @@
     address.and_then(|address| address.parse().ok()).expect("the field is an address")
 }
 
-/// A row of the table that the admin call `members` returns.
+/// A row of the table that the admin command `members` returns.
 struct MemberRow {
     incarnation: u64,
     state: String,
@@ -255,7 +255,7 @@
             1 => (0..NODE_COUNT).for_each(|to| group.proxy.set_faults(2, to, lossy(0.4))),
             _ => group.proxy.set_faults(0, 1, blocked),
         }
-        // More than ten probes by each node.
+        // On average more than twelve probes by each node.
         let from = probes(&group);
         group.wait_until("probes go on", |group| probes(group) > from + 12 * NODE_COUNT as u64);
         assert_eq!(
--- a/crates/node/tests/operations/admin_calls.rs
+++ b/crates/node/tests/operations/admin_calls.rs
@@ -1,4 +1,4 @@
-//! Malformed and incomplete admin calls, and invalid addresses of the admin listener.
+//! Malformed and incomplete admin commands, and invalid addresses of the admin listener.
 
 use crate::node::{read_to_end, request, start};
 use sorrelhaven_test_support::{FakeWorkers, Program, ScratchDir, WorkerBehavior, workers_config};
@@ -11,7 +11,7 @@
 
 const CLIENT_COUNT: usize = 16;
 const SILENT_CALLERS: usize = 64;
-/// The admin calls begin after this many requests were answered, so that they meet a running load.
+/// The admin commands are sent after this many requests were answered, so that they meet a running load.
 const MIN_ANSWERED: u64 = 100;
 
 /// [`CLIENT_COUNT`] clients that send requests without a pause.
@@ -51,8 +51,8 @@
     }
 }
 
-/// [`SILENT_CALLERS`] connections with incomplete admin calls, beside a full load of clients, must not delay
-/// the next call: it is answered within 1 s, before the incomplete ones time out.
+/// [`SILENT_CALLERS`] connections with incomplete admin commands, beside a full load of clients, must not
+/// delay the next command: its reply arrives within 1 s, before the incomplete ones time out.
 #[test]
 fn silent_admin_callers_delay_no_other_call() {
     let workers = FakeWorkers::new(2);
@@ -91,8 +91,8 @@
     node.terminate();
 }
 
-/// Admin calls that arrive in pieces, are unknown, empty, too long, not UTF-8 or without a line end, and
-/// callers that never read: each must get an answer or a close, and must not block the next call.
+/// Admin commands that arrive in pieces, are unknown, empty, too long, not UTF-8 or without a line end, and
+/// callers that never read: each must get a reply or a close, and must not block the next command.
 #[test]
 fn every_malformed_admin_call_gets_an_answer_or_a_close() {
     let workers = FakeWorkers::new(1);
@@ -102,7 +102,7 @@
     pieces.set_nodelay(true).expect("the socket option can be set");
     for piece in ["sh", "ow-st", "at", "\r\n"] {
         pieces.write_all(piece.as_bytes()).expect("the bytes are written");
-        // A complete call on another connection, between the pieces.
+        // A complete command on another connection, between the pieces.
         assert_eq!(node.admin_command("ready"), "SUCCESS serving\n");
     }
     assert!(read_to_end(&mut pieces).ends_with("\nEOT\n"));
--- a/crates/node/tests/operations/drain.rs
+++ b/crates/node/tests/operations/drain.rs
@@ -1,4 +1,4 @@
-//! The admin calls `drain` and `resume`, and signals during a drain.
+//! The admin commands `drain` and `resume`, and signals during a drain.
 
 use crate::node::{connect, read_to_end, request, start};
 use sorrelhaven_test_support::{FakeWorkers, Program, WorkerBehavior};
--- a/crates/node/tests/operations/main.rs
+++ b/crates/node/tests/operations/main.rs
@@ -1,4 +1,4 @@
-//! Admin calls to a running node: metrics, drain, resume and malformed calls.
+//! Admin commands to a running node: metrics, drain, resume and malformed commands.
 
 mod admin_calls;
 mod drain;
--- a/crates/node/tests/program/requests.rs
+++ b/crates/node/tests/program/requests.rs
@@ -6,8 +6,8 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// After SIGTERM the node must answer admitted requests, still serve connections for a while, and exit with
-/// success.
+/// After SIGTERM the node must answer admitted requests, still serve open connections for a while, and exit
+/// with success.
 #[test]
 fn sigterm_lets_admitted_requests_finish() {
     let (listener, address) = open_worker();
--- a/crates/node/tests/races/shutdown.rs
+++ b/crates/node/tests/races/shutdown.rs
@@ -11,9 +11,11 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Time after SIGTERM from which the node may cut off requests that it has not read completely.
-const READ_PERIOD_AFTER_SIGTERM: Duration = Duration::from_millis(800);
-/// Time after SIGTERM from which the platform may send SIGKILL.
+/// Time after SIGTERM at which the late request is complete. A request that is complete 0.7 s after SIGTERM,
+/// or later, must be answered before SIGKILL.
+const LATE_REQUEST_DELAY: Duration = Duration::from_millis(800);
+/// Time after SIGTERM from which the platform may send SIGKILL: 0.7 s plus the longest client timeout, which
+/// counts as at most 3 s.
 const SHUTDOWN_LIMIT: Duration = Duration::from_millis(3_700);
 
 /// A request is half read at SIGTERM and complete more than 0.7 s later. It must be answered before the
@@ -37,7 +39,7 @@
     node.wait_for_log_line("shutdown requested");
     // Idle connections are closed by now, and no new one is accepted.
     node.wait_for_log_line("stopped accepting connections");
-    while signalled_at.elapsed() < READ_PERIOD_AFTER_SIGTERM {
+    while signalled_at.elapsed() < LATE_REQUEST_DELAY {
         std::thread::yield_now();
     }
     late_client.write_all(b"dy").expect("the node still reads");
--- a/crates/node/tests/races/worker_changes.rs
+++ b/crates/node/tests/races/worker_changes.rs
@@ -1,4 +1,5 @@
-//! A worker begins to drain, or its idempotency window ends, while a connection to it is being established.
+//! A worker begins to drain, or the idempotency window of a request ends, while a connection to the worker is
+//! being established.
 
 use crate::peers::{
     Cancellation, accept, accept_watch, first_request, list_entry, next_request, read_response, request_id,
