--- a/crates/membership/src/authentication.rs
+++ b/crates/membership/src/authentication.rs
@@ -3,7 +3,7 @@
 //!
 //! ```text
 //! byte 0         the version, 1
-//! bytes 1 to 8   the sender's id, a random number drawn when it starts, big-endian
+//! bytes 1 to 8   the sender's id, a hash of its random seed, name and incarnation, big-endian
 //! bytes 9 to 16  the sequence number of the datagram, from 1, big-endian
 //! then           the protocol message
 //! last 16 bytes  HMAC-SHA256 of all preceding bytes, truncated
--- a/crates/membership/src/id.rs
+++ b/crates/membership/src/id.rs
@@ -10,8 +10,8 @@
 pub struct MemberId {
     /// The node's name, the same in all its incarnations.
     pub name: String,
-    /// Greater than in all earlier incarnations. A node starts with the current time, so that each start has
-    /// a greater one; a member that was declared dead raises it.
+    /// Greater than in all earlier incarnations, unless the node's clock was set back. A node starts with the
+    /// current time, so that each start has a greater one; a member that was declared dead raises it.
     pub incarnation: u64,
     /// The address and port at which other members reach it.
     pub address: SocketAddr,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Failure detection and gossip are SWIM, implemented by the `foca` crate. This crate adds member identities,
 //! timers on the caller's clock, authenticated datagrams, Lifeguard's local health (tolerance of pauses of
-//! the own process), a leave broadcast, and a member table for other subsystems. [`Membership`] does no I/O
+//! this process), a leave broadcast, and a member table for other subsystems. [`Membership`] does no I/O
 //! and reads no clock: the caller passes in received datagrams and the current time, and sends the datagrams
 //! that it returns. [`run`] drives it on a UDP socket. `docs/membership.md` describes it for operators.
 //!
--- a/crates/membership/src/metrics.rs
+++ b/crates/membership/src/metrics.rs
@@ -5,9 +5,11 @@
 pub struct Metrics {
     /// Direct probes started, one per probe period; repetitions and indirect probes are not counted.
     pub probes: u64,
-    /// Suspicions, raised by this member's own probes or received by gossip.
+    /// Suspicions raised by this member's own probes; each failed probe of a member that is suspect already
+    /// counts again. Suspicions received by gossip are not counted.
     pub suspicions: u64,
-    /// Suspicions that were refuted.
+    /// Suspicions, raised by any member, that were refuted. One that begins and ends between two updates of
+    /// the member table is not counted.
     pub refutations: u64,
     /// How often this member was declared dead and rejoined with its next incarnation.
     pub declared_dead: u64,
--- a/crates/membership/src/replay_filter.rs
+++ b/crates/membership/src/replay_filter.rs
@@ -2,7 +2,8 @@
 
 use std::collections::HashMap;
 
-/// The width of the window: a sequence number this far or farther below its sender's highest is rejected.
+/// The width of the window, for datagrams that overtake each other: a sequence number this far or farther
+/// below its sender's highest is rejected.
 pub(crate) const REORDERING_WINDOW: u64 = 64;
 /// Senders whose windows are kept; beyond that the sender that was heard from least recently is evicted.
 pub(crate) const MAX_SENDERS: usize = 4_096;
@@ -16,7 +17,7 @@
     last_heard_at: u64,
 }
 
-/// Accepts each datagram at most once.
+/// Accepts each datagram at most once, as long as its sender's window is kept.
 #[derive(Default)]
 pub(crate) struct ReplayFilter {
     /// The window of each sender, by its id.
@@ -26,7 +27,7 @@
 
 impl ReplayFilter {
     /// Records a sequence number, and returns whether it is the sender's first datagram with it. Returns
-    /// false for one below the window, of which this is not known.
+    /// false for a number below the window, because the filter can't tell whether it was received.
     pub(crate) fn accept(&mut self, sender_id: u64, sequence: u64) -> bool {
         self.datagram_count += 1;
         if self.windows.len() >= MAX_SENDERS && !self.windows.contains_key(&sender_id) {
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -8,7 +8,7 @@
 
 /// How long members that died or left stay in the member table.
 const FORGET_AFTER: Duration = Duration::from_secs(3_600);
-/// Messages that gossip the same update.
+/// Messages of this member that carry the same update, at most.
 const MAX_TRANSMISSIONS: u8 = 12;
 /// Probe periods between announcements to a live member.
 const ANNOUNCE_PERIODS: u32 = 20;
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -19,7 +19,7 @@
 
 /// Interval between updates of the member table from `foca`'s state.
 const TABLE_UPDATE_INTERVAL: Micros = 100_000;
-/// Probe periods between announcements to seeds that are not known to be alive, once another member is known.
+/// Probe periods between announcements to seeds that are not known to be alive, once another member is.
 const SEED_ANNOUNCE_PERIODS: Micros = 4;
 /// Gossip rounds that carry the leave notice, including that of `foca`'s own leave message.
 const LEAVE_BROADCAST_ROUNDS: usize = 3;
@@ -175,7 +175,8 @@
     fn broadcast_leave(&mut self, now: Micros) {
         let mut output = ProtocolOutput::default();
         let notice = LeaveNotice::new(self.protocol.identity());
-        // These calls fail if there is no other member, and then there is nothing to send.
+        // If there is no other member, these calls send nothing. If one fails, the other members consider
+        // this one dead instead of left.
         let _ = self.protocol.add_broadcast(notice.as_bytes());
         for _ in 1..LEAVE_BROADCAST_ROUNDS {
             let _ = self.protocol.gossip(&mut output);
@@ -199,8 +200,9 @@
     }
 
     /// Announces this member to the next seed if that is not known to be alive: every probe period while no
-    /// other member is known, and every [`SEED_ANNOUNCE_PERIODS`] probe periods once one is. Without the
-    /// latter, members that joined through different seeds would remain separate clusters.
+    /// other member is known to be alive, and every [`SEED_ANNOUNCE_PERIODS`] probe periods once one is. Without
+    /// the latter, members that joined through different seeds would remain separate clusters. Suspects count as
+    /// alive here.
     fn announce_to_seed(&mut self, now: Micros) {
         if now < self.next_announce_at {
             return;
@@ -228,9 +230,9 @@
         }
     }
 
-    /// Whether the timer is that of a suspicion that has been refuted. `foca` would keep the suspect alive
-    /// but would still tell it that it was declared dead, so that it would raise its incarnation without
-    /// need.
+    /// Whether the timer is that of a suspicion that no longer holds, as a rule because it was refuted.
+    /// `foca` would keep the suspect alive but would still tell it that it was declared dead, so that it
+    /// would raise its incarnation without need.
     fn is_refuted_suspicion(&self, timer: &Timer<MemberId>) -> bool {
         let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = timer else { return false };
         let is_still_suspect = self.protocol.iter_membership_state().any(|member| {
@@ -248,7 +250,8 @@
         }
         // A probe without an ack at its timeout is repeated directly, in addition to the indirect probes:
         // with a fifth of the datagrams lost, one direct probe in three gets no ack although the member is
-        // alive.
+        // alive. It is not repeated if `foca` sends no indirect probes, because the ack has arrived or there
+        // is no third member.
         let is_probe_timeout = matches!(timer, Timer::SendIndirectProbe { .. });
         let repeated_probe = if is_probe_timeout { self.last_probe.take() } else { None };
         self.run_protocol(now, |protocol, output| {
--- a/crates/membership/src/udp.rs
+++ b/crates/membership/src/udp.rs
@@ -37,8 +37,8 @@
     // One byte more than the longest valid datagram: a longer one is cut to a length that is rejected.
     let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     for _ in 0..MAX_READS_PER_TICK {
-        // An error means that no datagram is waiting, that one sent earlier was refused, or a fault of the
-        // socket that can't be repaired here.
+        // As a rule an error means that no datagram is waiting. Any other can't be repaired here; the next
+        // call reads again.
         let Ok((length, _)) = socket.get_ref().recv_from(&mut buffer) else { return };
         member.borrow_mut().handle_datagram(elapsed(started_at), &buffer[..length]);
     }
--- a/crates/membership/tests/cases.rs
+++ b/crates/membership/tests/cases.rs
@@ -51,7 +51,7 @@
     assert!(cluster.members[2].id().incarnation > 1_000);
     for index in [0, 1, 3, 4] {
         let declared_dead = cluster.members[index].metrics().declared_dead;
-        assert_eq!(declared_dead, 0, "n{index} was declared dead by the paused member");
+        assert_eq!(declared_dead, 0, "n{index} was declared dead, although only n2 was paused");
     }
 }
 
