--- a/crates/deferred-jobs/src/add_error.rs
+++ b/crates/deferred-jobs/src/add_error.rs
@@ -19,7 +19,7 @@
     /// jobs.
     ChainTooLong,
     /// It depends on this unknown name, and [`Limits::unknown_names`](crate::Limits::unknown_names) rejects
-    /// such names or too many are awaited already.
+    /// such names, or more of them than it allows would be awaited.
     UnknownName(JobName),
     /// A job that it depends on has concluded without being served.
     DependencyFailed {
@@ -36,7 +36,9 @@
             AddError::Cycle(names) => {
                 write!(formatter, "the job would depend on itself: {}", names.join(" -> "))
             }
-            AddError::Duplicate => write!(formatter, "a job of this name was added before"),
+            AddError::Duplicate => {
+                write!(formatter, "a job of this name has not concluded or is still remembered")
+            }
             AddError::TooManyJobs => write!(formatter, "too many jobs have not concluded"),
             AddError::TooManyDependencies => write!(formatter, "the job has too many dependencies"),
             AddError::ChainTooLong => write!(formatter, "the chain of dependencies would be too long"),
--- a/crates/deferred-jobs/src/dependency_graph.rs
+++ b/crates/deferred-jobs/src/dependency_graph.rs
@@ -31,7 +31,7 @@
 pub enum UnknownNamePolicy {
     /// [`DependencyGraph::add`] rejects it.
     Reject,
-    /// It waits until a job of that name is added.
+    /// The job waits for one of that name, which may be added later.
     Await {
         /// The number of names without a job that may be awaited at once.
         max_names: usize,
@@ -45,7 +45,7 @@
     pub max_jobs: usize,
     /// Different dependencies of one job that were not served yet.
     pub max_dependencies: usize,
-    /// Jobs on the longest chain of dependencies.
+    /// Jobs on the longest chain of dependencies, awaited names included.
     pub max_chain_length: usize,
     /// Concluded jobs whose outcome is remembered; the oldest is forgotten first.
     pub max_remembered_outcomes: usize,
@@ -191,7 +191,7 @@
         let unknown: Vec<&JobName> =
             pending.iter().filter(|other| !self.nodes.contains_key(*other)).collect();
         let Some(first) = unknown.first() else { return Ok(()) };
-        // The new job's own name, if it is awaited now, is not any more once the job is added.
+        // If the new job's own name is awaited, it no longer is once the job is added.
         let own_name = usize::from(self.nodes.contains_key(name));
         let awaited = self.nodes.len() - self.added_count - own_name;
         let max_awaited = match self.limits.unknown_names {
--- a/crates/deferred-jobs/src/release_queue.rs
+++ b/crates/deferred-jobs/src/release_queue.rs
@@ -2,13 +2,13 @@
 //!
 //! *Priority aging.* A job's priority rises by one for each `aging_interval` that it has waited. All waiting
 //! jobs age at the same rate, so the order of two jobs never changes: a job of priority `p` that was due at
-//! `d` has the effective due time `d - p * aging_interval`. Only jobs due before `d + max_priority *
-//! aging_interval` can overtake a job due at `d`.
+//! `d` has the effective due time `d - p * aging_interval`. Only jobs of its tenant that are due by
+//! `d + max_priority * aging_interval` can overtake a job due at `d`.
 //!
 //! *Tenant shares.* This is start-time fair queueing. Each tenant has its own queue and a virtual start time,
 //! which advances with each release by the inverse of the tenant's weight. The next job is taken from the
-//! tenant with the lowest virtual start time. A tenant gets no credit for the time that it was idle: its
-//! virtual start time is raised to the queue's virtual time.
+//! tenant with the lowest virtual start time among those with waiting jobs. A tenant gets no credit for the
+//! time that it was idle: its virtual start time is raised to the queue's virtual time.
 
 use crate::release_window::{ReleaseOutcome, ReleaseWindow, WindowLimits};
 use std::collections::BTreeSet;
--- a/crates/deferred-jobs/tests/release_queue.rs
+++ b/crates/deferred-jobs/tests/release_queue.rs
@@ -141,7 +141,8 @@
     assert!(rounds < 5_000 / 40 * 2, "{rounds} rounds, and 125 are the minimum");
 }
 
-/// A removed job is not released, and can't be removed again.
+/// A removed job is not released, and can't be removed again. It is found by the arguments with which it was
+/// enqueued, here a priority above the highest.
 #[test]
 fn a_removed_job_is_not_released() {
     let mut queue = ReleaseQueue::new(rules(2, 9.0, 9.0));
