--- a/crates/node/src/check.rs
+++ b/crates/node/src/check.rs
@@ -7,7 +7,8 @@
 use std::fmt::Write;
 use std::process::ExitCode;
 
-/// The exit status if a configuration file or the command line is invalid.
+/// The exit status of `check` with any error, and of `run` with a malformed `--log`. It is also that of
+/// `clap` for a command line that it rejects.
 pub const EXIT_INVALID: u8 = 2;
 
 /// Units of sizes, the largest first: the base-2 logarithm of the unit's bytes, and the unit's name.
--- a/crates/node/src/client_listener.rs
+++ b/crates/node/src/client_listener.rs
@@ -24,7 +24,8 @@
     /// number, one that this process opened could have the number and would be adopted instead.
     ///
     /// # Errors
-    /// `RELAY_FD` is not a number, or the descriptor is not a listening TCP socket.
+    /// `RELAY_FD` is not the number of a descriptor, or the descriptor cannot be adopted as a listening TCP
+    /// socket.
     pub fn inherit(environment: &Environment) -> Result<Option<TcpListener>, StartError> {
         let descriptor = sorrelhaven_config::listen_fd(&|name: &str| environment.get(name));
         let Some(descriptor) = descriptor.map_err(StartError::Config)? else { return Ok(None) };
--- a/crates/node/src/counter_report.rs
+++ b/crates/node/src/counter_report.rs
@@ -3,7 +3,7 @@
 use crate::cli::LogFormat;
 use serde_json::{Map, Value, json};
 
-/// Formats counters on one line: `sorrelhaven: name=count ...` or a JSON object, as the log's format is.
+/// Formats counters on one line, by the log's format as `sorrelhaven: name=count ...` or as a JSON object.
 pub fn counter_report(format: LogFormat, counters: impl Iterator<Item = (&'static str, u64)>) -> String {
     match format {
         LogFormat::Text => {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 use tracing::info;
 
-/// Interval at which a node that shuts down checks whether all requests have been answered.
+/// Interval at which a node that shuts down checks whether connections or requests remain.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The engine and its front end.
@@ -22,7 +22,7 @@
     pub engine: Rc<Engine>,
     /// Reads the clients' requests and writes the answers.
     pub frontend: Rc<Frontend>,
-    /// Whether the node serves, drains or shuts down; also set by the admin listener.
+    /// Whether the node is starting, serving, drained or stopping; admin commands change it too.
     pub lifecycle: Rc<LifecycleHandle>,
     /// The log's format, in which the counters are printed too.
     pub format: LogFormat,
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Serves clients until, after a shutdown request, every admitted request has been answered and every
-    /// client connection is closed.
+    /// Serves clients until, after a shutdown request, every client connection is closed, every admitted
+    /// request is concluded, and its attempts have ended.
     pub async fn serve(&self, listener: ClientListener) {
         let ClientListener { socket, queue } = listener;
         accept(self.frontend.clone(), socket, queue, self.wait_until_accepting_stops(queue)).await;
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -83,8 +83,9 @@
     admin::listen(address).map_err(|error| StartError::AdminListen { address, error })
 }
 
-/// Registers this process if it shares its accept queue with another process of the node, since the limit on
-/// descriptors holds for both together. If the registration fails, this process uses the whole limit.
+/// Registers this process if it may share its accept queue with other processes of the node, since the limit
+/// on descriptors holds for all of them together. If the registration fails, this process uses the whole
+/// limit.
 fn register_process(config: &Config, queue: AcceptQueue) -> Option<ProcessRegistry> {
     match queue {
         AcceptQueue::Own => None,
--- a/crates/node/src/start_error.rs
+++ b/crates/node/src/start_error.rs
@@ -5,13 +5,13 @@
 use std::net::SocketAddr;
 use std::{fmt, io};
 
-/// Why the node cannot start. `Display` writes one line that begins with the setting or variable that is
-/// invalid, or with `signals`.
+/// Why the node cannot start. `Display` writes one line that begins with the setting or variable that the
+/// error concerns, or with `signals`.
 #[derive(Debug)]
 pub enum StartError {
     /// A setting or an environment variable is invalid.
     Config(sorrelhaven_config::ConfigError),
-    /// The descriptor in `RELAY_FD` is not a listening TCP socket.
+    /// The descriptor in `RELAY_FD` cannot be adopted as a listening TCP socket.
     Inherit(InheritError),
     /// The inherited listener cannot be registered with the event loop.
     RegisterInherited(io::Error),
