--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -201,8 +201,8 @@
 
     /// Announces this member to the next seed if that is not known to be alive: every probe period while no
     /// other member is known to be alive, and every [`SEED_ANNOUNCE_PERIODS`] probe periods once one is.
-    /// Without the latter, members that joined through different seeds would remain separate clusters. Suspects
-    /// count as alive here.
+    /// Without the latter, members that joined through different seeds would remain separate clusters.
+    /// Suspects count as alive here.
     fn announce_to_seed(&mut self, now: Micros) {
         if now < self.next_announce_at {
             return;
