--- a/crates/node/tests/races/client_disconnect.rs
+++ b/crates/node/tests/races/client_disconnect.rs
@@ -2,9 +2,9 @@
 //! cancelled.
 
 use crate::peers::{
-    Cancellation, Disconnect, accept_watch, disconnect, done_response, first_request, list_entry,
-    next_request, no_discovery, read_response, request_id, respond, send_request, send_unsolicited_bytes,
-    send_update, start_node, wait_for_counter,
+    Cancellation, Disconnect, accept_watch, close_connection, disconnect, done_response, first_request,
+    list_entry, next_request, no_discovery, read_response, request_id, respond, send_request,
+    send_unsolicited_bytes, send_update, start_node, wait_for_counter,
 };
 use sorrelhaven_test_support::{StalledListener, open_listener};
 use std::net::TcpStream;
@@ -61,7 +61,7 @@
     let (worker, address) = open_listener();
     let (mut node, _scratch) = start_node(address, no_discovery(), Cancellation::Disabled, "unread");
     node.signal("STOP");
-    drop(send_request(&node, "gone", "safe", 30_000));
+    close_connection(send_request(&node, "gone", "safe", 30_000));
     node.signal("CONT");
     wait_for_counter(&mut node, "client_gone", 1);
     let _client = send_request(&node, "stays", "safe", 30_000);
--- a/crates/node/tests/races/peers.rs
+++ b/crates/node/tests/races/peers.rs
@@ -5,7 +5,7 @@
     reset_connection, send_chunk, worker_list,
 };
 use std::io::{self, ErrorKind, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::process::Command;
 use std::time::{Duration, Instant};
 
@@ -122,15 +122,22 @@
     client.write_all(&[b'x'; UNSOLICITED_BYTES]).expect("the system buffers the bytes");
 }
 
+/// Ends a client's connection before it returns. Closing the stream alone could end it later, since a program
+/// that another test is starting holds a copy of every descriptor until its exec.
+pub fn close_connection(client: TcpStream) {
+    client.shutdown(Shutdown::Both).expect("the connection is still open");
+    drop(client);
+}
+
 /// Disconnects a client, and waits until the node has detected it. `disconnects_before` is the number of
 /// disconnects that the node has counted so far.
 pub fn disconnect(node: &mut Program, mut client: TcpStream, kind: Disconnect, disconnects_before: u64) {
     match kind {
-        Disconnect::Close => drop(client),
+        Disconnect::Close => close_connection(client),
         Disconnect::Reset => reset_connection(client),
         Disconnect::CloseBehindUnreadBytes => {
             send_unsolicited_bytes(&mut client);
-            drop(client);
+            close_connection(client);
         }
     }
     let begun = Instant::now();
