--- a/crates/node/tests/program/node.rs
+++ b/crates/node/tests/program/node.rs
@@ -1,7 +1,7 @@
 //! Starts a node with one known worker and two classes; sends requests to it and reads from its connections.
 
 use sorrelhaven_test_support::{Program, ScratchDir, chunk, open_listener};
-use std::io::{Read, Write};
+use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::process::Command;
 
@@ -50,8 +50,17 @@
 pub fn read_until(stream: &mut TcpStream, end: &str) -> String {
     let mut received = String::new();
     let mut byte = [0];
-    while !received.ends_with(end) && stream.read(&mut byte).expect("the connection can be read") > 0 {
-        received.push(byte[0] as char);
+    while !received.ends_with(end) {
+        match stream.read(&mut byte) {
+            Ok(0) => break,
+            // A read with a timeout is not restarted after a signal. The end of a program that another test
+            // has started (SIGCHLD) can interrupt it while the thread that starts one blocks signals.
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            result => {
+                result.expect("the connection can be read");
+                received.push(byte[0] as char);
+            }
+        }
     }
     received
 }
--- a/crates/test-support/src/chunked.rs
+++ b/crates/test-support/src/chunked.rs
@@ -1,6 +1,6 @@
 //! Chunked HTTP/1.1 responses, as discovery and workers send them.
 
-use std::io::{Read, Write};
+use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
 
 /// The head of a 200 response with a chunked body.
@@ -14,7 +14,12 @@
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
-        let length = stream.read(&mut byte).expect("the node sends a request");
+        let length = match stream.read(&mut byte) {
+            // A read with a timeout is not restarted after a signal. The end of a program that another test
+            // has started (SIGCHLD) can interrupt it while the thread that starts one blocks signals.
+            Err(error) if error.kind() == ErrorKind::Interrupted => continue,
+            result => result.expect("the node sends a request"),
+        };
         assert_eq!(length, 1, "the node closed the connection within a request head");
         head.push(byte[0]);
     }
